--- a/components/coordination/src/fair.rs
+++ b/components/coordination/src/fair.rs
@@ -12,14 +12,14 @@
 use crate::AccountId;
 
 /// The least time that a request is counted with, so that none is free.
-const LEAST_COST: Duration = Duration::from_micros(50);
+const MIN_COST: Duration = Duration::from_micros(50);
 
 /// How much a new measurement moves the mean, as one part of so many.
-const MEAN_OVER: f64 = 32.0;
+const MEAN_SAMPLES: f64 = 32.0;
 
 /// A request that waits for a slot.
 #[derive(Debug)]
-struct Waiting<T> {
+struct Queued<T> {
     deadline: Instant,
     item: T,
 }
@@ -30,8 +30,8 @@
     weight: f64,
     /// Start tag of the account's next request: what it has used so far, and
     /// no less than the virtual time at which it began to wait.
-    tag: f64,
-    waiting: VecDeque<Waiting<T>>,
+    start_tag: f64,
+    waiting: VecDeque<Queued<T>>,
 }
 
 /// A request that leaves the queue for a slot.
@@ -74,7 +74,7 @@
 
 /// The queue cannot serve a request before its deadline.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Hopeless {
+pub struct Infeasible {
     /// When the queue will be short enough for such a request.
     pub retry: Duration,
 }
@@ -131,7 +131,7 @@
             Some(flow) if !ticket.urgent => flow.waiting.len(),
             _ => 0,
         };
-        let pace = self.slots as f64 / self.mean.max(LEAST_COST.as_secs_f64());
+        let pace = self.slots as f64 / self.mean.max(MIN_COST.as_secs_f64());
         Duration::from_secs_f64((ahead + 1) as f64 / (pace * share))
     }
 
@@ -140,27 +140,27 @@
     ///
     /// Guards against serving late what its caller has given up: without the
     /// bound a queue beyond saturation grows until nothing is served in time.
-    pub fn push(&mut self, ticket: &Ticket, now: Instant, item: T) -> Result<(), (Hopeless, T)> {
+    pub fn push(&mut self, ticket: &Ticket, now: Instant, item: T) -> Result<(), (Infeasible, T)> {
         let wait = self.wait(ticket);
         let left = ticket.deadline.saturating_duration_since(now);
         let need = wait + self.mean();
         if need > left {
             let retry = (need - left).max(self.mean());
-            return Err((Hopeless { retry }, item));
+            return Err((Infeasible { retry }, item));
         }
         let virtual_time = self.virtual_time;
         let weight = f64::from(ticket.weight.max(1));
         let flow = self.flows.entry(ticket.account.clone()).or_insert_with(|| Flow {
             weight,
-            tag: virtual_time,
+            start_tag: virtual_time,
             waiting: VecDeque::new(),
         });
         flow.weight = weight;
         if flow.waiting.is_empty() {
             // An account that was idle saves up nothing.
-            flow.tag = flow.tag.max(virtual_time);
+            flow.start_tag = flow.start_tag.max(virtual_time);
         }
-        let waiting = Waiting { deadline: ticket.deadline, item };
+        let waiting = Queued { deadline: ticket.deadline, item };
         if ticket.urgent {
             flow.waiting.push_front(waiting);
         } else {
@@ -175,13 +175,14 @@
             return None;
         }
         let busy = self.flows.iter().filter(|(_, flow)| !flow.waiting.is_empty());
-        let (account, _) = busy.min_by(|a, b| a.1.tag.total_cmp(&b.1.tag).then(a.0.cmp(b.0)))?;
+        let (account, _) =
+            busy.min_by(|a, b| a.1.start_tag.total_cmp(&b.1.start_tag).then(a.0.cmp(b.0)))?;
         let account = account.clone();
-        let cost = self.mean().max(LEAST_COST);
+        let cost = self.mean().max(MIN_COST);
         let flow = self.flows.get_mut(&account)?;
         let waiting = flow.waiting.pop_front()?;
-        self.virtual_time = self.virtual_time.max(flow.tag);
-        flow.tag += cost.as_secs_f64() / flow.weight;
+        self.virtual_time = self.virtual_time.max(flow.start_tag);
+        flow.start_tag += cost.as_secs_f64() / flow.weight;
         self.running += 1;
         Some(Granted { account, cost, item: waiting.item })
     }
@@ -189,11 +190,11 @@
     /// Takes back a slot after `took`; the account is charged what it really used.
     pub fn release(&mut self, account: &AccountId, cost: Duration, took: Duration) {
         self.running = self.running.saturating_sub(1);
-        self.mean += (took.as_secs_f64() - self.mean) / MEAN_OVER;
+        self.mean += (took.as_secs_f64() - self.mean) / MEAN_SAMPLES;
         let virtual_time = self.virtual_time;
         if let Some(flow) = self.flows.get_mut(account) {
-            flow.tag += (took.as_secs_f64() - cost.as_secs_f64()) / flow.weight;
-            if flow.waiting.is_empty() && flow.tag <= virtual_time {
+            flow.start_tag += (took.as_secs_f64() - cost.as_secs_f64()) / flow.weight;
+            if flow.waiting.is_empty() && flow.start_tag <= virtual_time {
                 self.flows.remove(account);
             }
         }
@@ -206,18 +207,18 @@
     /// runs beyond the limit delays the next that comes by the queue.
     pub fn force(&mut self, account: &AccountId) -> Duration {
         self.running += 1;
-        let cost = self.mean().max(LEAST_COST);
+        let cost = self.mean().max(MIN_COST);
         if let Some(flow) = self.flows.get_mut(account) {
-            flow.tag += cost.as_secs_f64() / flow.weight;
+            flow.start_tag += cost.as_secs_f64() / flow.weight;
         }
         cost
     }
 
     /// Takes back a slot that was given to a request which no longer wanted it.
-    pub fn take_back(&mut self, account: &AccountId, cost: Duration) {
+    pub fn release_unused(&mut self, account: &AccountId, cost: Duration) {
         self.running = self.running.saturating_sub(1);
         if let Some(flow) = self.flows.get_mut(account) {
-            flow.tag -= cost.as_secs_f64() / flow.weight;
+            flow.start_tag -= cost.as_secs_f64() / flow.weight;
         }
     }
 
@@ -231,10 +232,10 @@
     ///
     /// A server that slows down makes earlier promises void; whoever waits in
     /// vain is told now and not at the deadline.
-    pub fn shed(&mut self, now: Instant) -> Vec<(Hopeless, T)> {
+    pub fn shed(&mut self, now: Instant) -> Vec<(Infeasible, T)> {
         let total: f64 =
             self.flows.values().filter(|f| !f.waiting.is_empty()).map(|f| f.weight).sum();
-        let pace = self.slots as f64 / self.mean.max(LEAST_COST.as_secs_f64());
+        let pace = self.slots as f64 / self.mean.max(MIN_COST.as_secs_f64());
         let mean = self.mean();
         let mut out = Vec::new();
         for flow in self.flows.values_mut() {
@@ -245,7 +246,7 @@
                 let left = waiting.deadline.saturating_duration_since(now);
                 if wait >= left {
                     let retry = (wait + mean).saturating_sub(left).max(mean);
-                    out.push((Hopeless { retry }, waiting.item));
+                    out.push((Infeasible { retry }, waiting.item));
                 } else {
                     kept.push_back(waiting);
                 }
--- a/components/coordination/tests/fair.rs
+++ b/components/coordination/tests/fair.rs
@@ -89,8 +89,8 @@
     let soon = now + 100 * MS;
     let mut refused = None;
     for _ in 0..1000 {
-        if let Err((hopeless, _)) = queue.push(&ticket("a", 1, soon), now, "a") {
-            refused.get_or_insert(hopeless.retry);
+        if let Err((infeasible, _)) = queue.push(&ticket("a", 1, soon), now, "a") {
+            refused.get_or_insert(infeasible.retry);
         }
         queue.pop();
     }
@@ -114,7 +114,7 @@
     }
     let shed = queue.shed(now + 50 * MS);
     assert!(shed.iter().filter(|(_, item)| *item == "a").count() >= 8, "{}", shed.len());
-    assert!(shed.iter().all(|(hopeless, _)| hopeless.retry > Duration::ZERO));
+    assert!(shed.iter().all(|(infeasible, _)| infeasible.retry > Duration::ZERO));
 }
 
 #[test]
--- a/components/home/src/queue.rs
+++ b/components/home/src/queue.rs
@@ -8,7 +8,7 @@
 
 use bergamottrack_coordination::{
     AccountId, Clock,
-    fair::{FairQueue, Hopeless, Ticket},
+    fair::{FairQueue, Infeasible, Ticket},
 };
 use tokio::sync::oneshot;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NoSlot {
     /// It cannot be done before its deadline.
-    Hopeless(Hopeless),
+    Infeasible(Infeasible),
     /// The server was lost: another may serve it.
     Lost,
 }
@@ -57,7 +57,7 @@
     pub async fn acquire(self: &Rc<Self>, ticket: &Ticket) -> Result<Slot, NoSlot> {
         let (tx, rx) = oneshot::channel();
         let pushed = self.queue.borrow_mut().push(ticket, self.clock.now(), tx);
-        pushed.map_err(|(hopeless, _)| NoSlot::Hopeless(hopeless))?;
+        pushed.map_err(|(infeasible, _)| NoSlot::Infeasible(infeasible))?;
         self.grant();
         let granted = monoio::time::timeout_at(ticket.deadline.into(), rx).await;
         let mut slot = match granted {
@@ -65,7 +65,7 @@
             Ok(Err(_)) => return Err(NoSlot::Lost),
             Err(_) => {
                 let retry = self.queue.borrow().wait(ticket);
-                return Err(NoSlot::Hopeless(Hopeless { retry }));
+                return Err(NoSlot::Infeasible(Infeasible { retry }));
             }
         };
         slot.since = self.clock.now();
@@ -100,7 +100,7 @@
         loop {
             let Some(granted) = self.queue.borrow_mut().pop() else { return };
             if granted.item.is_closed() {
-                self.queue.borrow_mut().take_back(&granted.account, granted.cost);
+                self.queue.borrow_mut().release_unused(&granted.account, granted.cost);
                 continue;
             }
             let slot = Slot {
@@ -121,9 +121,9 @@
             return;
         }
         self.last_shed.set(now);
-        let hopeless = self.queue.borrow_mut().shed(now);
-        for (hopeless, tx) in hopeless {
-            let _ = tx.send(Err(NoSlot::Hopeless(hopeless)));
+        let infeasible = self.queue.borrow_mut().shed(now);
+        for (infeasible, tx) in infeasible {
+            let _ = tx.send(Err(NoSlot::Infeasible(infeasible)));
         }
     }
 }
@@ -136,7 +136,7 @@
                 let took = self.slots.clock.now().saturating_duration_since(self.since);
                 queue.release(&self.account, self.cost, took);
             } else {
-                queue.take_back(&self.account, self.cost);
+                queue.release_unused(&self.account, self.cost);
             }
         }
         self.slots.shed();
--- a/components/home/src/serve.rs
+++ b/components/home/src/serve.rs
@@ -175,8 +175,8 @@
         let slot = match slot {
             Ok(slot) => slot,
             Err(NoSlot::Lost) => continue,
-            Err(NoSlot::Hopeless(hopeless)) => {
-                return Err(overloaded(home, ticket, hopeless.retry));
+            Err(NoSlot::Infeasible(infeasible)) => {
+                return Err(overloaded(home, ticket, infeasible.retry));
             }
         };
         // It may have waited: what it needs of a stated age has moved on.
