--- a/components/coordination/src/gate.rs
+++ b/components/coordination/src/gate.rs
@@ -16,73 +16,73 @@
 };
 
 /// The first guess of an answer's time: a read's usual work.
-const FIRST_GUESS: f64 = 0.035;
+const INITIAL_MEAN: f64 = 0.035;
 
 /// How much a new answer moves the mean, as one part of so many.
-const MEAN_OVER: f64 = 12.0;
+const MEAN_SAMPLES: f64 = 12.0;
 
 /// How much a mean above the base moves the base: it follows servers that have
 /// become slower for good, not queues.
-const BASE_OVER: f64 = 4000.0;
+const BASELINE_SAMPLES: f64 = 4000.0;
 
 /// Answers may take so many times the base before less is kept under way. Work is
 /// unequal, so a mean of a dozen answers wanders by half; a queue as long as the
 /// slots doubles it.
-const LONG: f64 = 2.2;
+const CONGESTION_RATIO: f64 = 2.2;
 
 /// The factor while answers take long, once for each round of answers.
-const SHRINK: f64 = 0.8;
+const SHRINK_FACTOR: f64 = 0.8;
 
 /// Statements under way at first. More grow within a second, if they are needed.
-const FIRST_LIMIT: f64 = 6.0;
+const INITIAL_LIMIT: f64 = 6.0;
 
 /// Statements under way at the least. Several hosts with one each fill the slots.
-const LEAST: f64 = 1.0;
+const MIN_LIMIT: f64 = 1.0;
 
 /// What waits: the urgent first, then what has the least time left, then in the order
 /// of coming.
-pub type Place = (u32, Instant, u64);
+pub type QueueKey = (u32, Instant, u64);
 
 /// A host's gate to one server.
 #[derive(Clone, Debug)]
 pub struct Gate {
     limit: f64,
-    least: f64,
-    most: f64,
+    min_limit: f64,
+    max_limit: f64,
     running: usize,
     mean: f64,
-    base: f64,
-    waiting: BTreeSet<Place>,
+    baseline: f64,
+    waiting: BTreeSet<QueueKey>,
     next: u64,
     /// Answers until the limit may shrink again: those under way when it shrank
     /// still show the longer queue.
-    settle: f64,
+    cooldown: f64,
 }
 
 /// How a statement is received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Entry {
+pub enum Admission {
     /// It may be sent now; it counts as under way.
-    Go,
+    Admitted,
     /// It waits in this place.
-    Wait(Place),
+    Queued(QueueKey),
     /// It would wait too long; come back after this time.
     Refused(Duration),
 }
 
 impl Gate {
-    /// A gate that keeps `most` statements under way at most.
-    pub fn new(most: usize) -> Self {
+    /// A gate that keeps `max_limit` statements under way at most.
+    pub fn new(max_limit: usize) -> Self {
         Self {
-            limit: FIRST_LIMIT.min(most.max(1) as f64),
-            least: LEAST,
-            most: most.max(1) as f64,
+            limit: INITIAL_LIMIT.min(max_limit.max(1) as f64),
+            min_limit: MIN_LIMIT,
+            max_limit: max_limit.max(1) as f64,
             running: 0,
-            mean: FIRST_GUESS,
-            base: FIRST_GUESS,
+            mean: INITIAL_MEAN,
+            baseline: INITIAL_MEAN,
             waiting: BTreeSet::new(),
             next: 0,
-            settle: 0.0,
+            cooldown: 0.0,
         }
     }
 
@@ -90,10 +90,10 @@
     ///
     /// A host that alone sends to a server keeps its slots filled at the least, however
     /// long answers take: fewer would leave slots idle while callers are refused.
-    pub fn set_bounds(&mut self, least: usize, most: usize) {
-        self.most = most.max(1) as f64;
-        self.least = (least as f64).clamp(LEAST, self.most);
-        self.limit = self.limit.clamp(self.least, self.most);
+    pub fn set_bounds(&mut self, min_limit: usize, max_limit: usize) {
+        self.max_limit = max_limit.max(1) as f64;
+        self.min_limit = (min_limit as f64).clamp(MIN_LIMIT, self.max_limit);
+        self.limit = self.limit.clamp(self.min_limit, self.max_limit);
     }
 
     /// Statements under way.
@@ -108,33 +108,33 @@
 
     /// How many may be under way now.
     pub fn limit(&self) -> usize {
-        self.limit.max(self.least) as usize
+        self.limit.max(self.min_limit) as usize
     }
 
     /// How long the next one of that priority would wait that may wait until then.
-    pub fn wait(&self, priority: u32, until: Instant) -> Duration {
+    pub fn wait(&self, priority: u32, deadline: Instant) -> Duration {
         if self.running < self.limit() && self.waiting.is_empty() {
             return Duration::ZERO;
         }
-        let ahead = self.waiting.range(..=(priority, until, u64::MAX)).count() + 1;
-        Duration::from_secs_f64(ahead as f64 * self.mean / self.limit.max(self.least))
+        let ahead = self.waiting.range(..=(priority, deadline, u64::MAX)).count() + 1;
+        Duration::from_secs_f64(ahead as f64 * self.mean / self.limit.max(self.min_limit))
     }
 
-    /// Receives a statement that may wait for `patience`; 0 is the most urgent priority.
-    pub fn enter(&mut self, priority: u32, patience: Duration, now: Instant) -> Entry {
-        let until = now + patience;
-        let wait = self.wait(priority, until);
+    /// Receives a statement that may wait for `queue_timeout`; 0 is the most urgent priority.
+    pub fn enter(&mut self, priority: u32, queue_timeout: Duration, now: Instant) -> Admission {
+        let deadline = now + queue_timeout;
+        let wait = self.wait(priority, deadline);
         if wait.is_zero() {
             self.running += 1;
-            return Entry::Go;
+            return Admission::Admitted;
         }
-        if wait > patience {
-            return Entry::Refused(wait);
+        if wait > queue_timeout {
+            return Admission::Refused(wait);
         }
-        let place = (priority, until, self.next);
+        let key = (priority, deadline, self.next);
         self.next += 1;
-        self.waiting.insert(place);
-        Entry::Wait(place)
+        self.waiting.insert(key);
+        Admission::Queued(key)
     }
 
     /// A statement of an open transaction goes on: it holds a connection, and
@@ -144,39 +144,39 @@
     }
 
     /// Gives up a place.
-    pub fn leave(&mut self, place: Place) {
-        self.waiting.remove(&place);
+    pub fn leave(&mut self, key: QueueKey) {
+        self.waiting.remove(&key);
     }
 
     /// A statement is under way no more; `took` if it was answered.
     pub fn end(&mut self, took: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         let Some(took) = took else { return };
-        self.mean += (took.as_secs_f64() - self.mean) / MEAN_OVER;
-        if self.mean < self.base {
-            self.base = self.mean;
+        self.mean += (took.as_secs_f64() - self.mean) / MEAN_SAMPLES;
+        if self.mean < self.baseline {
+            self.baseline = self.mean;
         } else {
-            self.base += (self.mean - self.base) / BASE_OVER;
+            self.baseline += (self.mean - self.baseline) / BASELINE_SAMPLES;
         }
-        self.settle -= 1.0;
-        if self.mean > LONG * self.base {
-            if self.settle <= 0.0 {
-                self.limit = (self.limit * SHRINK).max(self.least);
-                self.settle = self.limit + MEAN_OVER / 2.0;
+        self.cooldown -= 1.0;
+        if self.mean > CONGESTION_RATIO * self.baseline {
+            if self.cooldown <= 0.0 {
+                self.limit = (self.limit * SHRINK_FACTOR).max(self.min_limit);
+                self.cooldown = self.limit + MEAN_SAMPLES / 2.0;
             }
         } else {
-            self.limit = (self.limit + 1.0 / self.limit).min(self.most);
+            self.limit = (self.limit + 1.0 / self.limit).min(self.max_limit);
         }
     }
 
     /// The next that may be sent, if there is room; it counts as under way.
-    pub fn next(&mut self, now: Instant) -> Option<Place> {
-        self.waiting.retain(|(_, until, _)| *until > now);
+    pub fn next(&mut self, now: Instant) -> Option<QueueKey> {
+        self.waiting.retain(|(_, deadline, _)| *deadline > now);
         if self.running >= self.limit() {
             return None;
         }
-        let place = self.waiting.pop_first()?;
+        let key = self.waiting.pop_first()?;
         self.running += 1;
-        Some(place)
+        Some(key)
     }
 }
--- a/components/coordination/tests/congestion.rs
+++ b/components/coordination/tests/congestion.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     congestion,
-    gate::{Entry, Gate, Place},
+    gate::{Admission, Gate, QueueKey},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -28,7 +28,7 @@
     gate.set_bounds(SLOTS, SLOTS);
     let mut memory = vec![congestion::Memory::default(); hosts];
     let mut running: Vec<(Instant, usize)> = Vec::new();
-    let mut waiting: Vec<(Place, usize)> = Vec::new();
+    let mut waiting: Vec<(QueueKey, usize)> = Vec::new();
     let (start, mut seen) = (Instant::now(), Seen::default());
     for tick in 0..5000 {
         let now = start + tick * MS;
@@ -51,9 +51,9 @@
             }
             seen.asked += 1;
             match gate.enter(1, PATIENCE, now) {
-                Entry::Go => running.push((now + WORK_MS as u32 * MS, host)),
-                Entry::Wait(place) => waiting.push((place, host)),
-                Entry::Refused(wait) => {
+                Admission::Admitted => running.push((now + WORK_MS as u32 * MS, host)),
+                Admission::Queued(place) => waiting.push((place, host)),
+                Admission::Refused(wait) => {
                     memory[host].refused(1, PATIENCE, wait, now);
                     seen.refused += 1;
                 }
--- a/components/coordination/tests/gate.rs
+++ b/components/coordination/tests/gate.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use bergamottrack_coordination::gate::{Entry, Gate, Place};
+use bergamottrack_coordination::gate::{Admission, Gate, QueueKey};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
 const SLOTS: usize = 5;
@@ -33,7 +33,7 @@
 fn run(asks: &[f64], most: usize) -> Seen {
     let mut random = StdRng::seed_from_u64(7);
     let mut gates: Vec<Gate> = asks.iter().map(|_| Gate::new(most)).collect();
-    let mut waiting: Vec<Vec<(Place, Statement)>> = vec![Vec::new(); asks.len()];
+    let mut waiting: Vec<Vec<(QueueKey, Statement)>> = vec![Vec::new(); asks.len()];
     let mut queue: VecDeque<Statement> = VecDeque::new();
     let mut slots: Vec<(Instant, Statement)> = Vec::new();
     let mut seen = Seen::default();
@@ -48,9 +48,9 @@
                 let statement = Statement { host, came: now, sent: now, urgent };
                 let (priority, patience) = if urgent { (1, 100) } else { (2, 200) };
                 match gates[host].enter(priority, Duration::from_millis(patience), now) {
-                    Entry::Go => queue.push_back(statement),
-                    Entry::Wait(place) => waiting[host].push((place, statement)),
-                    Entry::Refused(_) => seen.refused += usize::from(warm),
+                    Admission::Admitted => queue.push_back(statement),
+                    Admission::Queued(place) => waiting[host].push((place, statement)),
+                    Admission::Refused(_) => seen.refused += usize::from(warm),
                 }
             }
         }
@@ -117,15 +117,15 @@
     let mut gate = Gate::new(4);
     let (now, ms) = (Instant::now(), Duration::from_millis(1));
     for _ in 0..4 {
-        assert_eq!(gate.enter(2, 100 * ms, now), Entry::Go);
+        assert_eq!(gate.enter(2, 100 * ms, now), Admission::Admitted);
     }
     let mut patient = Vec::new();
     for _ in 0..12 {
-        let Entry::Wait(place) = gate.enter(2, 250 * ms, now) else { panic!("not to wait") };
+        let Admission::Queued(place) = gate.enter(2, 250 * ms, now) else { panic!("not to wait") };
         patient.push(place);
     }
-    let Entry::Wait(hurried) = gate.enter(2, 100 * ms, now + ms) else { panic!("refused") };
-    let Entry::Wait(urgent) = gate.enter(1, 400 * ms, now + ms) else { panic!("refused") };
+    let Admission::Queued(hurried) = gate.enter(2, 100 * ms, now + ms) else { panic!("refused") };
+    let Admission::Queued(urgent) = gate.enter(1, 400 * ms, now + ms) else { panic!("refused") };
     let mut order = Vec::new();
     for _ in 0..4 {
         gate.end(Some(35 * ms));
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -12,7 +12,7 @@
     choice::Health,
     cold, congestion,
     connections::{self, Bounds, Role, Usage},
-    gate::{Entry, Gate, Place},
+    gate::{Admission, Gate, QueueKey},
     idle, silence,
 };
 use bergamottrack_model::{Failure, Listed};
@@ -63,7 +63,7 @@
     /// How many statements are under way, and who waits.
     gate: RefCell<Gate>,
     /// Whom to tell that they may go on, by their places at the gate.
-    waiting: RefCell<HashMap<Place, oneshot::Sender<()>>>,
+    waiting: RefCell<HashMap<QueueKey, oneshot::Sender<()>>>,
     /// Connections that nobody uses and since when.
     idle: RefCell<idle::Connections<(Backend, Instant)>>,
     /// Connections open or being opened, idle ones included; at most the cap of `bounds`.
@@ -192,9 +192,9 @@
         self.take_cold(now)?;
         let entry = self.gate.borrow_mut().enter(priority, patience, now);
         let place = match entry {
-            Entry::Go => return Ok(Permit { pool: self.clone(), took: Cell::default() }),
-            Entry::Refused(wait) => return Err(wait),
-            Entry::Wait(place) => place,
+            Admission::Admitted => return Ok(Permit { pool: self.clone(), took: Cell::default() }),
+            Admission::Refused(wait) => return Err(wait),
+            Admission::Queued(place) => place,
         };
         let (go, going) = oneshot::channel();
         self.waiting.borrow_mut().insert(place, go);
