--- a/components/coordination/src/congestion.rs
+++ b/components/coordination/src/congestion.rs
@@ -14,39 +14,46 @@
 
 /// The least and the most time for which statements are refused after one refusal. The most
 /// keeps a queue of usual length from running empty while all hosts wait.
-const REFUSED_FOR: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(1280));
+const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(1280));
 
 /// How often the time is doubled at most.
-const MOST_DOUBLINGS: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 
 /// A queue that refused a statement.
 #[derive(Clone, Copy, Debug)]
-struct Full {
+struct FullQueue {
     until: Instant,
     /// How long the refused statement could have waited.
-    patience: Duration,
+    queue_timeout: Duration,
     /// Refusals less statements served.
     streak: u32,
 }
 
 /// What a host knows of the queue for one server, by the priority of statements.
 #[derive(Clone, Debug, Default)]
-pub struct Memory {
-    full: BTreeMap<u32, Full>,
+pub struct Backoff {
+    full: BTreeMap<u32, FullQueue>,
 }
 
-impl Memory {
-    /// A statement that could wait for `patience` was refused: it would have waited for `wait`.
-    pub fn refused(&mut self, priority: u32, patience: Duration, wait: Duration, now: Instant) {
-        let known = self.full.get(&priority);
-        let streak = known.map_or(0, |known| known.streak);
-        let (least, most) = REFUSED_FOR;
-        let excess = wait.saturating_sub(patience).max(least);
-        let lasts = excess.saturating_mul(1 << streak.min(MOST_DOUBLINGS)).min(most);
+impl Backoff {
+    /// A statement that could wait for `queue_timeout` was refused: it would have waited for `wait`.
+    pub fn refused(
+        &mut self,
+        priority: u32,
+        queue_timeout: Duration,
+        wait: Duration,
+        now: Instant,
+    ) {
+        let previous = self.full.get(&priority);
+        let streak = previous.map_or(0, |previous| previous.streak);
+        let (min, max) = BACKOFF_RANGE;
+        let excess = wait.saturating_sub(queue_timeout).max(min);
+        let delay = excess.saturating_mul(1 << streak.min(MAX_DOUBLINGS)).min(max);
         // One that could wait longer says more.
-        let known = known.filter(|known| now < known.until && known.patience > patience);
-        let patience = known.map_or(patience, |known| known.patience);
-        let full = Full { until: now + lasts, patience, streak: streak + 1 };
+        let previous = previous
+            .filter(|previous| now < previous.until && previous.queue_timeout > queue_timeout);
+        let queue_timeout = previous.map_or(queue_timeout, |previous| previous.queue_timeout);
+        let full = FullQueue { until: now + delay, queue_timeout, streak: streak + 1 };
         self.full.insert(priority, full);
     }
 
@@ -60,8 +67,13 @@
     }
 
     /// How long a statement would be refused; none if it may be sent.
-    pub fn lasts(&self, priority: u32, patience: Duration, now: Instant) -> Option<Duration> {
-        let covers = |full: &&Full| now < full.until && patience <= full.patience;
+    pub fn remaining(
+        &self,
+        priority: u32,
+        queue_timeout: Duration,
+        now: Instant,
+    ) -> Option<Duration> {
+        let covers = |full: &&FullQueue| now < full.until && queue_timeout <= full.queue_timeout;
         let full = self.full.range(..=priority).map(|(_, full)| full).filter(covers);
         full.map(|full| full.until - now).max()
     }
--- a/components/coordination/src/connections.rs
+++ b/components/coordination/src/connections.rs
@@ -13,22 +13,22 @@
 
 /// The part of a server's connections that its holder leaves to others, as one part of so
 /// many.
-const HEADROOM: usize = 10;
+const HEADROOM_DIVISOR: usize = 10;
 
 /// Connections that a holder leaves for questions to the server, which open their own.
-const QUESTIONS: usize = 3;
+const PROBE_CONNECTIONS: usize = 3;
 
 /// Connections that a host may open however many hosts there are: enough for the
 /// transactions and statements that are received together at one host.
-const LEAST_CAP: usize = 4;
+const MIN_CAP: usize = 4;
 
 /// How long a connection beyond those that are kept stays open unused: longer than a usual
 /// pause between two statements of an account.
-const UNUSED_FOR: Duration = Duration::from_millis(800);
+const IDLE_TTL: Duration = Duration::from_millis(800);
 
 /// The same for a host without a share of its own: most of the server's connections are
 /// then in use by idle transactions.
-const SCARCE_FOR: Duration = Duration::from_millis(100);
+const SCARCE_IDLE_TTL: Duration = Duration::from_millis(100);
 
 /// What a host is to a server's connections.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -53,30 +53,31 @@
     /// `kept`.
     pub ahead: usize,
     /// How long one beyond `kept` stays open unused.
-    pub unused_for: Duration,
+    pub idle_ttl: Duration,
 }
 
-/// Bounds for a server that takes `most` connections and runs `slots` statements at once.
-pub fn bounds(most: usize, slots: usize, hosts: usize, role: Role) -> Bounds {
-    let share = most / hosts.max(1);
-    let least = LEAST_CAP.min(most).max(1);
-    let headroom = (most / HEADROOM).max(2 * (slots + 1)).min(most / 2);
+/// Bounds for a server that takes `max_connections` connections and runs `slots` statements at once.
+pub fn bounds(max_connections: usize, slots: usize, hosts: usize, role: Role) -> Bounds {
+    let share = max_connections / hosts.max(1);
+    let min_cap = MIN_CAP.min(max_connections).max(1);
+    let headroom =
+        (max_connections / HEADROOM_DIVISOR).max(2 * (slots + 1)).min(max_connections / 2);
     match role {
         Role::Holder => {
-            let cap = most.saturating_sub(QUESTIONS.min(headroom)).max(1);
-            let kept = (most - headroom).min(cap);
+            let cap = max_connections.saturating_sub(PROBE_CONNECTIONS.min(headroom)).max(1);
+            let kept = (max_connections - headroom).min(cap);
             // Not one for each account: a fleet may have more groups than its callers use.
             let ahead = (slots + 1).min(kept);
-            Bounds { cap, kept, ahead, unused_for: UNUSED_FOR }
+            Bounds { cap, kept, ahead, idle_ttl: IDLE_TTL }
         }
         Role::Standby => {
-            let cap = headroom.max(least);
-            Bounds { cap, kept: (share / 2).min(cap), ahead: 0, unused_for: UNUSED_FOR }
+            let cap = headroom.max(min_cap);
+            Bounds { cap, kept: (share / 2).min(cap), ahead: 0, idle_ttl: IDLE_TTL }
         }
         Role::Other => {
             let kept = share / 2;
-            let unused_for = if kept == 0 { SCARCE_FOR } else { UNUSED_FOR };
-            Bounds { cap: share.max(least), kept, ahead: 0, unused_for }
+            let idle_ttl = if kept == 0 { SCARCE_IDLE_TTL } else { IDLE_TTL };
+            Bounds { cap: share.max(min_cap), kept, ahead: 0, idle_ttl }
         }
     }
 }
--- a/components/coordination/src/idle.rs
+++ b/components/coordination/src/idle.rs
@@ -12,71 +12,71 @@
 #[derive(Debug)]
 pub struct Connections<T> {
     /// By the order in which they were put, the one used last at the end.
-    all: BTreeMap<u64, (ids::AccountId, T)>,
-    /// The keys in `all` of each account's connections; no account has none.
-    owned: HashMap<ids::AccountId, BTreeSet<u64>>,
-    next: u64,
+    by_use: BTreeMap<u64, (ids::AccountId, T)>,
+    /// The keys in `by_use` of each account's connections; no account has none.
+    by_account: HashMap<ids::AccountId, BTreeSet<u64>>,
+    next_key: u64,
 }
 
 impl<T> Default for Connections<T> {
     fn default() -> Self {
-        Self { all: BTreeMap::new(), owned: HashMap::new(), next: 0 }
+        Self { by_use: BTreeMap::new(), by_account: HashMap::new(), next_key: 0 }
     }
 }
 
 impl<T> Connections<T> {
     /// Puts a connection that was just used.
     pub fn push(&mut self, account: ids::AccountId, connection: T) {
-        self.owned.entry(account.clone()).or_default().insert(self.next);
-        self.all.insert(self.next, (account, connection));
-        self.next += 1;
+        self.by_account.entry(account.clone()).or_default().insert(self.next_key);
+        self.by_use.insert(self.next_key, (account, connection));
+        self.next_key += 1;
     }
 
     /// How many there are.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.by_use.len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.by_use.is_empty()
     }
 
     /// Whether the account has one.
     pub fn has(&self, account: &ids::AccountId) -> bool {
-        self.owned.contains_key(account)
+        self.by_account.contains_key(account)
     }
 
     /// Takes the account's connection with the least `cost`, among equals the one used last.
     pub fn take(&mut self, account: &ids::AccountId, cost: impl Fn(&T) -> usize) -> Option<T> {
-        let owned = self.owned.get(account)?.iter().rev();
-        let key = *owned.min_by_key(|key| self.all.get(*key).map(|(_, of)| cost(of)))?;
+        let keys = self.by_account.get(account)?.iter().rev();
+        let key = *keys.min_by_key(|key| self.by_use.get(*key).map(|(_, entry)| cost(entry)))?;
         self.remove(key)
     }
 
     /// Takes the connection used last.
     pub fn pop_newest(&mut self) -> Option<T> {
-        let (key, _) = self.all.last_key_value()?;
+        let (key, _) = self.by_use.last_key_value()?;
         self.remove(*key)
     }
 
     /// The connection that has not been used for longest.
     pub fn oldest(&self) -> Option<&T> {
-        self.all.first_key_value().map(|(_, (_, connection))| connection)
+        self.by_use.first_key_value().map(|(_, (_, connection))| connection)
     }
 
     /// Takes the connection that has not been used for longest.
     pub fn pop_oldest(&mut self) -> Option<T> {
-        let (key, _) = self.all.first_key_value()?;
+        let (key, _) = self.by_use.first_key_value()?;
         self.remove(*key)
     }
 
     fn remove(&mut self, key: u64) -> Option<T> {
-        let (account, connection) = self.all.remove(&key)?;
-        if let Some(owned) = self.owned.get_mut(&account) {
-            owned.remove(&key);
-            if owned.is_empty() {
-                self.owned.remove(&account);
+        let (account, connection) = self.by_use.remove(&key)?;
+        if let Some(keys) = self.by_account.get_mut(&account) {
+            keys.remove(&key);
+            if keys.is_empty() {
+                self.by_account.remove(&account);
             }
         }
         Some(connection)
--- a/components/coordination/src/lenders.rs
+++ b/components/coordination/src/lenders.rs
@@ -9,35 +9,35 @@
 
 /// How long a host's word on its tokens is believed: longer than that its own
 /// demand may have ended.
-const BELIEVED: Duration = Duration::from_millis(50);
+const SPARE_TTL: Duration = Duration::from_millis(50);
 
 /// How long a host that did not answer is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What was last heard of a lender.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Contact {
     /// Tokens that it could still lend.
     spare: f64,
-    at: Instant,
+    received: Instant,
     answered: bool,
 }
 
 /// What is known of the hosts that may lend.
 #[derive(Debug, Default)]
 pub struct Lenders {
-    heard: HashMap<HostId, Heard>,
+    contacts: HashMap<HostId, Contact>,
 }
 
 impl Lenders {
     /// Notes that a host answered, and what it could still lend.
     pub fn answered(&mut self, host: &HostId, spare: f64, now: Instant) {
-        self.heard.insert(host.clone(), Heard { spare, at: now, answered: true });
+        self.contacts.insert(host.clone(), Contact { spare, received: now, answered: true });
     }
 
     /// Notes that a host did not answer.
     pub fn failed(&mut self, host: &HostId, now: Instant) {
-        self.heard.insert(host.clone(), Heard { spare: 0.0, at: now, answered: false });
+        self.contacts.insert(host.clone(), Contact { spare: 0.0, received: now, answered: false });
     }
 
     /// The fewest hosts that may have `want` tokens together, the richest
@@ -67,11 +67,11 @@
     }
 
     fn guess(&self, host: &HostId, share: Share, now: Instant) -> f64 {
-        let Some(heard) = self.heard.get(host) else { return share.burst.0 };
-        let since = now.saturating_duration_since(heard.at);
-        match heard.answered {
-            false if since < PASSED_OVER => 0.0,
-            true if since < BELIEVED => heard.spare + share.rate.0 * since.as_secs_f64(),
+        let Some(contact) = self.contacts.get(host) else { return share.burst.0 };
+        let since = now.saturating_duration_since(contact.received);
+        match contact.answered {
+            false if since < RETRY_DELAY => 0.0,
+            true if since < SPARE_TTL => contact.spare + share.rate.0 * since.as_secs_f64(),
             _ => share.burst.0,
         }
     }
--- a/components/coordination/tests/congestion.rs
+++ b/components/coordination/tests/congestion.rs
@@ -26,7 +26,7 @@
     let mut random = StdRng::seed_from_u64(3);
     let mut gate = Gate::new(SLOTS);
     gate.set_bounds(SLOTS, SLOTS);
-    let mut memory = vec![congestion::Memory::default(); hosts];
+    let mut memory = vec![congestion::Backoff::default(); hosts];
     let mut running: Vec<(Instant, usize)> = Vec::new();
     let mut waiting: Vec<(QueueKey, usize)> = Vec::new();
     let (start, mut seen) = (Instant::now(), Seen::default());
@@ -45,7 +45,7 @@
             running.push((now + WORK_MS as u32 * MS, host));
         }
         for host in (0..hosts).filter(|_| random.random_bool(each / 1000.0)).collect::<Vec<_>>() {
-            if memory[host].lasts(1, PATIENCE, now).is_some() {
+            if memory[host].remaining(1, PATIENCE, now).is_some() {
                 seen.refused += 1;
                 continue;
             }
@@ -89,16 +89,16 @@
 #[test]
 fn a_refusal_speaks_for_no_more_than_its_kind() {
     let now = Instant::now();
-    let mut memory = congestion::Memory::default();
+    let mut memory = congestion::Backoff::default();
     memory.refused(2, PATIENCE, PATIENCE + 50 * MS, now);
-    assert_eq!(memory.lasts(2, PATIENCE, now), Some(50 * MS));
-    assert_eq!(memory.lasts(2, PATIENCE - MS, now), Some(50 * MS));
-    assert!(memory.lasts(3, PATIENCE, now).is_some(), "what is less urgent waits longer");
-    assert_eq!(memory.lasts(1, PATIENCE, now), None);
-    assert_eq!(memory.lasts(2, PATIENCE + MS, now), None);
-    assert_eq!(memory.lasts(2, PATIENCE, now + 50 * MS), None);
+    assert_eq!(memory.remaining(2, PATIENCE, now), Some(50 * MS));
+    assert_eq!(memory.remaining(2, PATIENCE - MS, now), Some(50 * MS));
+    assert!(memory.remaining(3, PATIENCE, now).is_some(), "what is less urgent waits longer");
+    assert_eq!(memory.remaining(1, PATIENCE, now), None);
+    assert_eq!(memory.remaining(2, PATIENCE + MS, now), None);
+    assert_eq!(memory.remaining(2, PATIENCE, now + 50 * MS), None);
     memory.served(1, now);
-    assert!(memory.lasts(2, PATIENCE, now).is_some());
+    assert!(memory.remaining(2, PATIENCE, now).is_some());
     memory.served(2, now);
-    assert_eq!(memory.lasts(2, PATIENCE, now), None);
+    assert_eq!(memory.remaining(2, PATIENCE, now), None);
 }
--- a/components/coordination/tests/connections.rs
+++ b/components/coordination/tests/connections.rs
@@ -43,7 +43,7 @@
         while trimmed < now {
             trimmed += TRIM_EVERY;
             let unused =
-                |(_, since): &(usize, Duration)| trimmed.saturating_sub(*since) > bounds.unused_for;
+                |(_, since): &(usize, Duration)| trimmed.saturating_sub(*since) > bounds.idle_ttl;
             while idle.len() + busy.len() > bounds.kept && idle.first().is_some_and(unused) {
                 idle.remove(0);
             }
--- a/components/coordination/tests/pace.rs
+++ b/components/coordination/tests/pace.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use bergamottrack_coordination::pace::{MIN_PACE, time_for};
+use bergamottrack_coordination::pace::{MIN_THROUGHPUT, transfer_time};
 
 #[test]
 fn time_grows_with_the_bytes_that_were_taken() {
-    assert_eq!(time_for(0), Duration::ZERO);
-    assert_eq!(time_for(MIN_PACE * 3), Duration::from_secs(3));
-    assert_eq!(time_for(MIN_PACE / 2), Duration::from_millis(500));
-    assert!(time_for(u64::MAX) > Duration::from_secs(3600));
+    assert_eq!(transfer_time(0), Duration::ZERO);
+    assert_eq!(transfer_time(MIN_THROUGHPUT * 3), Duration::from_secs(3));
+    assert_eq!(transfer_time(MIN_THROUGHPUT / 2), Duration::from_millis(500));
+    assert!(transfer_time(u64::MAX) > Duration::from_secs(3600));
 }
--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -99,7 +99,7 @@
 
     /// When the request is given up; a large answer has the longer for being taken.
     fn until(&self) -> Instant {
-        self.deadline + pace::time_for(self.taken)
+        self.deadline + pace::transfer_time(self.taken)
     }
 
     async fn pass(&mut self, bytes: Bytes) -> anyhow::Result<()> {
--- a/components/home/src/turn.rs
+++ b/components/home/src/turn.rs
@@ -118,7 +118,7 @@
                     let message = format!("{} was lost or replaced", self.server.contract.id);
                     return Err(refusal(Reason::Lost, &message));
                 }
-                _ = monoio::time::sleep_until((self.deadline + pace::time_for(answer.taken)).into()) => {
+                _ = monoio::time::sleep_until((self.deadline + pace::transfer_time(answer.taken)).into()) => {
                     return Err(refusal(Reason::Deadline, "the deadline passed"));
                 }
             };
--- a/components/proxy/src/job.rs
+++ b/components/proxy/src/job.rs
@@ -131,7 +131,7 @@
         }
         places.retain(|place| {
             let congestion = place.pool.congestion.borrow();
-            congestion.lasts(job.priority, job.patience, host.now()).is_none()
+            congestion.remaining(job.priority, job.patience, host.now()).is_none()
         });
         if !places.is_empty() {
             return Ok(places);
--- a/components/proxy/src/place.rs
+++ b/components/proxy/src/place.rs
@@ -145,9 +145,9 @@
 /// How long all places would refuse a job; none if one may have room.
 pub fn congested(host: &Host, job: &Job, places: &[Place]) -> Option<Duration> {
     let now = host.now();
-    let lasts =
-        |place: &Place| place.pool.congestion.borrow().lasts(job.priority, job.patience, now);
-    let waits: Option<Vec<_>> = places.iter().map(lasts).collect();
+    let remaining =
+        |place: &Place| place.pool.congestion.borrow().remaining(job.priority, job.patience, now);
+    let waits: Option<Vec<_>> = places.iter().map(remaining).collect();
     waits?.into_iter().min()
 }
 
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -55,7 +55,7 @@
     /// What the server owes on connections of this host, other hosts' statements included.
     pub exchanges: RefCell<silence::Watch>,
     /// Whether the host that holds its connections has room for statements.
-    pub congestion: RefCell<congestion::Memory>,
+    pub congestion: RefCell<congestion::Backoff>,
     /// Whether it has just started, and what it was sent since.
     pub warmth: RefCell<cold::Warmth>,
     /// The limit while it is cold, and how far all hosts may exceed it.
@@ -351,10 +351,10 @@
 
     /// Closes connections beyond those that are kept and that were not used for a while.
     pub fn trim(&self) {
-        let Bounds { kept, unused_for, .. } = self.bounds.get();
+        let Bounds { kept, idle_ttl, .. } = self.bounds.get();
         let mut idle = self.idle.borrow_mut();
         while self.open.get() > kept
-            && idle.oldest().is_some_and(|(_, since)| since.elapsed() > unused_for)
+            && idle.oldest().is_some_and(|(_, since)| since.elapsed() > idle_ttl)
         {
             idle.pop_oldest();
             self.open.set(self.open.get() - 1);
