--- a/components/coordination/src/demand.rs
+++ b/components/coordination/src/demand.rs
@@ -35,30 +35,30 @@
 use crate::{
     AccountId, Burst, HostId, Rate,
     ledger::Ledger,
-    reports::{Hearing, LOST_AFTER, Party},
+    reports::{LOST_TIMEOUT, Liveness, Participant},
 };
 pub use crate::{
     ledger::Tolerance,
-    reports::{Asked, Figures},
+    reports::{AccountReport, Report},
 };
 
 /// The part of a weight that follows the demand.
-const BY_DEMAND: f64 = 0.75;
+const DEMAND_WEIGHT: f64 = 0.75;
 
 /// When a host that hears less than half of the hosts uses the least part only.
-pub const ALONE_AFTER: Duration = Duration::from_millis(2500);
+pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Demand that is not told, in requests a second: forgotten but for a trace.
-const LEAST_TOLD: f64 = 0.05;
+const MIN_REPORTED_RATE: f64 = 0.05;
 
 /// The part of the slack that hosts may admit beyond their weight of what is left, each
 /// an equal part of it. Callers come in clusters: with nine hosts and a small account a
 /// weight is less than the three or four requests that come together.
-const LENT: f64 = 0.25;
+const SLACK_FRACTION: f64 = 0.25;
 
 /// The longest time after which callers are told to come back: demand may have
 /// moved by then.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// What was decided about a request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
@@ -90,7 +90,7 @@
 fn share(mine: f64, all: f64, others: usize) -> f64 {
     let equal = 1.0 / (others + 1) as f64;
     let by_demand = if all > 0.0 { mine / all } else { equal };
-    BY_DEMAND * by_demand + (1.0 - BY_DEMAND) * equal
+    DEMAND_WEIGHT * by_demand + (1.0 - DEMAND_WEIGHT) * equal
 }
 
 /// The rates of all accounts at one host.
@@ -100,9 +100,9 @@
     run: u64,
     no: u64,
     /// The party that this host is of, and the other hosts of it.
-    own: (Option<HostId>, Party),
+    own: (Option<HostId>, Participant),
     /// The other parties.
-    parties: BTreeMap<HostId, Party>,
+    participants: BTreeMap<HostId, Participant>,
     ledgers: HashMap<AccountId, Ledger>,
 }
 
@@ -113,8 +113,8 @@
             tolerance,
             run,
             no: 0,
-            own: (None, Party::new(now)),
-            parties: BTreeMap::new(),
+            own: (None, Participant::new(now)),
+            participants: BTreeMap::new(),
             ledgers: HashMap::new(),
         }
     }
@@ -126,60 +126,68 @@
     /// the pace of an old one.
     pub fn create(&mut self, account: &AccountId, rate: Rate, burst: Burst, now: Instant) {
         if self.ledgers.contains_key(account) {
-            return self.know(account, rate, burst, now);
+            return self.set_contract(account, rate, burst, now);
         }
-        self.know(account, rate, burst, now);
-        let parties = self.parties.values().chain([&self.own.1]);
-        let admitted: u64 = parties.map(|party| party.admitted(account)).sum();
+        self.set_contract(account, rate, burst, now);
+        let participants = self.participants.values().chain([&self.own.1]);
+        let admitted: u64 = participants.map(|participant| participant.admitted(account)).sum();
         let side = self.part(account, now).side;
         if let Some(ledger) = self.ledgers.get_mut(account) {
             ledger.side = side;
-            ledger.level = ledger.most(&self.tolerance);
+            ledger.level = ledger.max_level(&self.tolerance);
             ledger.spend(admitted as f64);
         }
     }
 
     /// Sets the party that this host is of and the others.
-    pub fn set_parties(
+    pub fn set_participants(
         &mut self,
         own: &HostId,
         others: impl IntoIterator<Item = HostId>,
         now: Instant,
     ) {
         if self.own.0.as_ref() != Some(own) {
-            self.own = (Some(own.clone()), Party::new(now));
+            self.own = (Some(own.clone()), Participant::new(now));
         }
-        let mut old = std::mem::take(&mut self.parties);
+        let mut old = std::mem::take(&mut self.participants);
         let known = |id: HostId| {
-            let party = old.remove(&id).unwrap_or_else(|| Party::new(now));
-            (id, party)
+            let participant = old.remove(&id).unwrap_or_else(|| Participant::new(now));
+            (id, participant)
         };
-        self.parties = others.into_iter().map(known).collect();
+        self.participants = others.into_iter().map(known).collect();
     }
 
     /// Notes an account's contract. It begins without its burst: hosts that start anew
     /// would otherwise grant it again each time.
-    pub fn know(&mut self, account: &AccountId, rate: Rate, burst: Burst, now: Instant) {
+    pub fn set_contract(&mut self, account: &AccountId, rate: Rate, burst: Burst, now: Instant) {
         let start = Ledger::new(rate, burst, &self.tolerance, now);
         let ledger = self.ledgers.entry(account.clone()).or_insert(start);
         (ledger.rate, ledger.burst) = (rate, burst);
     }
 
     /// Takes a report of what the host `from` of a party admitted.
-    pub fn heard(&mut self, party: &HostId, from: &HostId, asked: &Asked, now: Instant) {
+    pub fn receive_report(
+        &mut self,
+        participant: &HostId,
+        from: &HostId,
+        report: &Report,
+        now: Instant,
+    ) {
         let new = self.is_new(now);
-        let own = self.own.0.as_ref() == Some(party);
-        let party = if own { Some(&mut self.own.1) } else { self.parties.get_mut(party) };
-        let Some(party) = party else { return };
+        let own = self.own.0.as_ref() == Some(participant);
+        let participant =
+            if own { Some(&mut self.own.1) } else { self.participants.get_mut(participant) };
+        let Some(participant) = participant else { return };
         // What a lost party admitted was within the part that was left to it.
-        let charged = own || (party.is_heard() && party.hearing(now) != Hearing::Lost);
-        let Some(admitted) = party.receive(from, asked, now) else { return };
-        for (said, admitted) in asked.figures.iter().zip(admitted) {
-            let part = self.part(&said.account, now);
-            let Some(ledger) = self.ledgers.get_mut(&said.account) else { continue };
+        let charged =
+            own || (participant.has_reported() && participant.liveness(now) != Liveness::Lost);
+        let Some(admitted) = participant.receive(from, report, now) else { return };
+        for (entry, admitted) in report.figures.iter().zip(admitted) {
+            let part = self.part(&entry.account, now);
+            let Some(ledger) = self.ledgers.get_mut(&entry.account) else { continue };
             ledger.fill(&self.tolerance, part.side, now);
-            if let Some(level) = said.level.filter(|_| new) {
-                ledger.level = f64::from(level).min(ledger.most(&self.tolerance));
+            if let Some(level) = entry.level.filter(|_| new) {
+                ledger.level = f64::from(level).min(ledger.max_level(&self.tolerance));
             } else if charged {
                 ledger.spend(admitted as f64);
             }
@@ -187,8 +195,8 @@
     }
 
     /// Notes that another host of this host's party admits nothing now.
-    pub fn idle(&mut self, host: &HostId) {
-        self.own.1.idle(host);
+    pub fn mark_idle(&mut self, host: &HostId) {
+        self.own.1.mark_idle(host);
     }
 
     /// Notes what this host admitted and is asked for, as it is reported to all others now.
@@ -199,88 +207,104 @@
             let part = self.part(&account, now);
             let Some(ledger) = self.ledgers.get_mut(&account) else { continue };
             ledger.fill(&self.tolerance, part.side, now);
-            ledger.spend((ledger.admitted - ledger.admitted_told) as f64);
-            ledger.admitted_told = ledger.admitted;
-            ledger.told = ledger.asked.decayed(now);
+            ledger.spend((ledger.admitted - ledger.admitted_reported) as f64);
+            ledger.admitted_reported = ledger.admitted;
+            ledger.reported = ledger.requests.decayed(now);
         }
     }
 
     /// The report of what was noted last.
-    pub fn report(&self, now: Instant) -> Asked {
+    pub fn report(&self, now: Instant) -> Report {
         let new = self.is_new(now);
-        let asked = self.ledgers.iter().filter(|(_, ledger)| ledger.told > LEAST_TOLD);
-        let figures = asked.map(|(account, ledger)| Figures {
+        let active = self.ledgers.iter().filter(|(_, ledger)| ledger.reported > MIN_REPORTED_RATE);
+        let figures = active.map(|(account, ledger)| AccountReport {
             account: account.clone(),
-            rate: ledger.told as f32,
-            admitted: ledger.admitted_told,
+            rate: ledger.reported as f32,
+            admitted: ledger.admitted_reported,
             level: (!new).then_some(ledger.level as f32),
         });
-        Asked { run: self.run, no: self.no, figures: figures.collect() }
+        Report { run: self.run, no: self.no, figures: figures.collect() }
     }
 
     /// Whether another party that may be there has not been heard since it is known here.
     fn is_new(&self, now: Instant) -> bool {
-        let unheard = |party: &Party| !party.is_heard() && party.hearing(now) != Hearing::Lost;
-        self.parties.values().any(unheard)
+        let pending = |participant: &Participant| {
+            !participant.has_reported() && participant.liveness(now) != Liveness::Lost
+        };
+        self.participants.values().any(pending)
     }
 
     /// The part of every rate that the hosts heard within that time share, this
     /// one included. Over all sides of a cut the sum is 1 at most.
-    fn pool(&self, within: Duration, now: Instant) -> f64 {
-        let hosts = (self.parties.len() + 1) as f64;
-        let silences = self.parties.values().map(|party| now.saturating_duration_since(party.at));
-        let heard = (silences.filter(|silence| *silence < within).count() + 1) as f64;
-        let least = (1.0 - BY_DEMAND) / hosts;
-        match (2.0 * heard).total_cmp(&hosts) {
-            Ordering::Greater => 1.0 - (hosts - heard) * least,
+    fn pool(&self, timeout: Duration, now: Instant) -> f64 {
+        let hosts = (self.participants.len() + 1) as f64;
+        let silences = self
+            .participants
+            .values()
+            .map(|participant| now.saturating_duration_since(participant.last_contact));
+        let reachable = (silences.filter(|silence| *silence < timeout).count() + 1) as f64;
+        let min_part = (1.0 - DEMAND_WEIGHT) / hosts;
+        match (2.0 * reachable).total_cmp(&hosts) {
+            Ordering::Greater => 1.0 - (hosts - reachable) * min_part,
             Ordering::Equal => 0.5,
-            Ordering::Less => heard * least,
+            Ordering::Less => reachable * min_part,
         }
     }
 
     /// This host's part of the account's rate.
     fn part(&self, account: &AccountId, now: Instant) -> Part {
         let ledger = self.ledgers.get(account);
-        let (mine, owed) = ledger.map_or((0.0, 0.0), |ledger| (ledger.told, ledger.rate.0));
-        let beside = self.own.1.rates(account, now);
-        let (others, ours) = beside.fold((0, mine), |(n, sum), rate| (n + 1, sum + rate));
-        let there = self.parties.values().filter(|party| party.hearing(now) != Hearing::Lost);
-        let count = (there.clone().count() + 1) as f64;
-        let all = ours + there.clone().map(|party| party.rate(account, now)).sum::<f64>();
-        let whole = all.max(owed).max(f64::MIN_POSITIVE);
-        let known = !self.is_new(now);
+        let (mine, contract_rate) =
+            ledger.map_or((0.0, 0.0), |ledger| (ledger.reported, ledger.rate.0));
+        let peers = self.own.1.rates(account, now);
+        let (others, ours) = peers.fold((0, mine), |(n, sum), rate| (n + 1, sum + rate));
+        let present = self
+            .participants
+            .values()
+            .filter(|participant| participant.liveness(now) != Liveness::Lost);
+        let count = (present.clone().count() + 1) as f64;
+        let all =
+            ours + present.clone().map(|participant| participant.rate(account, now)).sum::<f64>();
+        let total = all.max(contract_rate).max(f64::MIN_POSITIVE);
+        let initialized = !self.is_new(now);
         // What nobody asks for is spread equally.
-        let weight = |rate: f64| match known {
+        let weight = |rate: f64| match initialized {
             true => {
-                let by_demand = (rate + (whole - all) / count) / whole;
-                BY_DEMAND * by_demand + (1.0 - BY_DEMAND) / count
+                let by_demand = (rate + (total - all) / count) / total;
+                DEMAND_WEIGHT * by_demand + (1.0 - DEMAND_WEIGHT) / count
             }
             false => 1.0 / count,
         };
-        let quiet = there.filter(|party| party.hearing(now) == Hearing::Quiet);
-        let apart: f64 = quiet.map(|party| weight(party.rate(account, now))).sum();
-        let pool = self.pool(ALONE_AFTER, now).min(self.pool(LOST_AFTER, now));
-        let heard = (1.0 - apart).max(f64::MIN_POSITIVE);
+        let suspects = present.filter(|participant| participant.liveness(now) == Liveness::Suspect);
+        let reserved: f64 =
+            suspects.map(|participant| weight(participant.rate(account, now))).sum();
+        let pool = self.pool(ISOLATION_TIMEOUT, now).min(self.pool(LOST_TIMEOUT, now));
+        let unreserved = (1.0 - reserved).max(f64::MIN_POSITIVE);
         let share = share(mine, ours, others);
-        Part { side: pool.min(heard), weight: (weight(ours) / heard).min(1.0) * share, share }
+        Part {
+            side: pool.min(unreserved),
+            weight: (weight(ours) / unreserved).min(1.0) * share,
+            share,
+        }
     }
 
     /// Takes a token for a request of the account.
     pub fn take(&mut self, account: &AccountId, rate: Rate, burst: Burst, now: Instant) -> Ruling {
-        self.know(account, rate, burst, now);
+        self.set_contract(account, rate, burst, now);
         let part = self.part(account, now);
         let tolerance = self.tolerance;
         let ledger = self.ledgers.get_mut(account).expect("the account is known by now");
-        ledger.asked.add(now);
+        ledger.requests.add(now);
         ledger.fill(&tolerance, part.side, now);
-        let untold = (ledger.admitted - ledger.admitted_told) as f64;
-        let lent = part.share * LENT * tolerance.slack / (self.parties.len() + 1) as f64;
-        let left = part.weight * ledger.level + lent - untold;
-        let admitted = left >= 1.0;
+        let unreported = (ledger.admitted - ledger.admitted_reported) as f64;
+        let allowance =
+            part.share * SLACK_FRACTION * tolerance.slack / (self.participants.len() + 1) as f64;
+        let available = part.weight * ledger.level + allowance - unreported;
+        let admitted = available >= 1.0;
         ledger.admitted += u64::from(admitted);
-        let pace = part.weight * ledger.pace(&tolerance);
-        let retry = Duration::try_from_secs_f64((1.0 - left).max(0.0) / pace);
-        let retry = retry.unwrap_or(LONGEST_RETRY).min(LONGEST_RETRY);
+        let fill_rate = part.weight * ledger.fill_rate(&tolerance);
+        let retry = Duration::try_from_secs_f64((1.0 - available).max(0.0) / fill_rate);
+        let retry = retry.unwrap_or(MAX_RETRY_DELAY).min(MAX_RETRY_DELAY);
         let Part { side, weight, .. } = part;
         Ruling { admitted, part: side * weight, side, level: ledger.level, retry }
     }
--- a/components/coordination/src/ledger.rs
+++ b/components/coordination/src/ledger.rs
@@ -5,7 +5,7 @@
 use crate::{Burst, Rate};
 
 /// How long demand counts: the time in which most of an old figure is forgotten.
-pub const MEMORY: Duration = Duration::from_millis(2000);
+pub const DEMAND_DECAY: Duration = Duration::from_millis(2000);
 
 /// The part of the tolerance that hosts use on purpose. The rest is for what they
 /// cannot know: what a host admitted that died before it told, and clocks that differ.
@@ -13,7 +13,7 @@
 
 /// The part of the rest that a bucket begins with at the start of a host. Sums of 0.6 and
 /// of what hosts admit before they have told it stay below 1.
-const START: f64 = 0.6;
+const INITIAL_FRACTION: f64 = 0.6;
 
 /// How far a rate may be exceeded over the whole fleet.
 ///
@@ -33,8 +33,8 @@
 impl Tolerance {
     /// What a bucket begins with whose level is not known.
     pub fn start(&self, rate: Rate, burst: Burst) -> f64 {
-        let over = self.overage * (rate.0 * self.window.as_secs_f64() + burst.0);
-        START * (1.0 - TOLERANCE_USED) * (over + self.slack)
+        let overage_tokens = self.overage * (rate.0 * self.window.as_secs_f64() + burst.0);
+        INITIAL_FRACTION * (1.0 - TOLERANCE_USED) * (overage_tokens + self.slack)
     }
 }
 
@@ -42,20 +42,20 @@
 #[derive(Clone, Debug)]
 pub struct Meter {
     rate: f64,
-    at: Instant,
+    updated: Instant,
 }
 
 impl Meter {
     /// Requests a second.
     pub fn decayed(&self, now: Instant) -> f64 {
-        let passed = now.saturating_duration_since(self.at);
-        self.rate * (-passed.as_secs_f64() / MEMORY.as_secs_f64()).exp()
+        let elapsed = now.saturating_duration_since(self.updated);
+        self.rate * (-elapsed.as_secs_f64() / DEMAND_DECAY.as_secs_f64()).exp()
     }
 
     /// Notes a request.
     pub fn add(&mut self, now: Instant) {
-        self.rate = self.decayed(now) + 1.0 / MEMORY.as_secs_f64();
-        self.at = now;
+        self.rate = self.decayed(now) + 1.0 / DEMAND_DECAY.as_secs_f64();
+        self.updated = now;
     }
 }
 
@@ -67,18 +67,18 @@
     /// What it may save up, over all hosts.
     pub burst: Burst,
     /// What callers ask of this host.
-    pub asked: Meter,
+    pub requests: Meter,
     /// What the others were told of `asked`.
-    pub told: f64,
+    pub reported: f64,
     /// Requests admitted since the start.
     pub admitted: u64,
     /// How many of them the others were told of; never more than `admitted`.
-    pub admitted_told: u64,
+    pub admitted_reported: u64,
     /// What is left for this side of the fleet, by all that was told.
     pub level: f64,
     /// Up to when `level` is filled.
-    pub at: Instant,
-    /// The part of the rate that this side had at `at`.
+    pub updated: Instant,
+    /// The part of the rate that this side had at `updated`.
     pub side: f64,
 }
 
@@ -88,24 +88,24 @@
         Self {
             rate,
             burst,
-            asked: Meter { rate: 0.0, at: now },
-            told: 0.0,
+            requests: Meter { rate: 0.0, updated: now },
+            reported: 0.0,
             admitted: 0,
-            admitted_told: 0,
+            admitted_reported: 0,
             level: tolerance.start(rate, burst),
-            at: now,
+            updated: now,
             side: 1.0,
         }
     }
 
     /// Tokens a second that this side has.
-    pub fn pace(&self, tolerance: &Tolerance) -> f64 {
-        let over = 1.0 + TOLERANCE_USED * tolerance.overage;
-        (self.rate.0 * self.side * over).max(f64::MIN_POSITIVE)
+    pub fn fill_rate(&self, tolerance: &Tolerance) -> f64 {
+        let factor = 1.0 + TOLERANCE_USED * tolerance.overage;
+        (self.rate.0 * self.side * factor).max(f64::MIN_POSITIVE)
     }
 
     /// The most that this side may save up.
-    pub fn most(&self, tolerance: &Tolerance) -> f64 {
+    pub fn max_level(&self, tolerance: &Tolerance) -> f64 {
         (self.burst.0 + TOLERANCE_USED * tolerance.slack) * self.side
     }
 
@@ -115,9 +115,10 @@
             self.level *= side / self.side;
         }
         self.side = side;
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.level = (self.level + passed * self.pace(tolerance)).min(self.most(tolerance));
-        self.at = now;
+        let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
+        self.level =
+            (self.level + elapsed * self.fill_rate(tolerance)).min(self.max_level(tolerance));
+        self.updated = now;
     }
 
     /// Takes out what was admitted. What was admitted beyond what was known to be left,
--- a/components/coordination/tests/demand.rs
+++ b/components/coordination/tests/demand.rs
@@ -41,7 +41,7 @@
         let hosts = (0..size).map(|n| {
             let mut demand = Demand::new(TOLERANCE, next_run(), Instant::now());
             let others = (0..size).filter(|other| *other != n).map(host);
-            demand.set_parties(&host(n), others, Instant::now());
+            demand.set_participants(&host(n), others, Instant::now());
             (host(n), demand)
         });
         Self { hosts: hosts.collect(), now: Instant::now(), admitted: Vec::new() }
@@ -81,7 +81,7 @@
         for (to, (_, demand)) in self.hosts.iter_mut().enumerate() {
             for (from, asked) in told.iter().enumerate() {
                 if from != to && hears(to, from) {
-                    demand.heard(&host(from), &host(from), asked, self.now);
+                    demand.receive_report(&host(from), &host(from), asked, self.now);
                 }
             }
         }
@@ -231,7 +231,7 @@
             let told = fleet.hosts[n].1.report(now);
             for (to, (_, demand)) in fleet.hosts.iter_mut().enumerate() {
                 if to != n {
-                    demand.heard(&host(n), &host(n), &told, now);
+                    demand.receive_report(&host(n), &host(n), &told, now);
                 }
             }
         }
@@ -254,7 +254,7 @@
         restarted.hosts.iter_mut().enumerate().for_each(|(n, (_, demand))| {
             let others = (0..9).filter(|other| *other != n).map(host);
             *demand = Demand::new(TOLERANCE, next_run(), restarted.now);
-            demand.set_parties(&host(n), others, restarted.now);
+            demand.set_participants(&host(n), others, restarted.now);
         });
         restarted.admitted = std::mem::take(&mut fleet.admitted);
         let back = restarted.now;
@@ -292,8 +292,8 @@
     let now = fleet.now;
     for (n, told) in late {
         let newest = fleet.hosts[n].1.report(now);
-        fleet.hosts[0].1.heard(&host(n), &host(n), &told, now);
-        fleet.hosts[0].1.heard(&host(n), &host(n), &newest, now);
+        fleet.hosts[0].1.receive_report(&host(n), &host(n), &told, now);
+        fleet.hosts[0].1.receive_report(&host(n), &host(n), &newest, now);
     }
     run_apart(&mut fleet, Duration::from_secs(2), usual);
     let admitted = fleet.admitted_since(now);
@@ -313,8 +313,8 @@
     for n in 0..2 {
         let (others, now) = ((0..3).filter(|other| *other != n).map(host), fleet.now);
         let without: Vec<_> = others.clone().filter(|other| *other != host(2)).collect();
-        fleet.hosts[n].1.set_parties(&host(n), without, now);
-        fleet.hosts[n].1.set_parties(&host(n), others, now);
+        fleet.hosts[n].1.set_participants(&host(n), without, now);
+        fleet.hosts[n].1.set_participants(&host(n), others, now);
     }
     fleet.run(Duration::from_secs(1), &[usual, usual, 0.0], |_, _| true);
     let since = fleet.now;
--- a/components/coordination/tests/hub_changes.rs
+++ b/components/coordination/tests/hub_changes.rs
@@ -8,8 +8,8 @@
 
 use bergamottrack_coordination::{
     AccountId, Burst, HostId, Rate,
-    demand::{Asked, Demand, Tolerance},
-    reports::{Figures, Party},
+    demand::{Demand, Report, Tolerance},
+    reports::{AccountReport, Participant},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -62,10 +62,10 @@
     next_report: Instant,
 }
 
-struct Report {
+struct Delivery {
     to: usize,
     from: usize,
-    asked: Asked,
+    asked: Report,
     at: Instant,
 }
 
@@ -74,7 +74,7 @@
     now: Instant,
     admitted: Vec<(Instant, usize)>,
     /// Reports that a link holds back.
-    delayed: Vec<Report>,
+    delayed: Vec<Delivery>,
 }
 
 /// What happens while time passes.
@@ -126,8 +126,8 @@
 fn demand(id: Candidate, now: Instant) -> Demand {
     let mut demand = Demand::new(TOLERANCE, next_run(), now);
     let others = (0..DOMAINS).filter(|other| *other != id.domain).map(domain);
-    demand.set_parties(&domain(id.domain), others, now);
-    demand.know(&account(), RATE, BURST, now);
+    demand.set_participants(&domain(id.domain), others, now);
+    demand.set_contract(&account(), RATE, BURST, now);
     demand
 }
 
@@ -202,14 +202,14 @@
             let beside = |node: &&mut Node| node.id.domain == from.domain;
             let reached = |node: &&mut Node| (phase.delay)(node.id, from).is_some();
             let nodes = self.nodes.iter_mut().filter(beside).filter(reached);
-            nodes.for_each(|node| node.demand.idle(&host(from)));
+            nodes.for_each(|node| node.demand.mark_idle(&host(from)));
             return;
         }
         let asked = node.demand.report(now);
         for to in (0..self.nodes.len()).filter(|to| *to != n) {
             let Some(delay) = (phase.delay)(self.nodes[to].id, from) else { continue };
             let (asked, at) = (asked.clone(), now + delay);
-            self.delayed.push(Report { to, from: n, asked, at });
+            self.delayed.push(Delivery { to, from: n, asked, at });
         }
         self.deliver();
     }
@@ -220,9 +220,9 @@
         let (due, delayed): (Vec<_>, Vec<_>) =
             delayed.into_iter().partition(|report| report.at <= now);
         self.delayed = delayed;
-        for Report { to, from, asked, .. } in due {
+        for Delivery { to, from, asked, .. } in due {
             let from = self.nodes[from].id;
-            self.nodes[to].demand.heard(&domain(from.domain), &host(from), &asked, now);
+            self.nodes[to].demand.receive_report(&domain(from.domain), &host(from), &asked, now);
         }
     }
 
@@ -417,14 +417,15 @@
 /// Guards against memory that grows with every host that ever admitted requests.
 #[test]
 fn hosts_that_report_no_more_are_forgotten() {
-    let mut party = Party::new(Instant::now());
+    let mut participant = Participant::new(Instant::now());
     let (account, mut now) = (account(), Instant::now());
     for n in 0..50 {
         now += Duration::from_secs(10);
-        let figures = Figures { account: account.clone(), rate: 5.0, admitted: 10, level: None };
-        let asked = Asked { run: n, no: 1, figures: vec![figures] };
+        let figures =
+            AccountReport { account: account.clone(), rate: 5.0, admitted: 10, level: None };
+        let asked = Report { run: n, no: 1, figures: vec![figures] };
         let from: HostId = format!("host-{n}").parse().unwrap();
-        assert_eq!(party.receive(&from, &asked, now), Some(vec![10]));
+        assert_eq!(participant.receive(&from, &asked, now), Some(vec![10]));
     }
-    assert!(party.admitted(&account) <= 70, "all hosts are known for ever");
+    assert!(participant.admitted(&account) <= 70, "all hosts are known for ever");
 }
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -241,7 +241,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Heartbeat {
     /// What callers ask for that this host gives tokens to; none if it gives none.
-    pub asked: Option<demand::Asked>,
+    pub asked: Option<demand::Report>,
     /// What it knows.
     pub known: Known,
     /// Whether it hears most of the fleet.
--- a/components/peer/tests/message.rs
+++ b/components/peer/tests/message.rs
@@ -1,6 +1,6 @@
 //! Messages between hosts, as bytes.
 
-use bergamottrack_coordination::demand::{Asked, Figures};
+use bergamottrack_coordination::demand::{AccountReport, Report};
 use bergamottrack_peer::{
     Question,
     message::{Heartbeat, Known, Message},
@@ -10,13 +10,13 @@
 const EACH: usize = 24;
 
 fn beat(accounts: usize) -> Message {
-    let figures = |n: usize| Figures {
+    let figures = |n: usize| AccountReport {
         account: format!("acct{n:04}").parse().unwrap(),
         rate: 0.1 + n as f32 / 7.0,
         admitted: 1000 + n as u64,
         level: Some(33.3 + n as f32 / 3.0),
     };
-    let asked = Asked { run: 7, no: 9, figures: (0..accounts).map(figures).collect() };
+    let asked = Report { run: 7, no: 9, figures: (0..accounts).map(figures).collect() };
     let beat = Heartbeat {
         asked: Some(asked),
         known: Known::default(),
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -388,7 +388,7 @@
         others.map(|domain| party_of(&domain)).collect()
     };
     let own = if neighbours.mesh { me.clone() } else { party_of(&host.settings.domain) };
-    host.demand.borrow_mut().set_parties(&own, others, host.now());
+    host.demand.borrow_mut().set_participants(&own, others, host.now());
     host.clocks.borrow_mut().retain(|id, _| neighbours.links.contains(id));
     let linked = |host: &contract::Host| neighbours.links.contains(&host.id);
     let linked: Vec<_> = roster.into_iter().filter(linked).collect();
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -56,7 +56,7 @@
             positions::take_question(host, &beat);
             replier.reply(Answer::Heartbeat(Box::new(answered_heartbeat(host))));
             if beat.asked.is_none() && peer.domain == host.settings.domain {
-                host.demand.borrow_mut().idle(&peer.host);
+                host.demand.borrow_mut().mark_idle(&peer.host);
             }
             take_heartbeat(host, &peer.host, &peer.domain, *beat);
         }
@@ -146,7 +146,7 @@
     if let Some(asked) = beat.asked {
         let mesh = host.neighbours.borrow().mesh;
         let party = if mesh { id.clone() } else { fleet::party_of(domain) };
-        host.demand.borrow_mut().heard(&party, id, &asked, host.now());
+        host.demand.borrow_mut().receive_report(&party, id, &asked, host.now());
     }
     if beat.majority && *id == host.hub() {
         host.hub_majority.set(Some(host.now()));
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -190,7 +190,7 @@
             if known.is_some() {
                 demand.create(id, rate, burst, now);
             } else {
-                demand.know(id, rate, burst, now);
+                demand.set_contract(id, rate, burst, now);
             }
         }
         drop(demand);
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -83,5 +83,5 @@
     let candidates = host.neighbours.borrow().candidates.clone();
     let gone = |id: &HostId| host.mesh.link(id).is_some_and(|link| link.is_refused());
     let mut demand = host.demand.borrow_mut();
-    candidates.iter().filter(|id| gone(id)).for_each(|id| demand.idle(id));
+    candidates.iter().filter(|id| gone(id)).for_each(|id| demand.mark_idle(id));
 }
