--- a/components/coordination/src/bucket.rs
+++ b/components/coordination/src/bucket.rs
@@ -18,24 +18,24 @@
 use crate::{HostId, shares::Share};
 
 /// How long a loan may be spent, from when it was asked for.
-pub const SPENT_WITHIN: Duration = Duration::from_millis(400);
+pub const LOAN_TTL: Duration = Duration::from_millis(400);
 
 /// How long a host that lends counts a loan against its ceiling, from when it
-/// lent. Longer than [`SPENT_WITHIN`] by what two clocks may differ; the loan
+/// lent. Longer than [`LOAN_TTL`] by what two clocks may differ; the loan
 /// was asked for before it was lent.
-pub const HELD_FOR: Duration = Duration::from_millis(500);
+pub const LENDER_HOLD_TTL: Duration = Duration::from_millis(500);
 
 /// The time over which demand is measured and for which tokens are borrowed ahead.
-pub const AHEAD: Duration = Duration::from_millis(200);
+pub const DEMAND_WINDOW: Duration = Duration::from_millis(200);
 
 /// Number of a loan; each question of a host has its own.
-pub type LoanNo = u64;
+pub type LoanId = u64;
 
 /// Tokens lent to another host.
 #[derive(Clone, Debug)]
 struct Lent {
     borrower: HostId,
-    no: LoanNo,
+    id: LoanId,
     tokens: f64,
     /// Until when it counts against the ceiling.
     until: Instant,
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 struct Borrowed {
     lender: HostId,
-    no: LoanNo,
+    id: LoanId,
     tokens: f64,
     /// Until when it may be spent.
     until: Instant,
@@ -53,9 +53,9 @@
 
 /// A question that waits for its answer.
 #[derive(Clone, Debug)]
-struct Asked {
+struct LoanRequest {
     lender: HostId,
-    at: Instant,
+    sent: Instant,
 }
 
 /// One account's tokens at one host.
@@ -65,35 +65,35 @@
     /// Own tokens; with `lent` at most the share's burst.
     level: f64,
     /// Up to when `level` has been refilled.
-    filled: Instant,
+    refilled: Instant,
     /// Loans that may still be spent elsewhere, in order of their ends.
     lent: VecDeque<Lent>,
     /// Loans that may be spent here, in order of their ends.
     borrowed: Vec<Borrowed>,
-    asked: HashMap<LoanNo, Asked>,
+    pending: HashMap<LoanId, LoanRequest>,
     /// Loans of which nothing will be spent any more, by lender.
-    finished: HashMap<HostId, Vec<LoanNo>>,
-    next_no: LoanNo,
-    /// Tokens wanted, fading over [`AHEAD`].
+    ended: HashMap<HostId, Vec<LoanId>>,
+    next_id: LoanId,
+    /// Tokens wanted, fading over [`DEMAND_WINDOW`].
     demand: f64,
-    wanted: Instant,
+    demanded: Instant,
 }
 
 impl Bucket {
-    /// An empty bucket. `first_no` is random, so that a restarted host's loans
+    /// An empty bucket. `first_id` is random, so that a restarted host's loans
     /// are not taken for those of before.
-    pub fn new(share: Share, first_no: LoanNo, now: Instant) -> Self {
+    pub fn new(share: Share, first_id: LoanId, now: Instant) -> Self {
         Self {
             share,
             level: 0.0,
-            filled: now,
+            refilled: now,
             lent: VecDeque::new(),
             borrowed: Vec::new(),
-            asked: HashMap::new(),
-            finished: HashMap::new(),
-            next_no: first_no,
+            pending: HashMap::new(),
+            ended: HashMap::new(),
+            next_id: first_id,
             demand: 0.0,
-            wanted: now,
+            demanded: now,
         }
     }
 
@@ -117,12 +117,12 @@
     /// Takes one token, if there is one. Each call counts as demand.
     pub fn take(&mut self, now: Instant) -> bool {
         self.demand = self.demand(now) + 1.0;
-        self.wanted = now;
-        self.retake(now)
+        self.demanded = now;
+        self.take_counted(now)
     }
 
     /// Takes one token for a request that has been counted as demand.
-    pub fn retake(&mut self, now: Instant) -> bool {
+    pub fn take_counted(&mut self, now: Instant) -> bool {
         if self.tokens(now) < 1.0 {
             return false;
         }
@@ -133,48 +133,48 @@
             due -= part;
         }
         self.level -= due;
-        self.finish(|loan| loan.tokens <= 0.0);
+        self.end_loans(|loan| loan.tokens <= 0.0);
         true
     }
 
     /// Tokens that can be spent now.
     pub fn tokens(&mut self, now: Instant) -> f64 {
         self.refill(now);
-        self.finish(|loan| now >= loan.until);
+        self.end_loans(|loan| now >= loan.until);
         self.level + self.borrowed.iter().map(|loan| loan.tokens).sum::<f64>()
     }
 
     /// Tokens to borrow for `waiting` requests and those expected soon.
     pub fn want(&mut self, waiting: usize, now: Instant) -> f64 {
-        let soon = self.demand(now) - self.share.rate.0 * AHEAD.as_secs_f64();
+        let soon = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
         (waiting as f64 + soon.max(0.0) - self.tokens(now)).max(0.0).ceil()
     }
 
     /// Begins to ask `lender`; gives the loan's number, and the numbers of that
     /// lender's loans that are over.
-    pub fn ask(&mut self, lender: &HostId, now: Instant) -> (LoanNo, Vec<LoanNo>) {
-        let no = self.next_no;
-        self.next_no = self.next_no.wrapping_add(1);
-        self.asked.insert(no, Asked { lender: lender.clone(), at: now });
-        (no, self.finished.remove(lender).unwrap_or_default())
+    pub fn ask(&mut self, lender: &HostId, now: Instant) -> (LoanId, Vec<LoanId>) {
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1);
+        self.pending.insert(id, LoanRequest { lender: lender.clone(), sent: now });
+        (id, self.ended.remove(lender).unwrap_or_default())
     }
 
     /// Receives a loan. One that was not asked for, was received before or
     /// comes too late is dropped.
-    pub fn receive(&mut self, no: LoanNo, tokens: f64, now: Instant) {
-        let Some(asked) = self.asked.remove(&no) else { return };
-        let until = asked.at + SPENT_WITHIN;
+    pub fn receive(&mut self, id: LoanId, tokens: f64, now: Instant) {
+        let Some(request) = self.pending.remove(&id) else { return };
+        let until = request.sent + LOAN_TTL;
         if now >= until || tokens <= 0.0 {
-            return self.finished.entry(asked.lender).or_default().push(no);
+            return self.ended.entry(request.lender).or_default().push(id);
         }
-        let place = self.borrowed.partition_point(|loan| loan.until <= until);
-        self.borrowed.insert(place, Borrowed { lender: asked.lender, no, tokens, until });
+        let index = self.borrowed.partition_point(|loan| loan.until <= until);
+        self.borrowed.insert(index, Borrowed { lender: request.lender, id, tokens, until });
     }
 
     /// Gives a question up: its answer will be dropped.
-    pub fn abandon(&mut self, no: LoanNo) {
-        if let Some(asked) = self.asked.remove(&no) {
-            self.finished.entry(asked.lender).or_default().push(no);
+    pub fn abandon(&mut self, id: LoanId) {
+        if let Some(request) = self.pending.remove(&id) {
+            self.ended.entry(request.lender).or_default().push(id);
         }
     }
 
@@ -186,27 +186,27 @@
     pub fn lend(
         &mut self,
         borrower: &HostId,
-        no: LoanNo,
+        id: LoanId,
         wanted: f64,
-        over: &[LoanNo],
+        ended: &[LoanId],
         now: Instant,
     ) -> f64 {
         self.refill(now);
-        self.lent.retain(|loan| loan.borrower != *borrower || !over.contains(&loan.no));
+        self.lent.retain(|loan| loan.borrower != *borrower || !ended.contains(&loan.id));
         let tokens = self.spare(now).min(wanted).floor();
         if tokens.is_nan() || tokens < 1.0 {
             return 0.0;
         }
         self.level -= tokens;
-        let (borrower, until) = (borrower.clone(), now + HELD_FOR);
-        self.lent.push_back(Lent { borrower, no, tokens, until });
+        let (borrower, until) = (borrower.clone(), now + LENDER_HOLD_TTL);
+        self.lent.push_back(Lent { borrower, id, tokens, until });
         tokens
     }
 
     /// Own tokens that are not expected to be wanted here soon.
     pub fn spare(&mut self, now: Instant) -> f64 {
         self.refill(now);
-        let soon = self.demand(now) - self.share.rate.0 * AHEAD.as_secs_f64();
+        let soon = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
         (self.level - soon.max(0.0)).max(0.0)
     }
 
@@ -218,8 +218,8 @@
     }
 
     fn demand(&self, now: Instant) -> f64 {
-        let since = now.saturating_duration_since(self.wanted);
-        self.demand * (-since.as_secs_f64() / AHEAD.as_secs_f64()).exp()
+        let since = now.saturating_duration_since(self.demanded);
+        self.demand * (-since.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp()
     }
 
     fn ceiling(&self) -> f64 {
@@ -237,18 +237,18 @@
     }
 
     fn grow(&mut self, until: Instant) {
-        let since = until.saturating_duration_since(self.filled);
+        let since = until.saturating_duration_since(self.refilled);
         let level = self.level + self.share.rate.0 * since.as_secs_f64();
         self.level = level.min(self.ceiling());
-        self.filled = self.filled.max(until);
+        self.refilled = self.refilled.max(until);
     }
 
-    fn finish(&mut self, over: impl Fn(&Borrowed) -> bool) {
-        let finished = &mut self.finished;
+    fn end_loans(&mut self, has_ended: impl Fn(&Borrowed) -> bool) {
+        let ended = &mut self.ended;
         self.borrowed.retain(|loan| {
-            let over = over(loan);
+            let over = has_ended(loan);
             if over {
-                finished.entry(loan.lender.clone()).or_default().push(loan.no);
+                ended.entry(loan.lender.clone()).or_default().push(loan.id);
             }
             !over
         });
--- a/components/coordination/src/shares.rs
+++ b/components/coordination/src/shares.rs
@@ -21,7 +21,7 @@
 const MIN_BURST: f64 = 2.0;
 
 /// How much slower one host's clock may run than another's.
-const DRIFT: f64 = 0.1;
+const MAX_CLOCK_DRIFT: f64 = 0.1;
 
 /// A rate with its burst.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -36,7 +36,7 @@
     /// Nothing.
     pub const NONE: Self = Self { rate: Rate(0.0), burst: Burst(0.0) };
 
-    fn least(self, other: Self) -> Self {
+    fn min(self, other: Self) -> Self {
         Self {
             rate: Rate(self.rate.0.min(other.rate.0)),
             burst: Burst(self.burst.0.min(other.burst.0)),
@@ -89,27 +89,27 @@
 
 /// A revision that some host may still act on.
 #[derive(Debug)]
-struct Live {
+struct ActiveRevision {
     allotment: Allotment,
     /// When no host can act on an older one any more, once it was told.
-    settles: Option<Instant>,
+    settles_at: Option<Instant>,
 }
 
 /// The parts of one host.
 #[derive(Debug)]
 pub struct Shares {
-    me: HostId,
+    host: HostId,
     /// Revisions that some host may still act on, oldest first. Until the first
     /// of them has settled there may be older ones that this host never knew.
-    live: Vec<Live>,
+    active: Vec<ActiveRevision>,
     complete: bool,
 }
 
 impl Shares {
     /// A host that has just started: it may use nothing, since its part may be
     /// in use by the host that it replaces.
-    pub fn new(me: HostId) -> Self {
-        Self { me, live: Vec::new(), complete: false }
+    pub fn new(host: HostId) -> Self {
+        Self { host, active: Vec::new(), complete: false }
     }
 
     /// This host has made the first revision of all: there is no older one.
@@ -126,10 +126,10 @@
     pub fn advance(&mut self, allotment: Allotment) {
         let last = self.newest().map(|newest| newest.revision);
         if last.is_some_and(|last| last.next() != allotment.revision) {
-            self.live.clear();
+            self.active.clear();
             self.complete = false;
         }
-        self.live.push(Live { allotment, settles: None });
+        self.active.push(ActiveRevision { allotment, settles_at: None });
     }
 
     /// The revision, and with it all before it, was told to majorities before `now`.
@@ -137,13 +137,14 @@
     /// Each revision settles by itself. Were a later one to start the wait anew, a
     /// fleet whose hosts are replaced one after another would have hosts without
     /// any part all the while, and refuse accounts that are within their rate.
-    pub fn told(&mut self, revision: Revision, now: Instant) {
-        let fresh = self.live.iter().map(|live| live.allotment.fresh).max();
-        let wait = fresh.unwrap_or_default().mul_f64(1.0 + DRIFT) + bucket::HELD_FOR;
+    pub fn acknowledged(&mut self, revision: Revision, now: Instant) {
+        let fresh = self.active.iter().map(|active| active.allotment.fresh).max();
+        let wait =
+            fresh.unwrap_or_default().mul_f64(1.0 + MAX_CLOCK_DRIFT) + bucket::LENDER_HOLD_TTL;
         let settled = usize::from(self.complete);
-        for live in self.live.iter_mut().skip(settled) {
-            if live.allotment.revision <= revision && live.settles.is_none() {
-                live.settles = Some(now + wait);
+        for active in self.active.iter_mut().skip(settled) {
+            if active.allotment.revision <= revision && active.settles_at.is_none() {
+                active.settles_at = Some(now + wait);
             }
         }
     }
@@ -156,32 +157,33 @@
     /// while: `now` may be long after the parts settled, and tokens have been due
     /// from then on.
     pub fn settle(&mut self, now: Instant) -> Option<Instant> {
-        let due = |live: &Live| live.settles.is_some_and(|at| now >= at);
-        let newest = self.live.iter().rposition(due)?;
-        self.live.drain(..newest);
+        let due = |active: &ActiveRevision| active.settles_at.is_some_and(|at| now >= at);
+        let newest = self.active.iter().rposition(due)?;
+        self.active.drain(..newest);
         self.complete = true;
-        self.live[0].settles.take()
+        self.active[0].settles_at.take()
     }
 
     /// What this host may use of an account's rate now.
     pub fn share(&self, account: &AccountId) -> Share {
-        let newest = self.newest().and_then(|newest| newest.part(account, &self.me));
+        let newest = self.newest().and_then(|newest| newest.part(account, &self.host));
         let Some(newest) = newest.filter(|_| self.complete) else { return Share::NONE };
-        let parts = self.live.iter().filter_map(|live| live.allotment.part(account, &self.me));
-        parts.fold(newest, Share::least)
+        let parts =
+            self.active.iter().filter_map(|active| active.allotment.part(account, &self.host));
+        parts.fold(newest, Share::min)
     }
 
     /// Whether the newest revision brought the account, so that nobody can have
     /// used any of its rate before.
     pub fn is_new(&self, account: &AccountId) -> bool {
-        let before = &self.live[..self.live.len().saturating_sub(1)];
+        let before = &self.active[..self.active.len().saturating_sub(1)];
         self.complete
             && !before.is_empty()
-            && before.iter().all(|live| !live.allotment.contracts.contains_key(account))
+            && before.iter().all(|active| !active.allotment.contracts.contains_key(account))
     }
 
     /// The newest revision.
     pub fn newest(&self) -> Option<&Allotment> {
-        self.live.last().map(|live| &live.allotment)
+        self.active.last().map(|active| &active.allotment)
     }
 }
--- a/components/coordination/tests/limits.rs
+++ b/components/coordination/tests/limits.rs
@@ -209,7 +209,7 @@
         let fresh = self.is_fresh(i);
         let host = &mut self.hosts[i];
         match message.body {
-            Body::Told(revision) => host.shares.told(revision, now),
+            Body::Told(revision) => host.shares.acknowledged(revision, now),
             Body::Lent { no, tokens, spare } => {
                 host.bucket.receive(no, tokens, now);
                 host.lenders.answered(&self.names[message.from], spare, now);
--- a/components/coordination/tests/shares.rs
+++ b/components/coordination/tests/shares.rs
@@ -42,8 +42,8 @@
     shares.advance(allotment(2, &["h1", "h2"], 60.0, 60.0));
     assert_eq!(rate(&shares), 20.0);
     assert!(shares.settle(now + FRESH * 10).is_none(), "the revision was not told yet");
-    shares.told(Revision(2), now);
-    assert!(shares.settle(now + FRESH + bucket::HELD_FOR).is_none());
+    shares.acknowledged(Revision(2), now);
+    assert!(shares.settle(now + FRESH + bucket::LENDER_HOLD_TTL).is_none());
     assert_eq!(rate(&shares), 20.0);
     assert!(shares.settle(now + FRESH * 2).is_some());
     assert_eq!(rate(&shares), 30.0);
@@ -68,7 +68,7 @@
     let mut shares = me();
     shares.advance(allotment(5, &["h1", "h2"], 60.0, 60.0));
     assert_eq!(rate(&shares), 0.0);
-    shares.told(Revision(5), now);
+    shares.acknowledged(Revision(5), now);
     assert!(shares.settle(now + FRESH * 2).is_some());
     assert_eq!(rate(&shares), 30.0);
 }
@@ -83,7 +83,7 @@
     let mut shares = me();
     shares.advance(allotment(5, &["h1", "h2"], 60.0, 60.0));
     let mut bucket = Bucket::new(shares.share(&account()), 0, now);
-    shares.told(Revision(5), now);
+    shares.acknowledged(Revision(5), now);
     let at = shares.settle(late).unwrap();
     bucket.set_share(shares.share(&account()), at);
     assert_eq!(bucket.tokens(late), 30.0);
@@ -98,18 +98,18 @@
     let now = Instant::now();
     let mut shares = me();
     shares.advance(allotment(5, &["h1", "h2"], 60.0, 60.0));
-    shares.told(Revision(5), now);
+    shares.acknowledged(Revision(5), now);
     shares.advance(allotment(6, &["h1", "h2", "h3"], 60.0, 60.0));
     assert!(shares.settle(now + FRESH).is_none());
     assert_eq!(rate(&shares), 0.0);
     assert!(shares.settle(now + FRESH * 2).is_some());
     assert_eq!(rate(&shares), 20.0);
     shares.advance(allotment(7, &["h1"], 60.0, 60.0));
-    shares.told(Revision(6), now + FRESH * 2);
+    shares.acknowledged(Revision(6), now + FRESH * 2);
     assert!(shares.settle(now + FRESH * 4).is_some());
     assert_eq!(rate(&shares), 20.0, "7 was not told");
     assert!(shares.settle(now + FRESH * 9).is_none());
-    shares.told(Revision(7), now + FRESH * 9);
+    shares.acknowledged(Revision(7), now + FRESH * 9);
     assert!(shares.settle(now + FRESH * 11).is_some());
     assert_eq!(rate(&shares), 60.0);
 }
@@ -127,7 +127,7 @@
     // Missed: revision 2 with the roster h1, h3, h4.
     shares.advance(allotment(3, &["h1", "h3"], 60.0, 60.0));
     assert_eq!(rate(&shares), 0.0);
-    shares.told(Revision(3), now);
+    shares.acknowledged(Revision(3), now);
     assert!(shares.settle(now + FRESH).is_none());
     assert!(shares.settle(now + FRESH * 2).is_some());
     assert_eq!(rate(&shares), 30.0);
--- a/components/fleet/src/limits.rs
+++ b/components/fleet/src/limits.rs
@@ -107,7 +107,7 @@
         for _ in 0..MAX_ROUNDS {
             // Not within the call: it moves parts on, which takes the bucket too.
             let now = self.now();
-            if account.bucket.borrow_mut().retake(now) {
+            if account.bucket.borrow_mut().take_counted(now) {
                 return true;
             }
             let want = account.bucket.borrow_mut().want(account.waiting.get(), now);
@@ -121,7 +121,7 @@
             futures_util::future::join_all(asked).await;
         }
         let now = self.now();
-        account.bucket.borrow_mut().retake(now)
+        account.bucket.borrow_mut().take_counted(now)
     }
 
     async fn ask(&self, id: &AccountId, account: &Account, host: HostId, tokens: f64) {
@@ -193,7 +193,7 @@
 
     /// The revision is known to majorities.
     pub(crate) fn told(&self, revision: Revision) {
-        self.shares.borrow_mut().told(revision, self.clock.now());
+        self.shares.borrow_mut().acknowledged(revision, self.clock.now());
     }
 
     /// The time, after parts that grow by then have grown. It changes all
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -7,7 +7,7 @@
 use bergamottrack_coordination::{
     AccountId, Burst, FailureDomain, GroupId, HostId, Point, Rate, Refusal, RequestId, Revision,
     ServerId,
-    bucket::LoanNo,
+    bucket::LoanId,
     changes::Changes,
     demand, evacuation,
     freshness::Vouch,
@@ -189,11 +189,11 @@
     /// The account.
     pub account: AccountId,
     /// Number of the loan.
-    pub no: LoanNo,
+    pub no: LoanId,
     /// Tokens wanted.
     pub tokens: f64,
     /// Earlier loans of the host that is asked, of which nothing will be spent any more.
-    pub over: Vec<LoanNo>,
+    pub over: Vec<LoanId>,
 }
 
 /// The answer to a question.
