--- a/components/coordination/src/gate.rs
+++ b/components/coordination/src/gate.rs
@@ -53,7 +53,7 @@
     mean: f64,
     baseline: f64,
     waiting: BTreeSet<QueueKey>,
-    next: u64,
+    next_sequence: u64,
     /// Answers until the limit may shrink again: those under way when it shrank
     /// still show the longer queue.
     cooldown: f64,
@@ -81,7 +81,7 @@
             mean: INITIAL_MEAN,
             baseline: INITIAL_MEAN,
             waiting: BTreeSet::new(),
-            next: 0,
+            next_sequence: 0,
             cooldown: 0.0,
         }
     }
@@ -131,8 +131,8 @@
         if wait > queue_timeout {
             return Admission::Refused(wait);
         }
-        let key = (priority, deadline, self.next);
-        self.next += 1;
+        let key = (priority, deadline, self.next_sequence);
+        self.next_sequence += 1;
         self.waiting.insert(key);
         Admission::Queued(key)
     }
--- a/components/coordination/src/pieces.rs
+++ b/components/coordination/src/pieces.rs
@@ -17,31 +17,31 @@
 use crate::{Revision, Size};
 
 /// How long a piece is waited for while the link that it was asked over is up. A hundred
-/// hosts that ask one at the same moment have [`LEAST`] in this time over 1 Mbit/s; asked
+/// hosts that ask one at the same moment have [`MIN_PIECE`] in this time over 1 Mbit/s; asked
 /// for sooner, all would be sent again while the first is still on its way.
-pub const WITHIN: Duration = Duration::from_secs(4);
+pub const PIECE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The smallest piece, and the first one, which shows what the link bears.
-const LEAST: Size = Size(4 * 1024);
+const MIN_PIECE: Size = Size(4 * 1024);
 
 /// The largest piece. A link of 10 Mbit/s, busy with it for 100 ms, still serves callers.
-pub const MOST: Size = Size(128 * 1024);
+pub const MAX_PIECE: Size = Size(128 * 1024);
 
 /// After a piece that took less the next one is twice as large.
-const QUICK: Duration = Duration::from_millis(40);
+const FAST_TRANSFER: Duration = Duration::from_millis(40);
 
 /// After a piece that took more the next one is half as large: what else goes over the
 /// link waits as long.
-const SLOW: Duration = Duration::from_millis(160);
+const SLOW_TRANSFER: Duration = Duration::from_millis(160);
 
 /// Documents that a host gives out. Those before the newest are for hosts that have begun
 /// to fetch them: begun anew with each version, a fetch would never end while versions
 /// come faster than they can be fetched.
-const KEPT: usize = 4;
+const MAX_DOCUMENTS: usize = 4;
 
 /// The piece of a document that a host asks for.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Wanted {
+pub struct PieceRequest {
     /// The document.
     pub revision: Revision,
     /// Where the piece begins.
@@ -74,18 +74,18 @@
 
 /// The documents that a host gives out.
 #[derive(Debug, Default)]
-pub struct Shelf {
+pub struct Documents {
     /// The newest last.
     documents: VecDeque<Document>,
 }
 
-impl Shelf {
+impl Documents {
     /// Adds the document of a revision that is newer than all before.
     pub fn add(&mut self, revision: Revision, bytes: Bytes) {
         let digest = xxh3::xxh3_64(&bytes);
         let confirmed = self.confirmed();
         self.documents.push_back(Document { revision, digest, bytes, confirmed });
-        if self.documents.len() > KEPT {
+        if self.documents.len() > MAX_DOCUMENTS {
             self.documents.pop_front();
         }
     }
@@ -104,11 +104,11 @@
     }
 
     /// A piece; `None` of a document that is not there, or from beyond its end.
-    pub fn piece(&self, wanted: Wanted) -> Option<Piece> {
+    pub fn piece(&self, wanted: PieceRequest) -> Option<Piece> {
         let Document { digest, bytes, confirmed, .. } =
             self.documents.iter().find(|document| document.revision == wanted.revision)?;
         let from = usize::try_from(wanted.from.0).ok().filter(|from| *from < bytes.len())?;
-        let most = usize::try_from(wanted.most.min(MOST).0).ok()?;
+        let most = usize::try_from(wanted.most.min(MAX_PIECE).0).ok()?;
         let to = bytes.len().min(from + most);
         let whole = Size(bytes.len() as u64);
         Some(Piece { digest: *digest, whole, confirmed: *confirmed, bytes: bytes.slice(from..to) })
@@ -121,9 +121,9 @@
     /// There is more to fetch.
     More,
     /// The whole document.
-    Whole(Bytes),
+    Complete(Bytes),
     /// What had come was of another document of that name, or was damaged: it is fetched anew.
-    Anew,
+    Restarted,
 }
 
 /// A document that is being fetched, from one host or from several in turn.
@@ -141,8 +141,8 @@
     digest: Option<u64>,
     /// The beginning of the document, as far as it has come.
     bytes: Vec<u8>,
-    /// How large the next piece may be; from [`LEAST`] to [`MOST`].
-    most: Size,
+    /// How large the next piece may be; from [`MIN_PIECE`] to [`MAX_PIECE`].
+    piece_size: Size,
 }
 
 impl Fetch {
@@ -156,28 +156,28 @@
             confirmed,
             digest: None,
             bytes: Vec::new(),
-            most: LEAST,
+            piece_size: MIN_PIECE,
         }
     }
 
     /// The piece to ask for next.
-    pub fn wanted(&self) -> Wanted {
+    pub fn wanted(&self) -> PieceRequest {
         let from = Size(self.bytes.len() as u64);
-        Wanted { revision: self.revision, from, most: self.most }
+        PieceRequest { revision: self.revision, from, most: self.piece_size }
     }
 
     /// Takes the piece that was asked for, which took so long.
     pub fn take(&mut self, piece: Piece, took: Duration) -> Progress {
         self.pieces += 1;
         self.confirmed = self.confirmed.max(piece.confirmed);
-        if took < QUICK {
-            self.most = Size(self.most.0 * 2).min(MOST);
-        } else if took > SLOW {
+        if took < FAST_TRANSFER {
+            self.piece_size = Size(self.piece_size.0 * 2).min(MAX_PIECE);
+        } else if took > SLOW_TRANSFER {
             self.shrink();
         }
         if self.digest.is_some_and(|digest| digest != piece.digest) {
             // Another host's document of that revision. Of its beginning nothing has come.
-            return self.anew();
+            return self.restart();
         }
         self.digest = Some(piece.digest);
         self.bytes.extend_from_slice(&piece.bytes);
@@ -185,9 +185,9 @@
             return Progress::More;
         }
         if xxh3::xxh3_64(&self.bytes) != piece.digest {
-            return self.anew();
+            return self.restart();
         }
-        Progress::Whole(std::mem::take(&mut self.bytes).into())
+        Progress::Complete(std::mem::take(&mut self.bytes).into())
     }
 
     /// Notes that the piece did not come: the link was lost, or it took too long.
@@ -197,12 +197,12 @@
     }
 
     fn shrink(&mut self) {
-        self.most = Size(self.most.0 / 2).max(LEAST);
+        self.piece_size = Size(self.piece_size.0 / 2).max(MIN_PIECE);
     }
 
-    fn anew(&mut self) -> Progress {
+    fn restart(&mut self) -> Progress {
         self.digest = None;
         self.bytes.clear();
-        Progress::Anew
+        Progress::Restarted
     }
 }
--- a/components/coordination/tests/pieces.rs
+++ b/components/coordination/tests/pieces.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     Revision, Size,
-    pieces::{Fetch, MOST, Piece, Progress, Shelf, WITHIN, Wanted},
+    pieces::{Documents, Fetch, MAX_PIECE, PIECE_TIMEOUT, Piece, PieceRequest, Progress},
 };
 use bytes::Bytes;
 
@@ -21,8 +21,8 @@
     (0..size).map(|n| (n * 31 % 251) as u8).collect()
 }
 
-fn shelf(size: usize) -> Shelf {
-    let mut shelf = Shelf::default();
+fn shelf(size: usize) -> Documents {
+    let mut shelf = Documents::default();
     shelf.add(ONE, document(size));
     shelf
 }
@@ -67,18 +67,18 @@
         let sent = teller.pass(asked + LATENCY, piece.bytes.len());
         let came = lines[host].pass(sent, piece.bytes.len());
         let took = came - asked;
-        if took > WITHIN {
+        if took > PIECE_TIMEOUT {
             fetches[host].miss();
-            asks.push(Reverse((asked + WITHIN, host)));
+            asks.push(Reverse((asked + PIECE_TIMEOUT, host)));
             continue;
         }
         match fetches[host].take(piece, took) {
             Progress::More => asks.push(Reverse((came, host))),
-            Progress::Whole(bytes) => {
+            Progress::Complete(bytes) => {
                 assert_eq!(bytes, document(size));
                 done[host] = came;
             }
-            Progress::Anew => panic!("nothing was damaged"),
+            Progress::Restarted => panic!("nothing was damaged"),
         }
     }
     (done, teller, lines)
@@ -137,8 +137,8 @@
         told += piece.bytes.len();
         match fetch.take(piece, quick) {
             Progress::More => {}
-            Progress::Whole(bytes) => break assert_eq!(bytes, document(100_000)),
-            Progress::Anew => panic!("it was the same document"),
+            Progress::Complete(bytes) => break assert_eq!(bytes, document(100_000)),
+            Progress::Restarted => panic!("it was the same document"),
         }
     }
     assert_eq!(told, 100_000 - 4 * 1024 - 8 * 1024);
@@ -150,11 +150,11 @@
 fn pieces_of_different_documents_are_not_put_together() {
     let quick = Duration::from_millis(1);
     let first = shelf(20_000);
-    let mut other = Shelf::default();
+    let mut other = Documents::default();
     other.add(ONE, document(20_001));
     let mut fetch = Fetch::new(ONE);
     fetch.take(first.piece(fetch.wanted()).unwrap(), quick);
-    assert_eq!(fetch.take(other.piece(fetch.wanted()).unwrap(), quick), Progress::Anew);
+    assert_eq!(fetch.take(other.piece(fetch.wanted()).unwrap(), quick), Progress::Restarted);
     assert_eq!(fetch.wanted().from, Size(0));
 
     let piece = first.piece(fetch.wanted()).unwrap();
@@ -162,7 +162,7 @@
     bytes[7] ^= 1;
     let damaged = Piece { bytes: bytes.into(), ..piece };
     assert_eq!(fetch.take(damaged, quick), Progress::More);
-    assert_eq!(fetch.take(first.piece(fetch.wanted()).unwrap(), quick), Progress::Anew);
+    assert_eq!(fetch.take(first.piece(fetch.wanted()).unwrap(), quick), Progress::Restarted);
 }
 
 /// Versions come faster than one can be fetched. A host that began with the newest each time
@@ -175,7 +175,7 @@
     assert_eq!(fetch.take(shelf.piece(fetch.wanted()).unwrap(), quick), Progress::More);
     (2..=4).for_each(|version| shelf.add(Revision(version), document(50_000)));
     let piece = shelf.piece(fetch.wanted()).unwrap();
-    assert_eq!(fetch.take(piece, quick), Progress::Whole(document(10_000)));
+    assert_eq!(fetch.take(piece, quick), Progress::Complete(document(10_000)));
     shelf.add(Revision(5), document(50_000));
     assert_eq!(shelf.piece(Fetch::new(ONE).wanted()), None, "old ones stay for ever");
 }
@@ -202,9 +202,9 @@
 #[test]
 fn no_piece_is_larger_than_the_largest() {
     let shelf = shelf(1_000_000);
-    let all = Wanted { revision: ONE, from: Size(0), most: Size(u64::MAX) };
-    assert_eq!(shelf.piece(all).unwrap().bytes.len() as u64, MOST.0);
-    assert_eq!(shelf.piece(Wanted { from: Size(u64::MAX), ..all }), None);
-    assert_eq!(shelf.piece(Wanted { from: Size(1_000_000), ..all }), None);
-    assert_eq!(shelf.piece(Wanted { revision: Revision(2), ..all }), None);
+    let all = PieceRequest { revision: ONE, from: Size(0), most: Size(u64::MAX) };
+    assert_eq!(shelf.piece(all).unwrap().bytes.len() as u64, MAX_PIECE.0);
+    assert_eq!(shelf.piece(PieceRequest { from: Size(u64::MAX), ..all }), None);
+    assert_eq!(shelf.piece(PieceRequest { from: Size(1_000_000), ..all }), None);
+    assert_eq!(shelf.piece(PieceRequest { revision: Revision(2), ..all }), None);
 }
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -152,7 +152,7 @@
     /// What the host knows that the asker does not.
     Newest(Known),
     /// A piece of a configuration.
-    Piece(pieces::Wanted),
+    Piece(pieces::PieceRequest),
     /// How long ago did this server last answer the host anything?
     Silence(ServerId),
     /// Run this at a server whose connections the host holds.
--- a/components/peer/tests/slow.rs
+++ b/components/peer/tests/slow.rs
@@ -9,7 +9,7 @@
 use bergamottrack_contract::{Host, Routes};
 use bergamottrack_coordination::{
     Revision, Size, SystemClock,
-    pieces::{Piece, Wanted},
+    pieces::{Piece, PieceRequest},
     token::Secret,
 };
 use bergamottrack_peer::{
@@ -108,7 +108,7 @@
 
 async fn ask(link: &Link) -> anyhow::Result<Answer> {
     let (revision, from, most) = (Revision(1), Size(0), Size(LARGE as u64));
-    let question = Question::Piece(Wanted { revision, from, most });
+    let question = Question::Piece(PieceRequest { revision, from, most });
     link.ask(question, Duration::from_secs(20)).await
 }
 
--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -35,7 +35,7 @@
     let began = host.now();
     loop {
         let asked = host.now();
-        let answer = link.ask(Question::Piece(fetch.wanted()), pieces::WITHIN).await;
+        let answer = link.ask(Question::Piece(fetch.wanted()), pieces::PIECE_TIMEOUT).await;
         let piece = match answer {
             Ok(Answer::Piece(piece)) => piece,
             Ok(_) => None,
@@ -52,7 +52,7 @@
         };
         match take(host, &mut fetch, piece, asked) {
             Progress::More => {}
-            Progress::Whole(packed) => {
+            Progress::Complete(packed) => {
                 let ms = (host.now() - began).as_millis() as u64;
                 info!(
                     version = fetch.revision.0, from = %link.host, bytes = packed.len(),
@@ -67,7 +67,7 @@
                 }
                 return None;
             }
-            Progress::Anew => {
+            Progress::Restarted => {
                 let version = fetch.revision.0;
                 info!(version, from = %link.host, "configuration: pieces do not fit, fetching anew");
             }
@@ -101,7 +101,7 @@
 }
 
 /// The piece that another host wants.
-pub fn piece(host: &Host, wanted: pieces::Wanted) -> Option<Piece> {
+pub fn piece(host: &Host, wanted: pieces::PieceRequest) -> Option<Piece> {
     let piece = host.shelf.borrow().piece(wanted);
     let bytes = piece.as_ref().map_or(0, |piece| piece.bytes.len());
     host.measures.told.inc_by(bytes as u64);
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -17,7 +17,7 @@
     freshness::{Bounds, Standing},
     holders,
     hubs::Neighbours,
-    pieces::{Fetch, Shelf},
+    pieces::{Documents, Fetch},
     view::{Held, Leadership},
 };
 use bergamottrack_model::{Account, Listed, Plan, Role, Route, Settings, settings::Mechanism};
@@ -84,7 +84,7 @@
     /// Its accounts, those of the highest rate first.
     pub by_rate: RefCell<Rc<[AccountId]>>,
     /// Configurations as they are told to other hosts; the one in force is the newest.
-    pub shelf: RefCell<Shelf>,
+    pub shelf: RefCell<Documents>,
     /// A configuration of which a part has been fetched.
     pub fetch: RefCell<Option<Fetch>>,
     /// Whether a configuration is being fetched now.
