--- a/components/coordination/src/demand.rs
+++ b/components/coordination/src/demand.rs
@@ -228,9 +228,7 @@
 
     /// Whether another party that may be there has not been heard since it is known here.
     fn is_new(&self, now: Instant) -> bool {
-        let pending = |participant: &Participant| {
-            !participant.has_reported() && participant.liveness(now) != Liveness::Lost
-        };
+        let pending = |p: &Participant| !p.has_reported() && p.liveness(now) != Liveness::Lost;
         self.participants.values().any(pending)
     }
 
