--- a/components/coordination/src/fair.rs
+++ b/components/coordination/src/fair.rs
@@ -1,8 +1,8 @@
-//! Weighted fair queueing of client accounts into the slots of one server.
+//! Weighted fair queueing of client accounts for the slots of one server.
 //!
-//! Start-time fair queueing: each account's requests carry start tags on a
-//! common virtual time, and the least tag goes first. An account that sends
-//! several times its share only lengthens its own queue.
+//! Start-time fair queueing: the requests of each account carry start tags on a shared
+//! virtual time, and the request with the smallest tag is granted next. An account that
+//! sends several times its share only lengthens its own queue.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -11,10 +11,10 @@
 
 use crate::AccountId;
 
-/// The least time that a request is counted with, so that none is free.
+/// Minimum time charged for a request, so that no request is free.
 const MIN_COST: Duration = Duration::from_micros(50);
 
-/// How much a new measurement moves the mean, as one part of so many.
+/// Smoothing of the mean slot time: each new measurement has a weight of 1/32.
 const MEAN_SAMPLES: f64 = 32.0;
 
 /// A request that waits for a slot.
@@ -24,63 +24,65 @@
     item: T,
 }
 
-/// The requests of one account.
+/// Queue and virtual-time accounting of one account.
 #[derive(Debug)]
 struct Flow<T> {
     weight: f64,
-    /// Start tag of the account's next request: what it has used so far, and
-    /// no less than the virtual time at which it began to wait.
+    /// Start tag of the account's next request, in seconds of virtual time: the weighted usage
+    /// charged so far, and never less than the virtual time at which the account's queue
+    /// last became non-empty.
     start_tag: f64,
     waiting: VecDeque<Queued<T>>,
 }
 
-/// A request that leaves the queue for a slot.
+/// A request that was granted a slot.
 #[derive(Debug)]
 pub struct Granted<T> {
-    /// The account that it runs for.
+    /// Account that the request runs for.
     pub account: AccountId,
-    /// The time that it was counted with.
+    /// Slot time charged in advance; [`FairQueue::release`] corrects it to the time used.
     pub cost: Duration,
-    /// What was queued.
+    /// Item passed to [`FairQueue::push`].
     pub item: T,
 }
 
-/// The queue of one server.
+/// Fair queue for the slots of one server.
 #[derive(Debug)]
 pub struct FairQueue<T> {
-    /// Requests that run at once.
+    /// Maximum number of requests that run at the same time.
     slots: usize,
     running: usize,
-    /// Start tag of the last request that left; never falls.
+    /// Largest start tag granted so far; never decreases.
     virtual_time: f64,
     flows: BTreeMap<AccountId, Flow<T>>,
-    /// Running mean of the time that a request has its slot.
+    /// Exponential moving mean of the time that a request holds its slot, in seconds.
     mean: f64,
 }
 
-/// What a request asks for.
+/// Scheduling parameters of a request.
 #[derive(Clone, Debug)]
 pub struct Ticket {
-    /// The account that it runs for.
+    /// Account that the request runs for.
     pub account: AccountId,
-    /// The account's share beside others; at least 1.
+    /// Weight of the account relative to other accounts; 0 counts as 1.
     pub weight: u32,
-    /// When it must be done.
+    /// Time at which the request must be done.
     pub deadline: Instant,
-    /// Whether it goes before the account's other requests, because a
-    /// transaction that is open holds a connection and perhaps locks.
+    /// Whether the request precedes the account's other requests, because its open
+    /// transaction holds a connection and possibly locks.
     pub urgent: bool,
 }
 
-/// The queue cannot serve a request before its deadline.
+/// Error: the queue cannot serve a request before its deadline.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Infeasible {
-    /// When the queue will be short enough for such a request.
+    /// Time after which the queue is expected to be short enough for such a request.
     pub retry: Duration,
 }
 
 impl<T> FairQueue<T> {
-    /// A queue into so many slots; `mean` is the first guess of a request's time.
+    /// Creates a queue for `slots` slots (at least 1); `mean` is the initial estimate of
+    /// the time that a request holds its slot.
     pub fn new(slots: usize, mean: Duration) -> Self {
         Self {
             slots: slots.max(1),
@@ -91,30 +93,30 @@
         }
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.flows.values().map(|flow| flow.waiting.len()).sum()
     }
 
-    /// Whether none waits.
+    /// Returns whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.flows.values().all(|flow| flow.waiting.is_empty())
     }
 
-    /// Requests that have a slot.
+    /// Returns the number of requests that hold a slot, forced ones included.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// The mean time that a request has its slot.
+    /// Returns the mean time that a request holds its slot.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean)
     }
 
-    /// How long a new request of the account would wait.
+    /// Estimates how long a new request of the account would wait.
     ///
-    /// The accounts that wait share the slots by weight, so the account's own
-    /// queue empties at its share of the slots' pace.
+    /// Slots are shared by weight among the accounts with waiting requests, so the
+    /// account's own queue drains at its share of the throughput of all slots.
     pub fn wait(&self, ticket: &Ticket) -> Duration {
         if self.running < self.slots && self.is_empty() {
             return Duration::ZERO;
@@ -131,21 +133,21 @@
             Some(flow) if !ticket.urgent => flow.waiting.len(),
             _ => 0,
         };
-        let pace = self.slots as f64 / self.mean.max(MIN_COST.as_secs_f64());
-        Duration::from_secs_f64((ahead + 1) as f64 / (pace * share))
+        let throughput = self.slots as f64 / self.mean.max(MIN_COST.as_secs_f64());
+        Duration::from_secs_f64((ahead + 1) as f64 / (throughput * share))
     }
 
-    /// Queues a request, unless it could not be done before its deadline: that
-    /// is said at once, with the time after which the queue is short enough.
+    /// Queues a request, or rejects it with a retry delay if it could not be done before
+    /// its deadline.
     ///
-    /// Guards against serving late what its caller has given up: without the
-    /// bound a queue beyond saturation grows until nothing is served in time.
+    /// Guards against serving requests after their callers have timed out: without this
+    /// bound the queue of a saturated server grows until no request is served in time.
     pub fn push(&mut self, ticket: &Ticket, now: Instant, item: T) -> Result<(), (Infeasible, T)> {
         let wait = self.wait(ticket);
-        let left = ticket.deadline.saturating_duration_since(now);
-        let need = wait + self.mean();
-        if need > left {
-            let retry = (need - left).max(self.mean());
+        let remaining = ticket.deadline.saturating_duration_since(now);
+        let required = wait + self.mean();
+        if required > remaining {
+            let retry = (required - remaining).max(self.mean());
             return Err((Infeasible { retry }, item));
         }
         let virtual_time = self.virtual_time;
@@ -157,7 +159,7 @@
         });
         flow.weight = weight;
         if flow.waiting.is_empty() {
-            // An account that was idle saves up nothing.
+            // An account earns no credit while it has no waiting requests.
             flow.start_tag = flow.start_tag.max(virtual_time);
         }
         let waiting = Queued { deadline: ticket.deadline, item };
@@ -169,7 +171,7 @@
         Ok(())
     }
 
-    /// Gives the next request its slot, if one is free.
+    /// Grants a slot to the next request, if a slot is free.
     pub fn pop(&mut self) -> Option<Granted<T>> {
         if self.running >= self.slots {
             return None;
@@ -187,7 +189,8 @@
         Some(Granted { account, cost, item: waiting.item })
     }
 
-    /// Takes back a slot after `took`; the account is charged what it really used.
+    /// Releases a slot that was held for `took`, and corrects the account's charge from
+    /// `cost` to `took`.
     pub fn release(&mut self, account: &AccountId, cost: Duration, took: Duration) {
         self.running = self.running.saturating_sub(1);
         self.mean += (took.as_secs_f64() - self.mean) / MEAN_SAMPLES;
@@ -200,11 +203,12 @@
         }
     }
 
-    /// Takes a slot beyond the limit, for a transaction that is already open.
+    /// Takes a slot, even above the limit, for a transaction that is already open; returns
+    /// the cost charged.
     ///
-    /// It may hold locks for which all that run now wait: made to wait for a
-    /// slot, it and they would wait for each other until their deadlines. What
-    /// runs beyond the limit delays the next that comes by the queue.
+    /// The transaction may hold locks that all running requests wait for. If it waited for
+    /// a slot, both would block each other until their deadlines. A slot above the limit
+    /// delays the next request that is granted from the queue.
     pub fn force(&mut self, account: &AccountId) -> Duration {
         self.running += 1;
         let cost = self.mean().max(MIN_COST);
@@ -214,7 +218,7 @@
         cost
     }
 
-    /// Takes back a slot that was given to a request which no longer wanted it.
+    /// Releases a slot whose request was no longer wanted, and refunds its cost.
     pub fn release_unused(&mut self, account: &AccountId, cost: Duration) {
         self.running = self.running.saturating_sub(1);
         if let Some(flow) = self.flows.get_mut(account) {
@@ -222,30 +226,31 @@
         }
     }
 
-    /// Takes out all that waits.
+    /// Removes and returns all waiting requests.
     pub fn clear(&mut self) -> Vec<T> {
         let flows = self.flows.values_mut();
         flows.flat_map(|flow| flow.waiting.drain(..).map(|waiting| waiting.item)).collect()
     }
 
-    /// Takes out what can no longer be done in time, with when to come back.
+    /// Removes and returns the waiting requests that can no longer be done in time, each
+    /// with its retry delay.
     ///
-    /// A server that slows down makes earlier promises void; whoever waits in
-    /// vain is told now and not at the deadline.
+    /// When a server slows down, the estimates made in [`push`](Self::push) no longer hold;
+    /// affected requests are rejected now instead of at their deadlines.
     pub fn shed(&mut self, now: Instant) -> Vec<(Infeasible, T)> {
         let total: f64 =
             self.flows.values().filter(|f| !f.waiting.is_empty()).map(|f| f.weight).sum();
-        let pace = self.slots as f64 / self.mean.max(MIN_COST.as_secs_f64());
+        let throughput = self.slots as f64 / self.mean.max(MIN_COST.as_secs_f64());
         let mean = self.mean();
         let mut out = Vec::new();
         for flow in self.flows.values_mut() {
-            let pace = pace * flow.weight / total.max(flow.weight);
+            let throughput = throughput * flow.weight / total.max(flow.weight);
             let mut kept = VecDeque::with_capacity(flow.waiting.len());
             for waiting in flow.waiting.drain(..) {
-                let wait = Duration::from_secs_f64(kept.len() as f64 / pace);
-                let left = waiting.deadline.saturating_duration_since(now);
-                if wait >= left {
-                    let retry = (wait + mean).saturating_sub(left).max(mean);
+                let wait = Duration::from_secs_f64(kept.len() as f64 / throughput);
+                let remaining = waiting.deadline.saturating_duration_since(now);
+                if wait >= remaining {
+                    let retry = (wait + mean).saturating_sub(remaining).max(mean);
                     out.push((Infeasible { retry }, waiting.item));
                 } else {
                     kept.push_back(waiting);
