--- a/components/coordination/src/fair.rs
+++ b/components/coordination/src/fair.rs
@@ -28,9 +28,9 @@
 #[derive(Debug)]
 struct Flow<T> {
     weight: f64,
-    /// Start tag of the account's next request, in seconds of virtual time: the weighted usage
-    /// charged so far, and never less than the virtual time at which the account's queue
-    /// last became non-empty.
+    /// Start tag of the account's next request, in seconds of virtual time: the weighted
+    /// usage charged so far, and never less than the virtual time at which the account's
+    /// queue last became non-empty.
     start_tag: f64,
     waiting: VecDeque<Queued<T>>,
 }
--- a/components/coordination/src/gate.rs
+++ b/components/coordination/src/gate.rs
@@ -1,49 +1,51 @@
-//! How many statements a host has under way at a server, and who waits.
+//! Adaptive concurrency limit of one host's statements at one server, with a priority
+//! queue.
 //!
-//! The load it answers: a group whose reads all come to its leader, because its
-//! replicas are seconds behind, so that more is asked of it than its slots can
-//! run. A server queues what comes, first come first served. With all connections
-//! of all hosts in that queue each answer takes ten times its work, and all are
-//! late. Here the queue stands at the hosts: each keeps as many statements under
-//! way as the server answers without queueing long, lets the more urgent go first and
-//! then what has the least time left, and refuses at once what would wait for too long.
-//! In the order of coming, long reads whose callers can wait would take the slots of
-//! short ones whose callers cannot, which are refused meanwhile.
+//! Guards against overload of a leader that serves all reads of its group because its
+//! replicas are seconds behind, so that the load exceeds its slots. A server runs
+//! statements first come, first served. With all connections of all hosts in that queue,
+//! each answer would take ten times its execution time and all answers would be late. The
+//! queue is therefore kept at the hosts: each host limits its statements in flight to what
+//! the server answers without long queueing, sends queued statements by priority and then
+//! by earliest queue deadline, and refuses statements at once whose wait would exceed their
+//! queue timeout. In order of arrival, long reads with long queue timeouts would take the
+//! slots of short reads with short ones, and the short reads would be refused.
 
 use std::{
     collections::BTreeSet,
     time::{Duration, Instant},
 };
 
-/// The first guess of an answer's time: a read's usual work.
+/// Initial mean answer time in seconds: a usual read.
 const INITIAL_MEAN: f64 = 0.035;
 
-/// How much a new answer moves the mean, as one part of so many.
+/// Smoothing of the mean answer time: each new answer has a weight of 1/12.
 const MEAN_SAMPLES: f64 = 12.0;
 
-/// How much a mean above the base moves the base: it follows servers that have
-/// become slower for good, not queues.
+/// Smoothing of the baseline while the mean is above it: each answer moves the baseline by
+/// 1/4000 of the difference, so that it follows servers that have become permanently
+/// slower, but not queues.
 const BASELINE_SAMPLES: f64 = 4000.0;
 
-/// Answers may take so many times the base before less is kept under way. Work is
-/// unequal, so a mean of a dozen answers wanders by half; a queue as long as the
-/// slots doubles it.
+/// Ratio of mean to baseline above which the limit shrinks. Execution times vary, so the
+/// mean of a dozen answers varies by half; a queue as long as the slots doubles it.
 const CONGESTION_RATIO: f64 = 2.2;
 
-/// The factor while answers take long, once for each round of answers.
+/// Factor applied to the limit, at most once per round of answers, while answers are slow.
 const SHRINK_FACTOR: f64 = 0.8;
 
-/// Statements under way at first. More grow within a second, if they are needed.
+/// Initial limit. If more are needed, the limit grows within a second.
 const INITIAL_LIMIT: f64 = 6.0;
 
-/// Statements under way at the least. Several hosts with one each fill the slots.
+/// Minimum limit. Several hosts with one statement each fill the slots.
 const MIN_LIMIT: f64 = 1.0;
 
-/// What waits: the urgent first, then what has the least time left, then in the order
-/// of coming.
+/// Sort key of a queued statement: priority (0 is the most urgent), queue deadline, arrival
+/// sequence number.
 pub type QueueKey = (u32, Instant, u64);
 
-/// A host's gate to one server.
+/// Concurrency limiter of one host for one server, with the queue of statements above the
+/// limit.
 #[derive(Clone, Debug)]
 pub struct Gate {
     limit: f64,
@@ -54,24 +56,24 @@
     baseline: f64,
     waiting: BTreeSet<QueueKey>,
     next_sequence: u64,
-    /// Answers until the limit may shrink again: those under way when it shrank
-    /// still show the longer queue.
+    /// Answers until the limit may shrink again: statements that were in flight when it
+    /// shrank still reflect the longer queue.
     cooldown: f64,
 }
 
-/// How a statement is received.
+/// Outcome of [`Gate::enter`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may be sent now; it counts as under way.
+    /// The statement may be sent now and counts as in flight.
     Admitted,
-    /// It waits in this place.
+    /// The statement is queued under this key.
     Queued(QueueKey),
-    /// It would wait too long; come back after this time.
+    /// The estimated wait exceeds the queue timeout; retry after this time.
     Refused(Duration),
 }
 
 impl Gate {
-    /// A gate that keeps `max_limit` statements under way at most.
+    /// Creates a gate with at most `max_limit` (at least 1) statements in flight.
     pub fn new(max_limit: usize) -> Self {
         Self {
             limit: INITIAL_LIMIT.min(max_limit.max(1) as f64),
@@ -86,32 +88,33 @@
         }
     }
 
-    /// Sets the least and the most that may be under way.
+    /// Sets the minimum and maximum limit.
     ///
-    /// A host that alone sends to a server keeps its slots filled at the least, however
-    /// long answers take: fewer would leave slots idle while callers are refused.
+    /// The only host that sends to a server needs a minimum that keeps the server's slots
+    /// filled, however long answers take: with fewer statements in flight, slots would be
+    /// idle while callers are refused.
     pub fn set_bounds(&mut self, min_limit: usize, max_limit: usize) {
         self.max_limit = max_limit.max(1) as f64;
         self.min_limit = (min_limit as f64).clamp(MIN_LIMIT, self.max_limit);
         self.limit = self.limit.clamp(self.min_limit, self.max_limit);
     }
 
-    /// Statements under way.
+    /// Returns the number of statements in flight.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Statements that wait.
+    /// Returns the number of queued statements.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// How many may be under way now.
+    /// Returns the current limit.
     pub fn limit(&self) -> usize {
         self.limit.max(self.min_limit) as usize
     }
 
-    /// How long the next one of that priority would wait that may wait until then.
+    /// Estimates the wait of a new statement with this priority and queue deadline.
     pub fn wait(&self, priority: u32, deadline: Instant) -> Duration {
         if self.running < self.limit() && self.waiting.is_empty() {
             return Duration::ZERO;
@@ -120,7 +123,8 @@
         Duration::from_secs_f64(ahead as f64 * self.mean / self.limit.max(self.min_limit))
     }
 
-    /// Receives a statement that may wait for `queue_timeout`; 0 is the most urgent priority.
+    /// Admits, queues or refuses a statement that may wait for `queue_timeout`; 0 is the
+    /// most urgent priority.
     pub fn enter(&mut self, priority: u32, queue_timeout: Duration, now: Instant) -> Admission {
         let deadline = now + queue_timeout;
         let wait = self.wait(priority, deadline);
@@ -137,18 +141,19 @@
         Admission::Queued(key)
     }
 
-    /// A statement of an open transaction goes on: it holds a connection, and
-    /// perhaps locks, until its transaction ends.
+    /// Admits a statement of an open transaction regardless of the limit: the transaction
+    /// holds a connection, and possibly locks, until it ends.
     pub fn go_on(&mut self) {
         self.running += 1;
     }
 
-    /// Gives up a place.
+    /// Removes a statement from the queue.
     pub fn leave(&mut self, key: QueueKey) {
         self.waiting.remove(&key);
     }
 
-    /// A statement is under way no more; `took` if it was answered.
+    /// Ends a statement in flight; `took` is its answer time, `None` if it was not
+    /// answered.
     pub fn end(&mut self, took: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         let Some(took) = took else { return };
@@ -169,7 +174,8 @@
         }
     }
 
-    /// The next that may be sent, if there is room; it counts as under way.
+    /// Drops statements whose queue deadline has passed and, if the limit allows it,
+    /// dequeues the next one, which then counts as in flight.
     pub fn next(&mut self, now: Instant) -> Option<QueueKey> {
         self.waiting.retain(|(_, deadline, _)| *deadline > now);
         if self.running >= self.limit() {
