--- a/components/coordination/src/demand.rs
+++ b/components/coordination/src/demand.rs
@@ -1,28 +1,30 @@
-//! One account's rate over all hosts, by what hosts tell each other.
+//! Rate limits of accounts over all hosts, based on the demand that hosts report to each
+//! other.
 //!
-//! The load it answers: a balancer that spreads callers unevenly over the hosts,
-//! accounts of which a few are large, an account that sends several times its rate,
-//! and all of that while hosts die and come back. Fixed parts would refuse callers at
-//! the host where most of them are, while other hosts have tokens that nobody asks for.
+//! Handles a load balancer that spreads callers unevenly over the hosts, accounts of which
+//! a few are large, and an account that sends several times its rate, all while hosts fail
+//! and return. With fixed parts, callers would be refused at the host where most of them
+//! are connected while other hosts have unused tokens.
 //!
-//! Each host keeps a copy of the one bucket that the account has. It fills by the
-//! whole rate and is emptied by what all hosts *told* that they admitted, the host's
-//! own figure included. All copies are drawn from the same figures, so they agree
-//! within the interval of telling. Until the next figures each host may admit its
-//! *weight* of what is left: three quarters of the weight follow the demand that was
-//! told, with what nobody asks for spread equally, and one quarter is equal. What all
-//! admit meanwhile is no more than was left.
+//! Each host keeps a replica of the account's single token bucket. It fills at the full
+//! rate and is drained by what all hosts *reported* as admitted, this host included. All
+//! replicas are computed from the same reports, so they agree within one report interval.
+//! Until the next reports each host may admit its *weight* of the remaining tokens: three
+//! quarters of the weight follow the reported demand, with the unrequested part of the rate
+//! divided equally, and one quarter is equal. All hosts together admit no more than what
+//! remained.
 //!
-//! A host that starts has equal weights until it has heard the others; it takes their
-//! level over. When all hosts died the level is lost with them. A bucket then begins with
-//! a part of the tolerance that hosts do not use otherwise: what was admitted before they
-//! died and what is admitted after it stays within the limit over any window, however
-//! short they were away, and accounts within their rate are served again at once.
+//! A host that has just started uses equal weights until the others have reported, and
+//! takes over their bucket level. When all hosts fail, the level is lost. A bucket then
+//! starts with a part of the tolerance that hosts do not use otherwise: requests admitted
+//! before and after the restart together stay within the limit over any window, however
+//! short the outage, and accounts within their rate are served again immediately.
 //!
-//! Hosts that do not hear each other must not both use what is left. A host that has
-//! been quiet for a moment has its weight set apart. Hosts that hear less than half of
-//! the fleet fall back to the least part each; later, when that has surely happened,
-//! the others share the rest. Two halves have half of the rate each.
+//! Hosts that cannot reach each other must not both use the remaining tokens. The weight of
+//! a host without recent reports is reserved. Hosts in contact with less than half of the
+//! fleet fall back to the minimum part each; the other hosts share the rest only later,
+//! when that fallback has certainly happened. If the fleet splits into two halves, each
+//! half has half of the rate.
 
 use std::{
     cmp::Ordering,
@@ -42,72 +44,77 @@
     reports::{AccountReport, Report},
 };
 
-/// The part of a weight that follows the demand.
+/// Fraction of a weight that follows the demand.
 const DEMAND_WEIGHT: f64 = 0.75;
 
-/// When a host that hears less than half of the hosts uses the least part only.
+/// Time after which a host that has lost contact with more than half of the fleet uses only
+/// the minimum part.
 pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Demand that is not told, in requests a second: forgotten but for a trace.
+/// Demand in requests per second below which an account is left out of reports: almost all
+/// of it has decayed.
 const MIN_REPORTED_RATE: f64 = 0.05;
 
-/// The part of the slack that hosts may admit beyond their weight of what is left, each
-/// an equal part of it. Callers come in clusters: with nine hosts and a small account a
-/// weight is less than the three or four requests that come together.
+/// Fraction of the slack that hosts may admit beyond their weight of the remaining tokens,
+/// divided equally between them. Requests arrive in clusters: with nine hosts and a small
+/// account, a weight is less than the three or four requests that arrive together.
 const SLACK_FRACTION: f64 = 0.25;
 
-/// The longest time after which callers are told to come back: demand may have
-/// moved by then.
+/// Maximum retry delay given to callers: demand may have shifted by then.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// What was decided about a request.
+/// Decision on one request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Ruling {
-    /// Whether it may run.
+    /// Whether the request may run.
     pub admitted: bool,
     /// This host's part of the rate, from 0 to 1.
     pub part: f64,
-    /// What all hosts have that this one hears, from 0 to 1.
+    /// Part of the rate shared by the hosts that this host can reach, itself included, from
+    /// 0 to 1.
     pub side: f64,
-    /// What was left for all of them.
+    /// Tokens that remained for all of these hosts.
     pub level: f64,
-    /// When a token will be there.
+    /// Time until a token is expected to be available.
     pub retry: Duration,
 }
 
-/// This host's part of an account's rate.
+/// This host's part of an account's rate, as fractions from 0 to 1.
 #[derive(Clone, Copy, Debug)]
 struct Part {
-    /// What all hosts have that this one hears, itself included.
+    /// Part of the rate shared by the participants in contact with this host, its own
+    /// included.
     side: f64,
-    /// What this host has of that.
+    /// This host's fraction of `side`.
     weight: f64,
-    /// What this host has of its party's weight.
+    /// This host's fraction of its participant's weight.
     share: f64,
 }
 
-/// A host's share of its party's weight; `others` more hosts may be admitting for the party.
-fn share(mine: f64, all: f64, others: usize) -> f64 {
+/// Returns a host's fraction of its participant's weight; up to `others` more hosts admit
+/// requests for the same participant.
+fn share(own_rate: f64, requested: f64, others: usize) -> f64 {
     let equal = 1.0 / (others + 1) as f64;
-    let by_demand = if all > 0.0 { mine / all } else { equal };
+    let by_demand = if requested > 0.0 { own_rate / requested } else { equal };
     DEMAND_WEIGHT * by_demand + (1.0 - DEMAND_WEIGHT) * equal
 }
 
-/// The rates of all accounts at one host.
+/// Rate limits of all accounts at one host.
 #[derive(Debug)]
 pub struct Demand {
     tolerance: Tolerance,
     run: u64,
     no: u64,
-    /// The party that this host is of, and the other hosts of it.
+    /// Participant that this host belongs to, with the reports of its other hosts.
     own: (Option<HostId>, Participant),
-    /// The other parties.
+    /// Other participants.
     participants: BTreeMap<HostId, Participant>,
     ledgers: HashMap<AccountId, Ledger>,
 }
 
 impl Demand {
-    /// No demand yet; `run` tells this start of the host from others.
+    /// Creates an empty state; `run` identifies this process among successive ones of the
+    /// host.
     pub fn new(tolerance: Tolerance, run: u64, now: Instant) -> Self {
         Self {
             tolerance,
@@ -119,11 +126,11 @@
         }
     }
 
-    /// Notes an account that came into being while this host ran: its bucket is full,
-    /// but for what the others have told that they admitted since.
+    /// Adds an account that was created while this host runs: its bucket starts full, less
+    /// the admissions that other hosts have already reported.
     ///
-    /// Guards against the refusals of a new account's first second, whose callers come at
-    /// the pace of an old one.
+    /// Guards against refusals in the first second of a new account whose callers already
+    /// send at their full rate.
     pub fn create(&mut self, account: &AccountId, rate: Rate, burst: Burst, now: Instant) {
         if self.ledgers.contains_key(account) {
             return self.set_contract(account, rate, burst, now);
@@ -139,7 +146,7 @@
         }
     }
 
-    /// Sets the party that this host is of and the others.
+    /// Sets the participant that this host belongs to and the other participants.
     pub fn set_participants(
         &mut self,
         own: &HostId,
@@ -157,15 +164,15 @@
         self.participants = others.into_iter().map(known).collect();
     }
 
-    /// Notes an account's contract. It begins without its burst: hosts that start anew
-    /// would otherwise grant it again each time.
+    /// Sets an account's contract. A new bucket starts without its burst; otherwise hosts
+    /// would grant the burst again at every restart.
     pub fn set_contract(&mut self, account: &AccountId, rate: Rate, burst: Burst, now: Instant) {
         let start = Ledger::new(rate, burst, &self.tolerance, now);
         let ledger = self.ledgers.entry(account.clone()).or_insert(start);
         (ledger.rate, ledger.burst) = (rate, burst);
     }
 
-    /// Takes a report of what the host `from` of a party admitted.
+    /// Processes a report of the host `from`, which belongs to `participant`.
     pub fn receive_report(
         &mut self,
         participant: &HostId,
@@ -178,7 +185,7 @@
         let participant =
             if own { Some(&mut self.own.1) } else { self.participants.get_mut(participant) };
         let Some(participant) = participant else { return };
-        // What a lost party admitted was within the part that was left to it.
+        // Admissions of a lost participant were within the minimum part reserved for it.
         let charged =
             own || (participant.has_reported() && participant.liveness(now) != Liveness::Lost);
         let Some(admitted) = participant.receive(from, report, now) else { return };
@@ -194,12 +201,13 @@
         }
     }
 
-    /// Notes that another host of this host's party admits nothing now.
+    /// Records that another host of this host's participant currently admits no requests.
     pub fn mark_idle(&mut self, host: &HostId) {
         self.own.1.mark_idle(host);
     }
 
-    /// Notes what this host admitted and is asked for, as it is reported to all others now.
+    /// Takes a snapshot of this host's admissions and demand for the reports that are sent
+    /// to all other hosts now, and charges the admissions to the buckets.
     pub fn publish(&mut self, now: Instant) {
         self.no += 1;
         let accounts: Vec<_> = self.ledgers.keys().cloned().collect();
@@ -213,7 +221,7 @@
         }
     }
 
-    /// The report of what was noted last.
+    /// Returns the report of the last snapshot.
     pub fn report(&self, now: Instant) -> Report {
         let new = self.is_new(now);
         let active = self.ledgers.iter().filter(|(_, ledger)| ledger.reported > MIN_REPORTED_RATE);
@@ -226,14 +234,16 @@
         Report { run: self.run, no: self.no, figures: figures.collect() }
     }
 
-    /// Whether another party that may be there has not been heard since it is known here.
+    /// Returns whether another participant that may be running has not reported since it
+    /// became known here.
     fn is_new(&self, now: Instant) -> bool {
         let pending = |p: &Participant| !p.has_reported() && p.liveness(now) != Liveness::Lost;
         self.participants.values().any(pending)
     }
 
-    /// The part of every rate that the hosts heard within that time share, this
-    /// one included. Over all sides of a cut the sum is 1 at most.
+    /// Returns the part of every rate shared by the participants heard from within
+    /// `timeout`, this host's own included. The sum over all sides of a network partition
+    /// is at most 1.
     fn pool(&self, timeout: Duration, now: Instant) -> f64 {
         let hosts = (self.participants.len() + 1) as f64;
         let silences = self
@@ -249,26 +259,27 @@
         }
     }
 
-    /// This host's part of the account's rate.
+    /// Returns this host's part of the account's rate.
     fn part(&self, account: &AccountId, now: Instant) -> Part {
         let ledger = self.ledgers.get(account);
-        let (mine, contract_rate) =
+        let (own_rate, contract_rate) =
             ledger.map_or((0.0, 0.0), |ledger| (ledger.reported, ledger.rate.0));
         let peers = self.own.1.rates(account, now);
-        let (others, ours) = peers.fold((0, mine), |(n, sum), rate| (n + 1, sum + rate));
+        let (others, participant_rate) =
+            peers.fold((0, own_rate), |(n, sum), rate| (n + 1, sum + rate));
         let present = self
             .participants
             .values()
             .filter(|participant| participant.liveness(now) != Liveness::Lost);
         let count = (present.clone().count() + 1) as f64;
-        let all =
-            ours + present.clone().map(|participant| participant.rate(account, now)).sum::<f64>();
-        let total = all.max(contract_rate).max(f64::MIN_POSITIVE);
+        let requested = participant_rate
+            + present.clone().map(|participant| participant.rate(account, now)).sum::<f64>();
+        let total = requested.max(contract_rate).max(f64::MIN_POSITIVE);
         let initialized = !self.is_new(now);
-        // What nobody asks for is spread equally.
+        // Rate that is not requested is divided equally.
         let weight = |rate: f64| match initialized {
             true => {
-                let by_demand = (rate + (total - all) / count) / total;
+                let by_demand = (rate + (total - requested) / count) / total;
                 DEMAND_WEIGHT * by_demand + (1.0 - DEMAND_WEIGHT) / count
             }
             false => 1.0 / count,
@@ -278,20 +289,20 @@
             suspects.map(|participant| weight(participant.rate(account, now))).sum();
         let pool = self.pool(ISOLATION_TIMEOUT, now).min(self.pool(LOST_TIMEOUT, now));
         let unreserved = (1.0 - reserved).max(f64::MIN_POSITIVE);
-        let share = share(mine, ours, others);
+        let share = share(own_rate, participant_rate, others);
         Part {
             side: pool.min(unreserved),
-            weight: (weight(ours) / unreserved).min(1.0) * share,
+            weight: (weight(participant_rate) / unreserved).min(1.0) * share,
             share,
         }
     }
 
-    /// Takes a token for a request of the account.
+    /// Decides on a request of the account; takes a token if it is admitted.
     pub fn take(&mut self, account: &AccountId, rate: Rate, burst: Burst, now: Instant) -> Ruling {
         self.set_contract(account, rate, burst, now);
         let part = self.part(account, now);
         let tolerance = self.tolerance;
-        let ledger = self.ledgers.get_mut(account).expect("the account is known by now");
+        let ledger = self.ledgers.get_mut(account).expect("contract was set above");
         ledger.requests.add(now);
         ledger.fill(&tolerance, part.side, now);
         let unreported = (ledger.admitted - ledger.admitted_reported) as f64;
