--- a/components/coordination/src/bucket.rs
+++ b/components/coordination/src/bucket.rs
@@ -1,14 +1,13 @@
-//! One account's tokens at one host, and the loans between hosts.
+//! Token bucket of one account at one host, with loans between hosts.
 //!
-//! What is promised: over any time `t` all hosts together hand out at most
-//! `rate * t + burst` tokens. Why it holds: call the stock the sum of all
-//! hosts' own tokens and of all lent tokens that can still be spent. It grows
-//! only by refilling, by `rate` in all. A host that lends deducts before it
-//! answers, and counts the loan against its own ceiling for as long as the loan
-//! can be spent; so own tokens and loans of a host never exceed its part of the
-//! burst, and the stock never exceeds the whole. A lost message loses tokens.
-//! A doubled or late one makes none: a loan is received once, under the number
-//! that it was asked with, and only while that question is open.
+//! Invariant: over any time `t` all hosts together hand out at most `rate * t + burst`
+//! tokens. Proof: let the stock be the sum of all hosts' own tokens and of all lent tokens
+//! that can still be spent. The stock grows only by refilling, by `rate` in total. A lender
+//! deducts tokens before it answers, and counts the loan against its own ceiling for as
+//! long as the loan can be spent; so the own tokens and loans of a host never exceed its
+//! part of the burst, and the stock never exceeds the whole burst. A lost message loses
+//! tokens. A duplicated or late message creates none: a loan is received once, under the id
+//! of its request, and only while that request is pending.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -17,18 +16,18 @@
 
 use crate::{HostId, shares::Share};
 
-/// How long a loan may be spent, from when it was asked for.
+/// Time after the request during which a loan may be spent.
 pub const LOAN_TTL: Duration = Duration::from_millis(400);
 
-/// How long a host that lends counts a loan against its ceiling, from when it
-/// lent. Longer than [`LOAN_TTL`] by what two clocks may differ; the loan
-/// was asked for before it was lent.
+/// Time after lending during which the lender counts a loan against its ceiling. Longer
+/// than [`LOAN_TTL`] by the possible difference of two clocks; the loan is always requested
+/// before it is lent.
 pub const LENDER_HOLD_TTL: Duration = Duration::from_millis(500);
 
-/// The time over which demand is measured and for which tokens are borrowed ahead.
+/// Time over which demand is measured, and for which tokens are borrowed in advance.
 pub const DEMAND_WINDOW: Duration = Duration::from_millis(200);
 
-/// Number of a loan; each question of a host has its own.
+/// Id of a loan; each loan request of a host has its own.
 pub type LoanId = u64;
 
 /// Tokens lent to another host.
@@ -37,7 +36,7 @@
     borrower: HostId,
     id: LoanId,
     tokens: f64,
-    /// Until when it counts against the ceiling.
+    /// Time until which the loan counts against the ceiling.
     until: Instant,
 }
 
@@ -47,41 +46,42 @@
     lender: HostId,
     id: LoanId,
     tokens: f64,
-    /// Until when it may be spent.
+    /// Time until which the loan may be spent.
     until: Instant,
 }
 
-/// A question that waits for its answer.
+/// A pending loan request.
 #[derive(Clone, Debug)]
 struct LoanRequest {
     lender: HostId,
     sent: Instant,
 }
 
-/// One account's tokens at one host.
+/// Token bucket of one account at one host.
 #[derive(Debug)]
 pub struct Bucket {
     share: Share,
-    /// Own tokens; with `lent` at most the share's burst.
+    /// Own tokens; together with `lent` at most the burst of `share`.
     level: f64,
-    /// Up to when `level` has been refilled.
+    /// Time up to which `level` has been refilled.
     refilled: Instant,
-    /// Loans that may still be spent elsewhere, in order of their ends.
+    /// Loans that may still be spent by other hosts, ordered by end time.
     lent: VecDeque<Lent>,
-    /// Loans that may be spent here, in order of their ends.
+    /// Loans that may be spent here, ordered by end time.
     borrowed: Vec<Borrowed>,
     pending: HashMap<LoanId, LoanRequest>,
-    /// Loans of which nothing will be spent any more, by lender.
+    /// Ended loans not yet reported to their lenders, by lender.
     ended: HashMap<HostId, Vec<LoanId>>,
     next_id: LoanId,
-    /// Tokens wanted, fading over [`DEMAND_WINDOW`].
+    /// Demand in tokens, decaying with time constant [`DEMAND_WINDOW`].
     demand: f64,
-    demanded: Instant,
+    /// Time of the last request that counted as demand.
+    last_demand: Instant,
 }
 
 impl Bucket {
-    /// An empty bucket. `first_id` is random, so that a restarted host's loans
-    /// are not taken for those of before.
+    /// Creates an empty bucket. `first_id` must be random, so that loans of a restarted
+    /// host are not mistaken for those before the restart.
     pub fn new(share: Share, first_id: LoanId, now: Instant) -> Self {
         Self {
             share,
@@ -93,35 +93,36 @@
             ended: HashMap::new(),
             next_id: first_id,
             demand: 0.0,
-            demanded: now,
+            last_demand: now,
         }
     }
 
-    /// Fills it; only for an account of which nobody can have used anything.
+    /// Fills the bucket; allowed only if no host can have used tokens of the account yet.
     pub fn fill(&mut self) {
         self.level = self.ceiling();
     }
 
-    /// Sets this host's part; what stands above it is dropped at once.
+    /// Sets this host's part of the contract; tokens above its burst are dropped
+    /// immediately.
     pub fn set_share(&mut self, share: Share, now: Instant) {
         self.refill(now);
         self.share = share;
         self.level = self.level.min(self.ceiling());
     }
 
-    /// This host's part.
+    /// Returns this host's part of the contract.
     pub fn share(&self) -> Share {
         self.share
     }
 
-    /// Takes one token, if there is one. Each call counts as demand.
+    /// Takes one token, if available. Each call counts as demand.
     pub fn take(&mut self, now: Instant) -> bool {
         self.demand = self.demand(now) + 1.0;
-        self.demanded = now;
+        self.last_demand = now;
         self.take_counted(now)
     }
 
-    /// Takes one token for a request that has been counted as demand.
+    /// Takes one token for a request that was already counted as demand.
     pub fn take_counted(&mut self, now: Instant) -> bool {
         if self.tokens(now) < 1.0 {
             return false;
@@ -137,21 +138,22 @@
         true
     }
 
-    /// Tokens that can be spent now.
+    /// Returns the number of tokens that can be spent now, borrowed ones included.
     pub fn tokens(&mut self, now: Instant) -> f64 {
         self.refill(now);
         self.end_loans(|loan| now >= loan.until);
         self.level + self.borrowed.iter().map(|loan| loan.tokens).sum::<f64>()
     }
 
-    /// Tokens to borrow for `waiting` requests and those expected soon.
+    /// Returns the number of tokens to borrow for `waiting` requests and the demand
+    /// expected in the next [`DEMAND_WINDOW`].
     pub fn want(&mut self, waiting: usize, now: Instant) -> f64 {
-        let soon = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
-        (waiting as f64 + soon.max(0.0) - self.tokens(now)).max(0.0).ceil()
+        let shortage = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
+        (waiting as f64 + shortage.max(0.0) - self.tokens(now)).max(0.0).ceil()
     }
 
-    /// Begins to ask `lender`; gives the loan's number, and the numbers of that
-    /// lender's loans that are over.
+    /// Starts a loan request to `lender`; returns the id of the loan, and the ids of ended
+    /// loans of that lender.
     pub fn ask(&mut self, lender: &HostId, now: Instant) -> (LoanId, Vec<LoanId>) {
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
@@ -159,8 +161,8 @@
         (id, self.ended.remove(lender).unwrap_or_default())
     }
 
-    /// Receives a loan. One that was not asked for, was received before or
-    /// comes too late is dropped.
+    /// Adds a loan. A loan that was not requested, was already received or arrives too late
+    /// is dropped.
     pub fn receive(&mut self, id: LoanId, tokens: f64, now: Instant) {
         let Some(request) = self.pending.remove(&id) else { return };
         let until = request.sent + LOAN_TTL;
@@ -171,29 +173,29 @@
         self.borrowed.insert(index, Borrowed { lender: request.lender, id, tokens, until });
     }
 
-    /// Gives a question up: its answer will be dropped.
+    /// Abandons a loan request; its answer will be dropped.
     pub fn abandon(&mut self, id: LoanId) {
         if let Some(request) = self.pending.remove(&id) {
             self.ended.entry(request.lender).or_default().push(id);
         }
     }
 
-    /// Lends up to `wanted` tokens, but not what is wanted here soon. The
-    /// borrower's loans that are over count against the ceiling no longer.
+    /// Lends up to `requested` tokens, excluding those needed here soon. Loans in `ended` no
+    /// longer count against the ceiling.
     ///
-    /// Only whole tokens: parts of one would lie at several hosts and run out
-    /// there before they make a whole.
+    /// Lends whole tokens only: fractions would be spread over several hosts and expire
+    /// there before they add up to a whole token.
     pub fn lend(
         &mut self,
         borrower: &HostId,
         id: LoanId,
-        wanted: f64,
+        requested: f64,
         ended: &[LoanId],
         now: Instant,
     ) -> f64 {
         self.refill(now);
         self.lent.retain(|loan| loan.borrower != *borrower || !ended.contains(&loan.id));
-        let tokens = self.spare(now).min(wanted).floor();
+        let tokens = self.spare(now).min(requested).floor();
         if tokens.is_nan() || tokens < 1.0 {
             return 0.0;
         }
@@ -203,14 +205,15 @@
         tokens
     }
 
-    /// Own tokens that are not expected to be wanted here soon.
+    /// Returns the number of own tokens not expected to be needed here soon.
     pub fn spare(&mut self, now: Instant) -> f64 {
         self.refill(now);
-        let soon = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
-        (self.level - soon.max(0.0)).max(0.0)
+        let shortage = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
+        (self.level - shortage.max(0.0)).max(0.0)
     }
 
-    /// How long until this host's own tokens make a whole one.
+    /// Returns the time until refilling makes a whole token available, at most 1 h; `None` if
+    /// the rate is zero.
     pub fn until_next(&mut self, now: Instant) -> Option<Duration> {
         let lacking = (1.0 - self.tokens(now)).max(0.0);
         let rate = self.share.rate.0;
@@ -218,7 +221,7 @@
     }
 
     fn demand(&self, now: Instant) -> f64 {
-        let since = now.saturating_duration_since(self.demanded);
+        let since = now.saturating_duration_since(self.last_demand);
         self.demand * (-since.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp()
     }
 
