--- a/components/coordination/src/shares.rs
+++ b/components/coordination/src/shares.rs
@@ -1,12 +1,11 @@
-//! Each host's part of every account's rate and burst, by the revision.
+//! Each host's part of every account's rate and burst, per configuration revision.
 //!
-//! The parts of one revision add up to the contract. While hosts may act on
-//! different revisions a host uses the least of its parts in any of them, so
-//! that the parts in use never add up to more:
-//! a part that shrinks does so at once, and one that grows, or is new, is used
-//! only when no host can act on an older revision any more. That is so once the
-//! revision has been told to majorities and the time for which freshness lasts
-//! has passed, and with it the time for which a loan may be spent.
+//! The parts of one revision add up to the contract. While hosts may act on different
+//! revisions, a host uses the minimum of its parts in all of them, so that the parts in use
+//! never add up to more: a part that shrinks does so immediately, and a part that grows or
+//! is new is used only when no host can act on an older revision any more. That is the case
+//! once majorities have acknowledged the revision, and then the freshness period and the
+//! time for which a loan may be spent have passed.
 
 use std::{
     collections::HashMap,
@@ -15,25 +14,25 @@
 
 use crate::{AccountId, Burst, HostId, Rate, Revision, bucket, rendezvous};
 
-/// The least burst of a part, in tokens. With less a host could never hold a
-/// whole token; so accounts with a small burst have fewer hosts that hold a
-/// part, and the others borrow from them.
+/// Minimum burst of a part, in tokens. With less, a host could never hold a whole token;
+/// accounts with a small burst therefore have fewer hosts that hold a part, and the other
+/// hosts borrow from them.
 const MIN_BURST: f64 = 2.0;
 
-/// How much slower one host's clock may run than another's.
+/// Maximum fraction by which one host's clock may run slower than another's.
 const MAX_CLOCK_DRIFT: f64 = 0.1;
 
 /// A rate with its burst.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Share {
-    /// Tokens a second.
+    /// Tokens per second.
     pub rate: Rate,
-    /// The most tokens at once.
+    /// Maximum number of accumulated tokens.
     pub burst: Burst,
 }
 
 impl Share {
-    /// Nothing.
+    /// Zero rate and burst.
     pub const NONE: Self = Self { rate: Rate(0.0), burst: Burst(0.0) };
 
     fn min(self, other: Self) -> Self {
@@ -49,37 +48,38 @@
     }
 }
 
-/// What one revision says of rates.
+/// Rates in one configuration revision.
 #[derive(Clone, Debug)]
 pub struct Allotment {
-    /// The revision.
+    /// Configuration revision.
     pub revision: Revision,
-    /// How long a host may act on it without showing freshness.
+    /// Freshness period: how long a host may act on the revision without confirming that it
+    /// is the newest.
     pub fresh: Duration,
-    /// The hosts, none twice.
+    /// Hosts of the fleet, without duplicates.
     pub roster: Vec<HostId>,
     /// Rate and burst of each account over the whole fleet.
     pub contracts: HashMap<AccountId, Share>,
 }
 
 impl Allotment {
-    /// The hosts that hold a part of the account's rate.
+    /// Returns the hosts that hold a part of the account's rate.
     pub fn holders(&self, account: &AccountId) -> Vec<&HostId> {
         let Some(contract) = self.contracts.get(account) else { return Vec::new() };
-        let most = (contract.burst.0 / MIN_BURST).floor().max(1.0) as usize;
+        let max_holders = (contract.burst.0 / MIN_BURST).floor().max(1.0) as usize;
         let mut hosts = rendezvous::order(account.as_str(), &self.roster);
-        hosts.truncate(most);
+        hosts.truncate(max_holders);
         hosts
     }
 
-    /// The part of each host that holds one.
+    /// Returns the part of each host that holds one.
     pub fn typical(&self, account: &AccountId) -> Share {
         let contract = self.contracts.get(account).copied().unwrap_or_default();
         contract.part(self.holders(account).len().max(1))
     }
 
-    /// The part of a host; `None` when the account is not known, so that no
-    /// host uses any of it.
+    /// Returns a host's part; `None` if the account is unknown, so that no host uses any of
+    /// its rate.
     fn part(&self, account: &AccountId, host: &HostId) -> Option<Share> {
         let contract = self.contracts.get(account)?;
         let holders = self.holders(account);
@@ -91,38 +91,41 @@
 #[derive(Debug)]
 struct ActiveRevision {
     allotment: Allotment,
-    /// When no host can act on an older one any more, once it was told.
+    /// Time from which no host can act on an older revision; `None` before the revision is
+    /// acknowledged and after it has settled.
     settles_at: Option<Instant>,
 }
 
-/// The parts of one host.
+/// Parts of all accounts at one host.
 #[derive(Debug)]
 pub struct Shares {
     host: HostId,
-    /// Revisions that some host may still act on, oldest first. Until the first
-    /// of them has settled there may be older ones that this host never knew.
+    /// Revisions that some host may still act on, oldest first. Until the first of them has
+    /// settled there may be older revisions that this host never received.
     active: Vec<ActiveRevision>,
+    /// Whether `active` contains every revision that some host may still act on.
     complete: bool,
 }
 
 impl Shares {
-    /// A host that has just started: it may use nothing, since its part may be
-    /// in use by the host that it replaces.
+    /// Creates the state of a host that has just started. It may use no tokens, since its
+    /// part may still be in use by the host that it replaces.
     pub fn new(host: HostId) -> Self {
         Self { host, active: Vec::new(), complete: false }
     }
 
-    /// This host has made the first revision of all: there is no older one.
+    /// Records that this host created the very first revision, so that there is no older
+    /// one.
     pub fn begin(&mut self) {
         self.complete = true;
     }
 
-    /// A newer revision is in force here.
+    /// Puts a newer revision into force on this host.
     ///
-    /// A host that missed the one before it knows nothing of the parts that others
-    /// may still use by that one: it starts like a host that has just started.
-    /// Otherwise a part that is the same before and after the gap would be used
-    /// beside the larger parts of others within it.
+    /// A host that missed the preceding revision does not know the parts that other hosts
+    /// may still use under it, so it starts over like a host that has just started.
+    /// Otherwise a part that is the same before and after the gap would be used together
+    /// with the larger parts of other hosts within the gap.
     pub fn advance(&mut self, allotment: Allotment) {
         let last = self.newest().map(|newest| newest.revision);
         if last.is_some_and(|last| last.next() != allotment.revision) {
@@ -132,11 +135,12 @@
         self.active.push(ActiveRevision { allotment, settles_at: None });
     }
 
-    /// The revision, and with it all before it, was told to majorities before `now`.
+    /// Records that majorities acknowledged the revision, and with it all earlier ones,
+    /// before `now`.
     ///
-    /// Each revision settles by itself. Were a later one to start the wait anew, a
-    /// fleet whose hosts are replaced one after another would have hosts without
-    /// any part all the while, and refuse accounts that are within their rate.
+    /// Each revision settles independently. If a later revision restarted the wait, a fleet
+    /// whose hosts are replaced one after another would have hosts without any part
+    /// throughout, and would refuse accounts that are within their rate.
     pub fn acknowledged(&mut self, revision: Revision, now: Instant) {
         let fresh = self.active.iter().map(|active| active.allotment.fresh).max();
         let wait =
@@ -149,13 +153,12 @@
         }
     }
 
-    /// Forgets revisions that no host can act on any more; since when parts that
-    /// grow may be used, if that has come. The parts in use stay below those of
-    /// the oldest revision that is left, which every host acts on or has seen.
+    /// Drops revisions that no host can act on any more, and returns the time since when
+    /// parts that grow may be used, if a revision has settled. The parts in use stay within
+    /// those of the oldest remaining revision, which every host acts on or has received.
     ///
-    /// Guards against a burst that is lost at a host that nobody has asked for a
-    /// while: `now` may be long after the parts settled, and tokens have been due
-    /// from then on.
+    /// Guards against losing the burst at a host without recent requests: `now` may be long
+    /// after the parts settled, and tokens accrue from that earlier time.
     pub fn settle(&mut self, now: Instant) -> Option<Instant> {
         let due = |active: &ActiveRevision| active.settles_at.is_some_and(|at| now >= at);
         let newest = self.active.iter().rposition(due)?;
@@ -164,7 +167,7 @@
         self.active[0].settles_at.take()
     }
 
-    /// What this host may use of an account's rate now.
+    /// Returns the part of an account's rate that this host may use now.
     pub fn share(&self, account: &AccountId) -> Share {
         let newest = self.newest().and_then(|newest| newest.part(account, &self.host));
         let Some(newest) = newest.filter(|_| self.complete) else { return Share::NONE };
@@ -173,8 +176,8 @@
         parts.fold(newest, Share::min)
     }
 
-    /// Whether the newest revision brought the account, so that nobody can have
-    /// used any of its rate before.
+    /// Returns whether the newest revision added the account, so that no host can have used
+    /// any of its rate before.
     pub fn is_new(&self, account: &AccountId) -> bool {
         let before = &self.active[..self.active.len().saturating_sub(1)];
         self.complete
@@ -182,7 +185,7 @@
             && before.iter().all(|active| !active.allotment.contracts.contains_key(account))
     }
 
-    /// The newest revision.
+    /// Returns the newest revision.
     pub fn newest(&self) -> Option<&Allotment> {
         self.active.last().map(|active| &active.allotment)
     }
