--- a/components/coordination/src/reports.rs
+++ b/components/coordination/src/reports.rs
@@ -1,9 +1,9 @@
-//! What processes report of the requests that they admitted, and how it is counted.
+//! Reports of the requests that processes admitted, and their accounting.
 //!
-//! A *party* shares one part of every rate: a failure domain whose hub admits for all its
-//! hosts, or a single host of a small fleet. Any candidate for the hub may admit requests,
-//! also two at once, so counts belong to the process that admitted, and a party's demand is
-//! the sum over its processes.
+//! A *participant* shares one part of every rate: a failure domain whose hub admits
+//! requests for all its hosts, or a single host of a small fleet. Any candidate for the hub
+//! may admit requests, even two at the same time, so counts are kept per admitting process,
+//! and a participant's demand is the sum over its processes.
 
 use std::{
     collections::BTreeMap,
@@ -14,42 +14,44 @@
 
 use crate::{AccountId, HostId, ledger::DEMAND_DECAY};
 
-/// When a party's weight is set apart: it has missed two of the reports that are sent
-/// every 400 ms.
+/// Time without reports after which a participant's weight is reserved: two of the reports
+/// that are sent every 400 ms are missing.
 pub const SUSPECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// When the others count on a silent party having fallen back to the least part.
+/// Time without reports after which the other participants assume that a silent one has
+/// fallen back to the minimum part.
 pub const LOST_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// When a host's counts are dropped. A host that reports again later is charged for what was
-/// asked for there of late.
+/// Time after which the counts of a host without reports are dropped. If the host reports
+/// again later, it is charged for its recent demand.
 const COUNTS_TTL: Duration = Duration::from_secs(60);
 
-/// One account in a report. Reports are sent several times a second and have hundreds of
-/// these, so they are sent as [`Packed`].
+/// Entry of one account in a report. Reports are sent several times per second with
+/// hundreds of entries, so they are serialized as [`Packed`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(from = "Packed", into = "Packed")]
 pub struct AccountReport {
-    /// The account.
+    /// Client account.
     pub account: AccountId,
-    /// Requests asked for, a second.
+    /// Demand in requests per second.
     pub rate: f32,
     /// Requests admitted since the process started.
     pub admitted: u64,
-    /// What the process believes is left in the account's bucket; none while it is new.
+    /// Tokens in the account's bucket as computed by the process; `None` while the process
+    /// is new.
     pub level: Option<f32>,
 }
 
-/// [`AccountReport`] without the names of their fields, and with numbers that fit in two bytes
-/// where their size allows it.
+/// [`AccountReport`] without field names, and with numbers that fit into two bytes where
+/// their magnitude allows it.
 type Packed = (AccountId, f32, u64, Option<f32>);
 
-/// The bits of a number that one of two bytes does not have.
-const LOW_BITS: u32 = 0x1FFF;
+/// Mantissa bits of an `f32` that a two-byte float does not have.
+const EXCESS_MANTISSA_BITS: u32 = 0x1FFF;
 
-/// The number with eleven significant bits, rounded towards zero.
-fn short(number: f32) -> f32 {
-    f32::from_bits(number.to_bits() & !LOW_BITS)
+/// Rounds a number to eleven significant bits, towards zero.
+fn truncate_mantissa(number: f32) -> f32 {
+    f32::from_bits(number.to_bits() & !EXCESS_MANTISSA_BITS)
 }
 
 impl From<Packed> for AccountReport {
@@ -60,29 +62,29 @@
 
 impl From<AccountReport> for Packed {
     fn from(AccountReport { account, rate, admitted, level }: AccountReport) -> Self {
-        (account, short(rate), admitted, level.map(short))
+        (account, truncate_mantissa(rate), admitted, level.map(truncate_mantissa))
     }
 }
 
-/// A report of one process: all accounts that are asked for there.
+/// Report of one process: all accounts with demand there.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Report {
-    /// Drawn at the start of the process.
+    /// Random number drawn when the process started.
     pub run: u64,
-    /// Grows with each report of the process.
+    /// Sequence number of the report within the process.
     pub no: u64,
-    /// One for each account.
+    /// One entry per account.
     pub figures: Vec<AccountReport>,
 }
 
-/// How long ago reports were received.
+/// Classification of a report's sender by the time since its last report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
-    /// In time.
+    /// Reports arrive in time.
     Live,
-    /// The sender may go on using its weight of what was left.
+    /// The sender may still be using its weight of the remaining tokens.
     Suspect,
-    /// The sender is dead, or it has noticed by now that it is cut off.
+    /// The sender is dead, or has detected by now that it is cut off.
     Lost,
 }
 
@@ -96,18 +98,20 @@
     }
 }
 
-/// What a host reported of the requests that it admitted.
+/// Reports of one host.
 #[derive(Debug)]
 struct Reporter {
-    /// The process that speaks for the host and the number of its last report.
+    /// Process that reports for the host, and the sequence number of its last report.
     last_report: (u64, u64),
-    /// The process before that one; what is received of it is out of date.
+    /// Process that reported before that one; its reports are out of date.
     previous_run: Option<u64>,
-    /// Requests a second; empty while the host admits nothing for its party.
+    /// Demand in requests per second; empty while the host admits no requests for its
+    /// participant.
     rates: BTreeMap<AccountId, f64>,
-    /// By account. Accounts without demand are left out of reports; their counts stay.
+    /// Admitted requests per account. Accounts without demand are left out of reports;
+    /// their counts stay.
     admitted: BTreeMap<AccountId, u64>,
-    /// When its last report was received.
+    /// Time at which the last report was received.
     last_contact: Instant,
 }
 
@@ -123,8 +127,8 @@
         }
     }
 
-    /// Whether a report is older than what is known of the host. Links that were cut deliver
-    /// old reports behind newer ones.
+    /// Returns whether a report is older than the last one from the host. Links that were
+    /// cut deliver old reports after newer ones.
     fn is_outdated(&self, report: &Report) -> bool {
         let (run, no) = self.last_report;
         if run == report.run { report.no <= no } else { self.previous_run == Some(report.run) }
@@ -138,16 +142,16 @@
         self.last_report = (report.run, report.no);
     }
 
-    /// Takes the counts of a report and returns, for each of its figures, what was admitted
-    /// since the report before.
+    /// Applies the entries of a report and returns, for each of them, the number of
+    /// requests admitted since the previous report.
     fn count(&mut self, figures: &[AccountReport], now: Instant) -> Vec<u64> {
         let lost = Liveness::since(self.last_contact, now) == Liveness::Lost;
         self.last_contact = now;
         self.rates =
             figures.iter().map(|entry| (entry.account.clone(), entry.rate.into())).collect();
         let charge = |entry: &AccountReport| {
-            // Without a recent count, all that was admitted of late is at most what was
-            // asked for of late.
+            // Without a recent count, the recent demand is an upper bound of the requests
+            // admitted recently.
             let recent_demand = (f64::from(entry.rate) * DEMAND_DECAY.as_secs_f64()).ceil() as u64;
             let before = self.admitted.insert(entry.account.clone(), entry.admitted);
             match before.and_then(|before| entry.admitted.checked_sub(before)) {
@@ -160,32 +164,33 @@
     }
 }
 
-/// The processes that share a part of every rate.
+/// Processes that share one part of every rate.
 #[derive(Debug)]
 pub struct Participant {
     reporters: BTreeMap<HostId, Reporter>,
-    /// When one of them was heard last, or the party became known.
+    /// Time of the last report of any of the processes, or when the participant became
+    /// known.
     pub last_contact: Instant,
 }
 
 impl Participant {
-    /// A party that is known since `now`.
+    /// Creates a participant that became known at `now`.
     pub fn new(now: Instant) -> Self {
         Self { reporters: BTreeMap::new(), last_contact: now }
     }
 
-    /// Whether any report was received.
+    /// Returns whether any report was received.
     pub fn has_reported(&self) -> bool {
         !self.reporters.is_empty()
     }
 
-    /// How long ago a report was received.
+    /// Classifies the participant by the time since its last report.
     pub fn liveness(&self, now: Instant) -> Liveness {
         Liveness::since(self.last_contact, now)
     }
 
-    /// Takes a report; for each of its figures, what was admitted since the host's report
-    /// before. `None` when the report is out of date.
+    /// Applies a report; returns, for each of its entries, the number of requests admitted
+    /// since the host's previous report, or `None` if the report is out of date.
     pub fn receive(&mut self, from: &HostId, report: &Report, now: Instant) -> Option<Vec<u64>> {
         let silence = |reporter: &Reporter| now.saturating_duration_since(reporter.last_contact);
         self.reporters.retain(|host, reporter| host == from || silence(reporter) < COUNTS_TTL);
@@ -200,20 +205,21 @@
         Some(reporter.count(&report.figures, now))
     }
 
-    /// Notes that a host of the party admits nothing now. Its counts stay.
+    /// Records that a host of the participant currently admits no requests. Its counts
+    /// stay.
     pub fn mark_idle(&mut self, host: &HostId) {
         if let Some(reporter) = self.reporters.get_mut(host) {
             reporter.rates.clear();
         }
     }
 
-    /// Requests of the account admitted by the party, as far as was reported.
+    /// Returns the account's requests admitted by the participant, as far as reported.
     pub fn admitted(&self, account: &AccountId) -> u64 {
         self.reporters.values().filter_map(|reporter| reporter.admitted.get(account)).sum()
     }
 
-    /// Requests of the account a second, by those processes that are heard; by the last one
-    /// that was where none is.
+    /// Returns the account's demand in requests per second, summed over the processes that
+    /// report in time; without any, the demand of the one that reported last.
     pub fn rate(&self, account: &AccountId, now: Instant) -> f64 {
         let rate = |reporter: &Reporter| reporter.rates.get(account).copied().unwrap_or_default();
         let live =
@@ -229,7 +235,8 @@
             .unwrap_or_default()
     }
 
-    /// Requests of the account a second at each process that may be admitting some.
+    /// Returns the account's demand in requests per second at each process that may be
+    /// admitting requests.
     pub fn rates(&self, account: &AccountId, now: Instant) -> impl Iterator<Item = f64> {
         let admits = move |reporter: &&Reporter| {
             !reporter.rates.is_empty()
