--- a/components/coordination/src/congestion.rs
+++ b/components/coordination/src/congestion.rs
@@ -1,42 +1,45 @@
-//! Whether statements for a server that another host queues for are refused without asking it.
+//! Backoff for statements whose queue is kept at another host.
 //!
-//! The load it answers: ten to a hundred times what the servers can run. The queue for a
-//! server stands at the host that holds its connections; every host that asks it for every
-//! statement only to be refused spends the holder's processor on refusals, and its callers
-//! wait for them. A refusal says how long the queue is, so a host knows until when the next
-//! statement would be refused too. Many hosts compete for the room that falls free: each
-//! that is refused again in a row waits twice as long, and one that is served starts anew.
+//! Guards against load of ten to a hundred times what the servers can run. The queue for a
+//! server is kept at the host that holds its connections. If every host sent the holder
+//! every statement only to have it refused, the holder's processor would be spent on
+//! refusals, and callers would wait for them. A refusal states how long the queue is, so a
+//! host can tell how long further statements would be refused as well. Many hosts compete
+//! for the slots that become free, so the delay doubles with each consecutive refusal, and
+//! shrinks again with each statement served.
 
 use std::{
     collections::BTreeMap,
     time::{Duration, Instant},
 };
 
-/// The least and the most time for which statements are refused after one refusal. The most
-/// keeps a queue of usual length from running empty while all hosts wait.
+/// Minimum and maximum time for which statements are refused after one refusal. The maximum
+/// keeps a queue of usual length from running empty while all hosts back off.
 const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(1280));
 
-/// How often the time is doubled at most.
+/// Maximum number of doublings of the delay.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// A queue that refused a statement.
 #[derive(Clone, Copy, Debug)]
 struct FullQueue {
+    /// Time until which such statements are refused.
     until: Instant,
-    /// How long the refused statement could have waited.
+    /// Queue timeout of the refused statement.
     queue_timeout: Duration,
-    /// Refusals less statements served.
+    /// Refusals minus statements served.
     streak: u32,
 }
 
-/// What a host knows of the queue for one server, by the priority of statements.
+/// Recent refusals of the queue for one server, by priority of the refused statement.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
     full: BTreeMap<u32, FullQueue>,
 }
 
 impl Backoff {
-    /// A statement that could wait for `queue_timeout` was refused: it would have waited for `wait`.
+    /// Records that the queue refused a statement with `queue_timeout` because it would
+    /// have waited for `wait`.
     pub fn refused(
         &mut self,
         priority: u32,
@@ -49,7 +52,7 @@
         let (min, max) = BACKOFF_RANGE;
         let excess = wait.saturating_sub(queue_timeout).max(min);
         let delay = excess.saturating_mul(1 << streak.min(MAX_DOUBLINGS)).min(max);
-        // One that could wait longer says more.
+        // The refusal of a statement with a longer queue timeout covers more statements.
         let previous = previous
             .filter(|previous| now < previous.until && previous.queue_timeout > queue_timeout);
         let queue_timeout = previous.map_or(queue_timeout, |previous| previous.queue_timeout);
@@ -57,16 +60,16 @@
         self.full.insert(priority, full);
     }
 
-    /// A statement of that priority was served at `now`.
+    /// Records that a statement of this priority was served at `now`.
     pub fn served(&mut self, priority: u32, now: Instant) {
-        // What is less urgent may be refused still.
+        // Less urgent statements may still be refused.
         for full in self.full.range_mut(..=priority).map(|(_, full)| full) {
             full.until = full.until.min(now);
             full.streak = full.streak.saturating_sub(1);
         }
     }
 
-    /// How long a statement would be refused; none if it may be sent.
+    /// Returns how long a statement would still be refused; `None` if it may be sent.
     pub fn remaining(
         &self,
         priority: u32,
