--- a/components/coordination/src/connections.rs
+++ b/components/coordination/src/connections.rs
@@ -1,43 +1,44 @@
-//! How many connections to a backend server a host opens and keeps.
+//! Bounds of the connections that a host opens and keeps to a backend server.
 //!
-//! The load it answers: 190 accounts before servers that take 193 connections and have five
-//! slots. A connection belongs to an account and its opening takes a slot as long as a short
-//! statement. Most accounts send a statement to a server every few seconds, so their
-//! connections are reused only if they stay open that long. The holder therefore keeps most
-//! of what the server takes, and leaves room for the standby that replaces it: a server goes
-//! on counting the connections of a host without power for seconds.
+//! Sized for deployments such as 190 accounts at servers that accept 193 connections and
+//! have five slots. A connection belongs to one account, and opening it occupies a slot as
+//! long as a short statement. Most accounts send a server a statement every few seconds, so
+//! their connections are reused only if they stay open that long. The holder therefore
+//! keeps most of the connections that the server accepts, and leaves headroom for the
+//! standby that replaces it: a server continues to count the connections of a host that
+//! lost power for seconds.
 
 use std::time::Duration;
 
 use crate::AccountId;
 
-/// The part of a server's connections that its holder leaves to others, as one part of so
-/// many.
+/// The holder leaves the server's connections divided by this number to other hosts.
 const HEADROOM_DIVISOR: usize = 10;
 
-/// Connections that a holder leaves for questions to the server, which open their own.
+/// Connections that the holder leaves for status queries to the server, which open their
+/// own connections.
 const PROBE_CONNECTIONS: usize = 3;
 
-/// Connections that a host may open however many hosts there are: enough for the
-/// transactions and statements that are received together at one host.
+/// Minimum number of connections that a host may open, regardless of the number of hosts:
+/// enough for the transactions and statements that arrive together at one host.
 const MIN_CAP: usize = 4;
 
-/// How long a connection beyond those that are kept stays open unused: longer than a usual
+/// Time after which an unused connection beyond `kept` is closed: longer than the usual
 /// pause between two statements of an account.
 const IDLE_TTL: Duration = Duration::from_millis(800);
 
-/// The same for a host without a share of its own: most of the server's connections are
+/// The same time for a host without a share of the server's connections: most of them are
 /// then in use by idle transactions.
 const SCARCE_IDLE_TTL: Duration = Duration::from_millis(100);
 
-/// What a host is to a server's connections.
+/// Role of a host for the connections of a server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Role {
-    /// It opens them for all hosts.
+    /// Opens connections on behalf of all hosts.
     Holder,
-    /// It does so while the holder cannot be reached.
+    /// Does so while the holder is unreachable.
     Standby,
-    /// It opens some where neither can be reached.
+    /// Opens connections only while neither of them is reachable.
     #[default]
     Other,
 }
@@ -45,18 +46,19 @@
 /// Bounds of a host's connections to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Bounds {
-    /// Connections that may be open; one at least.
+    /// Maximum number of open connections; at least 1.
     pub cap: usize,
-    /// Connections that stay open though unused; never more than `cap`.
+    /// Number of connections that stay open although unused; at most `cap`.
     pub kept: usize,
-    /// Connections that are opened ahead of the first statement of their accounts; at most
+    /// Number of connections opened before the first statement of their accounts; at most
     /// `kept`.
     pub ahead: usize,
-    /// How long one beyond `kept` stays open unused.
+    /// Time after which an unused connection beyond `kept` is closed.
     pub idle_ttl: Duration,
 }
 
-/// Bounds for a server that takes `max_connections` connections and runs `slots` statements at once.
+/// Returns the bounds for a server that accepts `max_connections` connections and runs
+/// `slots` statements concurrently.
 pub fn bounds(max_connections: usize, slots: usize, hosts: usize, role: Role) -> Bounds {
     let share = max_connections / hosts.max(1);
     let min_cap = MIN_CAP.min(max_connections).max(1);
@@ -66,7 +68,8 @@
         Role::Holder => {
             let cap = max_connections.saturating_sub(PROBE_CONNECTIONS.min(headroom)).max(1);
             let kept = (max_connections - headroom).min(cap);
-            // Not one for each account: a fleet may have more groups than its callers use.
+            // Not one per account: a fleet may have more database groups than its callers
+            // use.
             let ahead = (slots + 1).min(kept);
             Bounds { cap, kept, ahead, idle_ttl: IDLE_TTL }
         }
@@ -82,22 +85,22 @@
     }
 }
 
-/// What a host has under way at a server.
+/// Current use of a server by a host.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Usage {
     /// Connections open or being opened.
     pub open: usize,
-    /// Statements sent and not answered.
+    /// Statements sent but not answered yet.
     pub running: usize,
-    /// Statements that wait to be sent.
+    /// Statements waiting to be sent.
     pub waiting: usize,
 }
 
-/// The account for which a connection is opened ahead of its first statement, if a slot is
-/// free for it: the first of `accounts` that has none.
+/// Returns the account for which to open a connection before its first statement, if a slot
+/// is free: the first of `accounts` without a connection.
 ///
-/// Guards against slow first seconds after a start, in which every statement would open a
-/// connection and wait for it.
+/// Guards against slow statements in the first seconds after a start, when every statement
+/// would have to wait for a new connection.
 pub fn next_to_open(
     accounts: &[AccountId],
     has_connection: impl Fn(&AccountId) -> bool,
--- a/components/coordination/src/idle.rs
+++ b/components/coordination/src/idle.rs
@@ -1,19 +1,19 @@
-//! Connections that nobody uses, by the account that they are for and by their last use.
+//! Idle connections, indexed by account and by last use.
 //!
-//! The load it answers: thousands of accounts before one server that takes thousands of
-//! connections. Each statement looks for a connection of its account, and each connection that
-//! is opened ahead for an account that has none; neither may look at all the others.
+//! Sized for thousands of accounts at one server that accepts thousands of connections.
+//! Each statement looks up a connection of its account, and each connection opened in
+//! advance looks for an account without one; neither may scan all connections.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use crate::ids;
 
-/// Connections that nobody uses.
+/// Idle connections of one server.
 #[derive(Debug)]
 pub struct Connections<T> {
-    /// By the order in which they were put, the one used last at the end.
+    /// Connections in order of last use, the most recently used last.
     by_use: BTreeMap<u64, (ids::AccountId, T)>,
-    /// The keys in `by_use` of each account's connections; no account has none.
+    /// Keys in `by_use` of each account's connections; never an empty set.
     by_account: HashMap<ids::AccountId, BTreeSet<u64>>,
     next_key: u64,
 }
@@ -25,47 +25,48 @@
 }
 
 impl<T> Connections<T> {
-    /// Puts a connection that was just used.
+    /// Adds a connection that was just used.
     pub fn push(&mut self, account: ids::AccountId, connection: T) {
         self.by_account.entry(account.clone()).or_default().insert(self.next_key);
         self.by_use.insert(self.next_key, (account, connection));
         self.next_key += 1;
     }
 
-    /// How many there are.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.by_use.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.by_use.is_empty()
     }
 
-    /// Whether the account has one.
+    /// Returns whether the account has a connection.
     pub fn has(&self, account: &ids::AccountId) -> bool {
         self.by_account.contains_key(account)
     }
 
-    /// Takes the account's connection with the least `cost`, among equals the one used last.
+    /// Removes and returns the account's connection with the lowest `cost`; among equal
+    /// ones the most recently used.
     pub fn take(&mut self, account: &ids::AccountId, cost: impl Fn(&T) -> usize) -> Option<T> {
         let keys = self.by_account.get(account)?.iter().rev();
         let key = *keys.min_by_key(|key| self.by_use.get(*key).map(|(_, entry)| cost(entry)))?;
         self.remove(key)
     }
 
-    /// Takes the connection used last.
+    /// Removes and returns the most recently used connection.
     pub fn pop_newest(&mut self) -> Option<T> {
         let (key, _) = self.by_use.last_key_value()?;
         self.remove(*key)
     }
 
-    /// The connection that has not been used for longest.
+    /// Returns the least recently used connection.
     pub fn oldest(&self) -> Option<&T> {
         self.by_use.first_key_value().map(|(_, (_, connection))| connection)
     }
 
-    /// Takes the connection that has not been used for longest.
+    /// Removes and returns the least recently used connection.
     pub fn pop_oldest(&mut self) -> Option<T> {
         let (key, _) = self.by_use.first_key_value()?;
         self.remove(*key)
--- a/components/coordination/src/pace.rs
+++ b/components/coordination/src/pace.rs
@@ -1,19 +1,19 @@
-//! How long a large answer may take on its way to a slow caller.
+//! Time limit for sending a large answer to a slow caller.
 
 use std::time::Duration;
 
-/// Bytes a second that a caller must take of an answer, once its request's own
-/// time is used up.
+/// Minimum throughput, in bytes per second, at which a caller must receive an answer once
+/// its request's own timeout has passed.
 ///
-/// A caller holds one of a server's few slots while its answer is on the way.
-/// One that takes less than this would keep the slot from all others.
+/// A caller occupies one of a server's few slots while its answer is being sent. A slower
+/// caller would keep the slot from all others.
 pub const MIN_THROUGHPUT: u64 = 256 * 1024;
 
-/// The time that a caller is given, beside its request's own, for the bytes it
-/// has taken so far.
+/// Returns the time allowed, in addition to the request's own timeout, for the bytes
+/// received so far.
 ///
-/// It grows with what is taken and not with what is offered, so a caller that
-/// stops taking is given up, however large its answer is.
+/// The time grows with the bytes received and not with the size of the answer, so a caller
+/// that stops receiving is disconnected, however large its answer is.
 pub fn transfer_time(bytes: u64) -> Duration {
     Duration::from_millis(bytes.saturating_mul(1000) / MIN_THROUGHPUT)
 }
