--- a/components/coordination/src/connections.rs
+++ b/components/coordination/src/connections.rs
@@ -5,14 +5,14 @@
 //! long as a short statement. Most accounts send a server a statement every few seconds, so
 //! their connections are reused only if they stay open that long. The holder therefore
 //! keeps most of the connections that the server accepts, and leaves headroom for the
-//! standby that replaces it: a server continues to count the connections of a host that
-//! lost power for seconds.
+//! standby that replaces it: for seconds after a host loses power, a server still counts its
+//! connections.
 
 use std::time::Duration;
 
 use crate::AccountId;
 
-/// The holder leaves the server's connections divided by this number to other hosts.
+/// Fraction of a server's connections that its holder leaves to other hosts, as a divisor.
 const HEADROOM_DIVISOR: usize = 10;
 
 /// Connections that the holder leaves for status queries to the server, which open their
@@ -27,8 +27,8 @@
 /// pause between two statements of an account.
 const IDLE_TTL: Duration = Duration::from_millis(800);
 
-/// The same time for a host without a share of the server's connections: most of them are
-/// then in use by idle transactions.
+/// Time after which an unused connection is closed at a host without a share of the
+/// server's connections: most of them are then in use by idle transactions.
 const SCARCE_IDLE_TTL: Duration = Duration::from_millis(100);
 
 /// Role of a host for the connections of a server.
@@ -36,9 +36,9 @@
 pub enum Role {
     /// Opens connections on behalf of all hosts.
     Holder,
-    /// Does so while the holder is unreachable.
+    /// Opens connections on behalf of all hosts while the holder is unreachable.
     Standby,
-    /// Opens connections only while neither of them is reachable.
+    /// Opens connections only while neither holder nor standby is reachable.
     #[default]
     Other,
 }
--- a/components/coordination/src/pace.rs
+++ b/components/coordination/src/pace.rs
@@ -12,8 +12,8 @@
 /// Returns the time allowed, in addition to the request's own timeout, for the bytes
 /// received so far.
 ///
-/// The time grows with the bytes received and not with the size of the answer, so a caller
-/// that stops receiving is disconnected, however large its answer is.
+/// The time grows with the bytes received and not with the size of the answer, so an
+/// answer is abandoned when its caller stops receiving, however large it is.
 pub fn transfer_time(bytes: u64) -> Duration {
     Duration::from_millis(bytes.saturating_mul(1000) / MIN_THROUGHPUT)
 }
