--- a/components/coordination/src/ledger.rs
+++ b/components/coordination/src/ledger.rs
@@ -1,44 +1,44 @@
-//! One account's bucket at one host, and how much of it the others were told.
+//! One account's token bucket at one host, and what was reported of it to the other hosts.
 
 use std::time::{Duration, Instant};
 
 use crate::{Burst, Rate};
 
-/// How long demand counts: the time in which most of an old figure is forgotten.
+/// Time constant of the exponential decay of demand.
 pub const DEMAND_DECAY: Duration = Duration::from_millis(2000);
 
-/// The part of the tolerance that hosts use on purpose. The rest is for what they
-/// cannot know: what a host admitted that died before it told, and clocks that differ.
+/// Fraction of the tolerance that hosts use deliberately. The rest covers what they cannot
+/// know: admissions of a host that died before reporting them, and differing clocks.
 const TOLERANCE_USED: f64 = 0.5;
 
-/// The part of the rest that a bucket begins with at the start of a host. Sums of 0.6 and
-/// of what hosts admit before they have told it stay below 1.
+/// Fraction of the rest with which a bucket starts when its host starts. The sum of 0.6 and
+/// the admissions that hosts have not reported yet stays below 1.
 const INITIAL_FRACTION: f64 = 0.6;
 
 /// How far a rate may be exceeded over the whole fleet.
 ///
-/// It is there to be used: with no more than just the rate, a host refuses
-/// requests that one bucket for all would have admitted, whenever callers come to
-/// the hosts in another rhythm than tokens do.
+/// Hosts use part of it deliberately: with the bare rate, a host refuses requests that a
+/// single bucket for all hosts would have admitted, whenever requests arrive at the hosts
+/// in another rhythm than their tokens accrue.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tolerance {
-    /// As a part of the rate and the burst.
+    /// As a fraction of the rate and the burst.
     pub overage: f64,
-    /// In requests, within one window.
+    /// In requests per window.
     pub slack: f64,
-    /// The window over which it is counted.
+    /// Window over which the excess is counted.
     pub window: Duration,
 }
 
 impl Tolerance {
-    /// What a bucket begins with whose level is not known.
+    /// Returns the initial level of a bucket whose previous level is unknown.
     pub fn start(&self, rate: Rate, burst: Burst) -> f64 {
         let overage_tokens = self.overage * (rate.0 * self.window.as_secs_f64() + burst.0);
         INITIAL_FRACTION * (1.0 - TOLERANCE_USED) * (overage_tokens + self.slack)
     }
 }
 
-/// How often something was asked for of late.
+/// Exponentially decaying measure of a request rate.
 #[derive(Clone, Debug)]
 pub struct Meter {
     rate: f64,
@@ -46,44 +46,46 @@
 }
 
 impl Meter {
-    /// Requests a second.
+    /// Returns the rate at `now`, in requests per second.
     pub fn decayed(&self, now: Instant) -> f64 {
         let elapsed = now.saturating_duration_since(self.updated);
         self.rate * (-elapsed.as_secs_f64() / DEMAND_DECAY.as_secs_f64()).exp()
     }
 
-    /// Notes a request.
+    /// Records a request.
     pub fn add(&mut self, now: Instant) {
         self.rate = self.decayed(now) + 1.0 / DEMAND_DECAY.as_secs_f64();
         self.updated = now;
     }
 }
 
-/// One account at this host.
+/// State of one account at this host.
 #[derive(Debug)]
 pub struct Ledger {
-    /// What the account may use a second, over all hosts.
+    /// Tokens per second over all hosts.
     pub rate: Rate,
-    /// What it may save up, over all hosts.
+    /// Maximum number of accumulated tokens over all hosts.
     pub burst: Burst,
-    /// What callers ask of this host.
+    /// Requests received by this host.
     pub requests: Meter,
-    /// What the others were told of `asked`.
+    /// Rate of `requests` that was last reported to the other hosts, in requests per
+    /// second.
     pub reported: f64,
-    /// Requests admitted since the start.
+    /// Requests admitted since the process started.
     pub admitted: u64,
-    /// How many of them the others were told of; never more than `admitted`.
+    /// Number of admitted requests that were reported to the other hosts; at most
+    /// `admitted`.
     pub admitted_reported: u64,
-    /// What is left for this side of the fleet, by all that was told.
+    /// Tokens remaining for this side of the fleet, according to all reports.
     pub level: f64,
-    /// Up to when `level` is filled.
+    /// Time up to which `level` has been filled.
     pub updated: Instant,
-    /// The part of the rate that this side had at `updated`.
+    /// Part of the rate, from 0 to 1, that this side had at `updated`.
     pub side: f64,
 }
 
 impl Ledger {
-    /// The bucket of an account whose level is not known.
+    /// Creates the state of an account whose bucket level is unknown.
     pub fn new(rate: Rate, burst: Burst, tolerance: &Tolerance, now: Instant) -> Self {
         Self {
             rate,
@@ -98,18 +100,19 @@
         }
     }
 
-    /// Tokens a second that this side has.
+    /// Returns the fill rate of this side in tokens per second.
     pub fn fill_rate(&self, tolerance: &Tolerance) -> f64 {
         let factor = 1.0 + TOLERANCE_USED * tolerance.overage;
         (self.rate.0 * self.side * factor).max(f64::MIN_POSITIVE)
     }
 
-    /// The most that this side may save up.
+    /// Returns the maximum level of this side.
     pub fn max_level(&self, tolerance: &Tolerance) -> f64 {
         (self.burst.0 + TOLERANCE_USED * tolerance.slack) * self.side
     }
 
-    /// Saves what has come, and leaves to hosts that are not heard any more what is theirs.
+    /// Fills the bucket up to `now`. When `side` shrinks, leaves their part of the level to
+    /// the hosts that are no longer reachable.
     pub fn fill(&mut self, tolerance: &Tolerance, side: f64, now: Instant) {
         if side < self.side {
             self.level *= side / self.side;
@@ -121,9 +124,9 @@
         self.updated = now;
     }
 
-    /// Takes out what was admitted. What was admitted beyond what was known to be left,
-    /// by a host that came back, is not held against the account for longer than it
-    /// takes to fill the bucket once.
+    /// Removes tokens for admitted requests. The level has a lower bound of minus one
+    /// burst, so admissions beyond it, reported by a host that reconnects, count against
+    /// the account for no longer than it takes to fill the bucket once.
     pub fn spend(&mut self, tokens: f64) {
         self.level = (self.level - tokens).max(-self.burst.0.max(1.0));
     }
--- a/components/coordination/src/lenders.rs
+++ b/components/coordination/src/lenders.rs
@@ -1,4 +1,4 @@
-//! Whom a host asks for tokens, so that few messages are needed.
+//! Selection of the hosts from which tokens are borrowed, with few messages.
 
 use std::{
     collections::HashMap,
@@ -7,42 +7,43 @@
 
 use crate::{HostId, shares::Share};
 
-/// How long a host's word on its tokens is believed: longer than that its own
-/// demand may have ended.
+/// Time for which a host's last reported number of spare tokens is used; after that, its
+/// own demand may have ended.
 const SPARE_TTL: Duration = Duration::from_millis(50);
 
-/// How long a host that did not answer is passed over.
+/// Time for which a host that did not answer is skipped.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What was last heard of a lender.
+/// Result of the last request to a lender.
 #[derive(Clone, Copy, Debug)]
 struct Contact {
-    /// Tokens that it could still lend.
+    /// Tokens that the host could still lend.
     spare: f64,
-    received: Instant,
+    /// Time of the answer, or of the failure to answer.
+    updated: Instant,
     answered: bool,
 }
 
-/// What is known of the hosts that may lend.
+/// Results of the last requests to the hosts that may lend tokens.
 #[derive(Debug, Default)]
 pub struct Lenders {
     contacts: HashMap<HostId, Contact>,
 }
 
 impl Lenders {
-    /// Notes that a host answered, and what it could still lend.
+    /// Records a host's answer, with the number of tokens that it could still lend.
     pub fn answered(&mut self, host: &HostId, spare: f64, now: Instant) {
-        self.contacts.insert(host.clone(), Contact { spare, received: now, answered: true });
+        self.contacts.insert(host.clone(), Contact { spare, updated: now, answered: true });
     }
 
-    /// Notes that a host did not answer.
+    /// Records that a host did not answer.
     pub fn failed(&mut self, host: &HostId, now: Instant) {
-        self.contacts.insert(host.clone(), Contact { spare: 0.0, received: now, answered: false });
+        self.contacts.insert(host.clone(), Contact { spare: 0.0, updated: now, answered: false });
     }
 
-    /// The fewest hosts that may have `want` tokens together, the richest
-    /// first, and how many to ask of each. Empty when no host is known to have
-    /// a whole one; then asking is not worth it.
+    /// Selects the fewest hosts that together may have `want` tokens, those with the most
+    /// tokens first, and the number of tokens to request from each. Empty if no host is
+    /// expected to have a whole token; a request is not worthwhile then.
     pub fn choose(
         &self,
         hosts: impl IntoIterator<Item = HostId>,
@@ -50,25 +51,25 @@
         want: f64,
         now: Instant,
     ) -> Vec<(HostId, f64)> {
-        let guess = |host: &HostId| self.guess(host, share, now);
-        let mut hosts: Vec<_> = hosts.into_iter().map(|host| (guess(&host), host)).collect();
+        let estimate = |host: &HostId| self.estimate(host, share, now);
+        let mut hosts: Vec<_> = hosts.into_iter().map(|host| (estimate(&host), host)).collect();
         hosts.sort_by(|(a, _), (b, _)| b.total_cmp(a));
-        let mut left = want;
+        let mut missing = want;
         let mut chosen = Vec::new();
-        for (guess, host) in hosts {
-            if guess < 1.0 || left <= 0.0 {
+        for (estimate, host) in hosts {
+            if estimate < 1.0 || missing <= 0.0 {
                 break;
             }
-            let tokens = guess.min(left);
-            left -= tokens;
+            let tokens = estimate.min(missing);
+            missing -= tokens;
             chosen.push((host, tokens));
         }
         chosen
     }
 
-    fn guess(&self, host: &HostId, share: Share, now: Instant) -> f64 {
+    fn estimate(&self, host: &HostId, share: Share, now: Instant) -> f64 {
         let Some(contact) = self.contacts.get(host) else { return share.burst.0 };
-        let since = now.saturating_duration_since(contact.received);
+        let since = now.saturating_duration_since(contact.updated);
         match contact.answered {
             false if since < RETRY_DELAY => 0.0,
             true if since < SPARE_TTL => contact.spare + share.rate.0 * since.as_secs_f64(),
