--- a/components/coordination/src/pieces.rs
+++ b/components/coordination/src/pieces.rs
@@ -104,11 +104,11 @@
     }
 
     /// A piece; `None` of a document that is not there, or from beyond its end.
-    pub fn piece(&self, wanted: PieceRequest) -> Option<Piece> {
+    pub fn piece(&self, request: PieceRequest) -> Option<Piece> {
         let Document { digest, bytes, confirmed, .. } =
-            self.documents.iter().find(|document| document.revision == wanted.revision)?;
-        let from = usize::try_from(wanted.from.0).ok().filter(|from| *from < bytes.len())?;
-        let most = usize::try_from(wanted.most.min(MAX_PIECE).0).ok()?;
+            self.documents.iter().find(|document| document.revision == request.revision)?;
+        let from = usize::try_from(request.from.0).ok().filter(|from| *from < bytes.len())?;
+        let most = usize::try_from(request.most.min(MAX_PIECE).0).ok()?;
         let to = bytes.len().min(from + most);
         let whole = Size(bytes.len() as u64);
         Some(Piece { digest: *digest, whole, confirmed: *confirmed, bytes: bytes.slice(from..to) })
@@ -161,7 +161,7 @@
     }
 
     /// The piece to ask for next.
-    pub fn wanted(&self) -> PieceRequest {
+    pub fn next_request(&self) -> PieceRequest {
         let from = Size(self.bytes.len() as u64);
         PieceRequest { revision: self.revision, from, most: self.piece_size }
     }
--- a/components/coordination/tests/pieces.rs
+++ b/components/coordination/tests/pieces.rs
@@ -63,7 +63,7 @@
     let mut asks: BinaryHeap<_> = (0..hosts.len()).map(|n| Reverse((Duration::ZERO, n))).collect();
     while let Some(Reverse((asked, host))) = asks.pop() {
         assert!(asked < Duration::from_secs(600), "the document never arrives");
-        let piece = shelf.piece(fetches[host].wanted()).unwrap();
+        let piece = shelf.piece(fetches[host].next_request()).unwrap();
         let sent = teller.pass(asked + LATENCY, piece.bytes.len());
         let came = lines[host].pass(sent, piece.bytes.len());
         let took = came - asked;
@@ -126,14 +126,14 @@
     let (first, second) = (shelf(100_000), shelf(100_000));
     let mut fetch = Fetch::new(ONE);
     let quick = Duration::from_millis(1);
-    let piece = first.piece(fetch.wanted()).unwrap();
+    let piece = first.piece(fetch.next_request()).unwrap();
     assert_eq!(fetch.take(piece, quick), Progress::More);
-    let piece = first.piece(fetch.wanted()).unwrap();
+    let piece = first.piece(fetch.next_request()).unwrap();
     assert_eq!(fetch.take(piece, quick), Progress::More);
     fetch.miss();
     let mut told = 0;
     loop {
-        let piece = second.piece(fetch.wanted()).unwrap();
+        let piece = second.piece(fetch.next_request()).unwrap();
         told += piece.bytes.len();
         match fetch.take(piece, quick) {
             Progress::More => {}
@@ -153,16 +153,16 @@
     let mut other = Documents::default();
     other.add(ONE, document(20_001));
     let mut fetch = Fetch::new(ONE);
-    fetch.take(first.piece(fetch.wanted()).unwrap(), quick);
-    assert_eq!(fetch.take(other.piece(fetch.wanted()).unwrap(), quick), Progress::Restarted);
-    assert_eq!(fetch.wanted().from, Size(0));
+    fetch.take(first.piece(fetch.next_request()).unwrap(), quick);
+    assert_eq!(fetch.take(other.piece(fetch.next_request()).unwrap(), quick), Progress::Restarted);
+    assert_eq!(fetch.next_request().from, Size(0));
 
-    let piece = first.piece(fetch.wanted()).unwrap();
+    let piece = first.piece(fetch.next_request()).unwrap();
     let mut bytes = piece.bytes.to_vec();
     bytes[7] ^= 1;
     let damaged = Piece { bytes: bytes.into(), ..piece };
     assert_eq!(fetch.take(damaged, quick), Progress::More);
-    assert_eq!(fetch.take(first.piece(fetch.wanted()).unwrap(), quick), Progress::Restarted);
+    assert_eq!(fetch.take(first.piece(fetch.next_request()).unwrap(), quick), Progress::Restarted);
 }
 
 /// Versions come faster than one can be fetched. A host that began with the newest each time
@@ -172,12 +172,12 @@
     let mut shelf = shelf(10_000);
     let mut fetch = Fetch::new(ONE);
     let quick = Duration::from_millis(1);
-    assert_eq!(fetch.take(shelf.piece(fetch.wanted()).unwrap(), quick), Progress::More);
+    assert_eq!(fetch.take(shelf.piece(fetch.next_request()).unwrap(), quick), Progress::More);
     (2..=4).for_each(|version| shelf.add(Revision(version), document(50_000)));
-    let piece = shelf.piece(fetch.wanted()).unwrap();
+    let piece = shelf.piece(fetch.next_request()).unwrap();
     assert_eq!(fetch.take(piece, quick), Progress::Complete(document(10_000)));
     shelf.add(Revision(5), document(50_000));
-    assert_eq!(shelf.piece(Fetch::new(ONE).wanted()), None, "old ones stay for ever");
+    assert_eq!(shelf.piece(Fetch::new(ONE).next_request()), None, "old ones stay for ever");
 }
 
 /// Guards against a host refusing its callers although it has the last revision but one.
@@ -192,10 +192,10 @@
     assert_eq!(shelf.confirmed(), at(7), "an added document starts from the former's time");
     shelf.confirm(at(9));
     let mut fetch = Fetch::new(ONE);
-    fetch.take(shelf.piece(fetch.wanted()).unwrap(), at(0));
+    fetch.take(shelf.piece(fetch.next_request()).unwrap(), at(0));
     assert_eq!(fetch.confirmed, at(7));
     let mut fetch = Fetch::new(Revision(2));
-    fetch.take(shelf.piece(fetch.wanted()).unwrap(), at(0));
+    fetch.take(shelf.piece(fetch.next_request()).unwrap(), at(0));
     assert_eq!(fetch.confirmed, at(9));
 }
 
--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -35,7 +35,7 @@
     let began = host.now();
     loop {
         let asked = host.now();
-        let answer = link.ask(Question::Piece(fetch.wanted()), pieces::PIECE_TIMEOUT).await;
+        let answer = link.ask(Question::Piece(fetch.next_request()), pieces::PIECE_TIMEOUT).await;
         let piece = match answer {
             Ok(Answer::Piece(piece)) => piece,
             Ok(_) => None,
@@ -92,7 +92,7 @@
 }
 
 fn note_miss(host: &Host, link: &Link, fetch: &Fetch, asked: Instant, error: &anyhow::Error) {
-    let (wanted, ms) = (fetch.wanted(), (host.now() - asked).as_millis() as u64);
+    let (wanted, ms) = (fetch.next_request(), (host.now() - asked).as_millis() as u64);
     let error = format_args!("{error:#}");
     info!(
         version = wanted.revision.0, at = wanted.from.0, from = %link.host, ms, %error,
