--- a/components/coordination/src/outcome.rs
+++ b/components/coordination/src/outcome.rs
@@ -1,21 +1,21 @@
-//! What became of a request that runs at most once.
+//! Outcomes of requests that run at most once.
 //!
-//! Each request with an id has a row in the outcome table of its database
-//! group, written in the request's own transaction. Whoever writes the row
-//! first read it, and writes it only if it is still as read; so of several
-//! attempts, however late one wakes, one alone gets through.
+//! Each request with an id has a row in the outcome table of its database group, written in
+//! the request's own transaction. Every writer reads the row first, and writes it only if
+//! it is unchanged; so of several attempts, however late one of them resumes, only one
+//! succeeds.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// One attempt to run a request or to rule it out; never used twice.
+/// One attempt to run a request or to rule it out; its id is never reused.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Attempt(Box<str>);
 
 impl Attempt {
-    /// The attempt of that random number.
+    /// Creates an attempt with a random id.
     pub fn new(random: u128) -> Self {
         Self(format!("{random:032x}").into())
     }
@@ -27,16 +27,16 @@
     }
 }
 
-/// What a row of the outcome table says.
+/// Content of a row of the outcome table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Row {
     /// The request ran.
     Done,
-    /// This attempt ruled out all those that began before it.
+    /// This attempt ruled out all attempts that began before it.
     Void(Attempt),
 }
 
-/// A text is no row of the outcome table.
+/// Error: a text is not a row of the outcome table.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{0:?} is no outcome")]
 pub struct RowError(Box<str>);
@@ -44,7 +44,7 @@
 impl FromStr for Row {
     type Err = RowError;
 
-    /// Reads a state and an attempt, with a blank between.
+    /// Parses a state and an attempt, separated by a space.
     fn from_str(text: &str) -> Result<Self, RowError> {
         match text.split_once(' ') {
             Some(("done", _)) => Ok(Self::Done),
@@ -54,29 +54,30 @@
     }
 }
 
-/// How a row is written so that it collides with every other attempt.
+/// How a row is written so that it conflicts with every other attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Claim {
-    /// There was none: insert it, which fails if there is one by now.
+    /// There was no row: insert it, which fails if there is one by now.
     Insert,
-    /// Replace the one of that attempt, which changes nothing if it is another's by now.
+    /// Replace the row of this attempt, which changes nothing if the row belongs to another
+    /// attempt by now.
     Replace(Attempt),
 }
 
-/// What to do with a request, or with the question what became of it.
+/// What to do with a request, or with a query for its outcome.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Plan {
-    /// Write the row: as done in the request's transaction, or as void alone.
+    /// Write the row: as done in the request's transaction, or as void on its own.
     Write(Claim),
-    /// The request ran before.
+    /// The request already ran.
     Done,
 }
 
-/// Plans from the row that was read.
+/// Returns the plan for the row that was read.
 ///
-/// A question writes a void row even where there is one: an attempt that
-/// planned from the old one may still be on its way, and would make the answer
-/// "not run" untrue after it was given.
+/// A query writes a void row even if there is one already: an attempt that made its plan
+/// from the old row may still be in progress, and would invalidate the answer "not run"
+/// after it was given.
 pub fn plan(row: Option<Row>) -> Plan {
     match row {
         None => Plan::Write(Claim::Insert),
@@ -85,16 +86,16 @@
     }
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// It ran, and stays so.
+    /// The request ran, and this is final.
     Done,
-    /// It did not run, and will not unless it is sent again.
+    /// The request did not run, and will not run unless it is sent again.
     NotRun,
-    /// Not yet known.
+    /// The outcome is not known yet.
     Unknown {
-        /// When to ask again.
+        /// Time after which to query the outcome again.
         again: Duration,
     },
 }
