--- a/components/coordination/src/refusal.rs
+++ b/components/coordination/src/refusal.rs
@@ -1,41 +1,41 @@
-//! Refusals: what was not served, whether it ran, and when to come back.
+//! Refusals of requests: the reason, whether the request ran, and when to retry.
 
 use std::{fmt, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// Why a request was refused.
+/// Reason why a request was refused.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Reason {
-    /// The account is over its rate and burst.
+    /// The account exceeds its rate and burst.
     Rate,
     /// The queue is too long for the request's deadline.
     Overload,
-    /// No server can serve it now.
+    /// No server can serve the request now.
     Unavailable,
     /// No majority of the group's servers is reachable, so no primary can be trusted.
     NoMajority,
-    /// The host cannot show that its revision is the newest.
+    /// The host cannot prove that its revision is the newest.
     Stale,
     /// The deadline passed.
     Deadline,
-    /// The host is stopping.
+    /// The host is shutting down.
     Draining,
-    /// The server or link was lost while the request ran.
+    /// The server or the link to it was lost while the request ran.
     Lost,
-    /// No server can show the age or point asked for.
+    /// No server can prove the freshness or position that the request requires.
     TooOld,
-    /// The account, key or group is not known, or the key was withdrawn.
+    /// The account, key or group is unknown, or the key was revoked.
     Denied,
-    /// The request id is in use by an attempt that still runs.
+    /// The request id is in use by an attempt that is still running.
     Busy,
-    /// The caller asked for something that is not carried.
+    /// The caller used a feature that is not supported.
     Unsupported,
-    /// The request id has been answered before.
+    /// The request with this id was already answered.
     Done,
 }
 
-/// Every reason, in order.
+/// All reasons, in declaration order.
 pub const REASONS: [Reason; 13] = [
     Reason::Rate,
     Reason::Overload,
@@ -72,37 +72,37 @@
     }
 }
 
-/// What became of a refused request.
+/// Whether a refused request ran.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Fate {
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// It ran before, under the same request id.
+    /// The request ran before, under the same request id.
     Done,
 }
 
-/// The final answer to a request that was not served.
+/// Final answer to a request that was not served.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub fate: Fate,
-    /// When to come back; `None` when coming back does not help.
+    /// Time after which to retry; `None` if retrying does not help.
     pub retry: Option<Duration>,
-    /// What a person should know.
+    /// Message for people.
     pub message: Box<str>,
 }
 
 impl Refusal {
-    /// A refusal of a request that did not run.
+    /// Creates a refusal of a request that did not run.
     pub fn not_run(reason: Reason, retry: Option<Duration>, message: impl Into<Box<str>>) -> Self {
         Self { reason, fate: Fate::NotRun, retry, message: message.into() }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn unknown(reason: Reason, retry: Option<Duration>, message: impl Into<Box<str>>) -> Self {
         Self { reason, fate: Fate::Unknown, retry, message: message.into() }
     }
