--- a/components/coordination/src/units.rs
+++ b/components/coordination/src/units.rs
@@ -1,16 +1,16 @@
-//! Sizes, rates and the positions of a replicated log.
+//! Sizes, rates and positions in a replicated log.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// Why a text is not a valid quantity.
+/// Error: a text is not a valid quantity.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{given:?} is not {wanted}")]
 pub struct UnitError {
-    /// The text that was given.
+    /// Text that was given.
     pub given: Box<str>,
-    /// What is wanted instead.
+    /// Description of the expected format.
     pub wanted: &'static str,
 }
 
@@ -30,7 +30,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The value that follows this one.
+            /// Returns the next value.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -53,26 +53,26 @@
 }
 
 counter! {
-    /// A term of leadership of a database group; each primary has its own.
+    /// Term of leadership of a database group; each primary has its own.
     Term, "a term (a whole number)"
 }
 counter! {
-    /// A place in the log of a database group, counted in records.
+    /// Position in the log of a database group, counted in records.
     Position, "a log position (a whole number)"
 }
 counter! {
-    /// A revision of the configuration; it never goes down.
+    /// Revision of the configuration; never decreases.
     Revision, "a revision (a whole number)"
 }
 counter! {
-    /// Bytes of a document or of a part of it.
+    /// Size of a document or of a part of it, in bytes.
     Size, "a size in bytes (a whole number)"
 }
 
-/// The last log record that a server holds or shows: its term and position.
+/// Term and position of the last log record that a server holds or makes visible.
 ///
-/// Ordered by term first, so that of two servers the greater point holds every
-/// write that was acknowledged in the lesser one's term or before.
+/// Ordered by term first, so that of two servers the one with the greater point holds every
+/// write that was acknowledged in the term of the lesser point or before.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -84,15 +84,17 @@
 }
 
 impl Point {
-    /// The point of the given term and position.
+    /// Creates a point from a term and a position.
     pub fn new(term: u64, position: u64) -> Self {
         Self { term: Term(term), position: Position(position) }
     }
 
-    /// Whether a server that shows `self` shows all that was acknowledged up to `floor`.
+    /// Returns whether a server at point `self` shows every write acknowledged up to
+    /// `floor`.
     ///
-    /// Both must hold: a stale log may run further than the acknowledged one,
-    /// and a new primary's log starts with all that was acknowledged before.
+    /// Both term and position must be reached: an outdated log may extend beyond the
+    /// acknowledged one, and a new primary's log starts with all writes acknowledged
+    /// before.
     pub fn covers(self, floor: Self) -> bool {
         self.term >= floor.term && self.position >= floor.position
     }
@@ -114,7 +116,7 @@
     }
 }
 
-/// Requests a second.
+/// Requests per second.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Rate(pub f64);
@@ -137,7 +139,7 @@
     }
 }
 
-/// The most requests that may run at once above the steady rate.
+/// Maximum number of requests that may run at once above the steady rate.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Burst(pub f64);
