--- a/components/coordination/src/ids.rs
+++ b/components/coordination/src/ids.rs
@@ -1,27 +1,27 @@
-//! Names of the things that the hosts speak about.
+//! Identifiers of accounts, hosts, servers and other entities shared between hosts.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name accepted, in bytes.
+/// Maximum length of a name in bytes.
 pub const MAX_ID_LEN: usize = 64;
 
-/// Why a text is not a valid name.
+/// Error: a text is not a valid name.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum IdError {
     /// The text is empty.
     #[error("a name must not be empty")]
     Empty,
-    /// The text is longer than [`MAX_ID_LEN`] bytes.
+    /// The text is longer than [`MAX_ID_LEN`] bytes; contains its length.
     #[error("a name has at most {MAX_ID_LEN} bytes, this one has {0}")]
     TooLong(usize),
-    /// The text holds a character outside `a-z A-Z 0-9 - _ :`.
+    /// The text contains a character outside `a-z A-Z 0-9 - _ :`.
     #[error("a name holds letters, digits, '-', '_' and ':', not {0:?}")]
     BadChar(char),
 }
 
-fn check(text: &str) -> Result<(), IdError> {
+fn validate(text: &str) -> Result<(), IdError> {
     if text.is_empty() {
         return Err(IdError::Empty);
     }
@@ -39,13 +39,13 @@
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         ///
-        /// Holds 1 to [`MAX_ID_LEN`] bytes of letters, digits, `-`, `_` and `:`.
+        /// Consists of 1 to [`MAX_ID_LEN`] bytes of letters, digits, `-`, `_` and `:`.
         #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
         #[serde(try_from = "Box<str>", into = "Box<str>")]
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -61,7 +61,7 @@
             type Err = IdError;
 
             fn from_str(text: &str) -> Result<Self, IdError> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(Arc::from(text)))
             }
         }
@@ -83,42 +83,42 @@
 }
 
 id! {
-    /// A client account.
+    /// Id of a client account.
     AccountId
 }
 id! {
-    /// A failure domain: machines that tend to fail together.
+    /// Id of a failure domain: machines that tend to fail together.
     FailureDomain
 }
 id! {
-    /// A database group.
+    /// Id of a database group.
     GroupId
 }
 id! {
-    /// An entry host.
+    /// Id of an entry host.
     HostId
 }
 id! {
-    /// A key of a client account.
+    /// Id of a key of a client account.
     KeyId
 }
 id! {
-    /// An operator, as the history names who made a change.
+    /// Id of an operator, recorded in the history as the author of a change.
     OperatorId
 }
 id! {
-    /// A region: failure domains that are near each other.
+    /// Id of a region: failure domains that are close to each other.
     Region
 }
 id! {
-    /// A caller's own name for a request that runs at most once.
+    /// Id chosen by a caller for a request that runs at most once.
     RequestId
 }
 id! {
-    /// A backend server.
+    /// Id of a backend server.
     ServerId
 }
 id! {
-    /// An operator's submit, so that a lost answer can be settled later.
+    /// Id of an operator's submission, used to look up its result when the answer was lost.
     SubmitId
 }
