--- a/components/coordination/src/token.rs
+++ b/components/coordination/src/token.rs
@@ -1,6 +1,6 @@
-//! The session token: what a caller has been told, carried by the caller.
+//! Session token: the positions that a session has seen, carried by the caller.
 //!
-//! It needs no state shared between hosts, so a session may move to any host.
+//! Hosts share no session state, so a session may move to any host.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +10,39 @@
 
 use crate::{AccountId, GroupId, Point};
 
-/// The most groups that one token tells about.
+/// Maximum number of groups in a token.
 pub const MAX_GROUPS: usize = 64;
 
 const TAG_LEN: usize = 16;
 
-/// Why a token is refused.
+/// Reason why a token is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum TokenError {
-    /// Not a token at all.
+    /// The text is not a token.
     #[error("the session token is damaged")]
     Malformed,
-    /// Signed with another secret, changed, or given to another account.
+    /// The token was signed with another secret, modified, or issued to another account.
     #[error("the session token was not given to this account")]
     Forged,
 }
 
-/// The secret that all hosts of a fleet share.
+/// Secret shared by all hosts of a fleet.
 #[derive(Clone)]
 pub struct Secret(Box<[u8]>);
 
 impl Secret {
-    /// The secret made of the given bytes.
+    /// Creates the secret from the given bytes.
     pub fn new(bytes: &[u8]) -> Self {
         Self(bytes.into())
     }
 
-    /// The keyed hash of the parts, in order, with their lengths.
+    /// Returns the keyed hash (HMAC-SHA-256) of the parts, in order, each with its length.
     pub fn sign(&self, parts: &[&[u8]]) -> [u8; 32] {
         self.mac(parts).finalize().into_bytes().into()
     }
 
-    /// Whether `tag` starts the keyed hash of the parts; takes the same time either way.
+    /// Returns whether `tag` is a prefix, of at least 16 bytes, of the keyed hash of the
+    /// parts. Compares in constant time.
     pub fn verify(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
         tag.len() >= TAG_LEN && self.mac(parts).verify_truncated_left(tag).is_ok()
     }
@@ -62,24 +63,25 @@
     }
 }
 
-/// The points that a session has been told of, a group each.
+/// Points of the log that a session has seen, one per group.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SessionToken {
     points: BTreeMap<GroupId, Point>,
 }
 
 impl SessionToken {
-    /// What the session must see in `group`.
+    /// Returns the session's required position in `group`.
     pub fn floor(&self, group: &GroupId) -> Option<Point> {
         self.points.get(group).copied()
     }
 
-    /// Whether the session has been told nothing.
+    /// Returns whether the session has seen no points.
     pub fn is_empty(&self) -> bool {
         self.points.is_empty()
     }
 
-    /// Notes a point that the session has been told of; never moves back.
+    /// Records a point that the session has seen; the required position never decreases.
+    /// Above [`MAX_GROUPS`] groups, the first ones in the order of their ids are dropped.
     pub fn raise(&mut self, group: &GroupId, point: Point) {
         let floor = self.points.entry(group.clone()).or_default();
         *floor = (*floor).max(point);
@@ -88,21 +90,21 @@
         }
     }
 
-    /// Notes all that another token tells.
+    /// Records all points of another token.
     pub fn merge(&mut self, other: &Self) {
         for (group, point) in &other.points {
             self.raise(group, *point);
         }
     }
 
-    /// The token as text, bound to the account.
+    /// Returns the token as text, signed for the account.
     pub fn seal(&self, account: &AccountId, secret: &Secret) -> String {
         let body = self.body();
         let tag = secret.sign(&[b"session", account.as_str().as_bytes(), body.as_bytes()]);
         format!("{body}.{}", URL_SAFE_NO_PAD.encode(&tag[..TAG_LEN]))
     }
 
-    /// Reads a token that was given to `account`.
+    /// Parses a token that was issued to `account` and checks its signature.
     pub fn open(text: &str, account: &AccountId, secret: &Secret) -> Result<Self, TokenError> {
         let (body, tag) = text.rsplit_once('.').ok_or(TokenError::Malformed)?;
         let tag = URL_SAFE_NO_PAD.decode(tag).map_err(|_| TokenError::Malformed)?;
