--- a/components/coordination/src/pieces.rs
+++ b/components/coordination/src/pieces.rs
@@ -1,12 +1,12 @@
-//! Fetching a large document from another host, piece by piece.
+//! Transfer of a large document from another host in pieces.
 //!
-//! The load it answers: a configuration of some hundred KB that all hosts of a failure
-//! domain fetch from one of them at the same moment, over links whose rates nobody knows
-//! and which carry statements and leases too. A whole document in one answer needs
-//! longer than an answer may take once it is large enough; asked for again it fills the
-//! link with copies that come too late, so that it never arrives and nothing else gets
-//! through. So a piece is asked for only when the one before has come, what has come is
-//! kept whatever happens to the link, and pieces are as large as the link shows to bear.
+//! Handles a configuration of some hundred KB that all hosts of a failure domain fetch from
+//! one of them at the same moment, over links of unknown bandwidth that also carry
+//! statements and leases. A large document in a single answer takes longer than the timeout
+//! of an answer; when it is requested again, the link fills with copies that arrive too
+//! late, so that the document never arrives and other traffic is blocked. A piece is
+//! therefore requested only after the preceding one has arrived, received pieces are kept
+//! when the link fails, and the size of pieces adapts to the link.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -16,50 +16,52 @@
 
 use crate::{Revision, Size};
 
-/// How long a piece is waited for while the link that it was asked over is up. A hundred
-/// hosts that ask one at the same moment have [`MIN_PIECE`] in this time over 1 Mbit/s; asked
-/// for sooner, all would be sent again while the first is still on its way.
+/// Timeout for a piece while its link is up. When a hundred hosts request one from the same
+/// host at the same moment over 1 Mbit/s, each receives [`MIN_PIECE`] in this time; with a
+/// shorter timeout, all pieces would be requested again while the first are still being
+/// sent.
 pub const PIECE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The smallest piece, and the first one, which shows what the link bears.
+/// Minimum size of a piece, and the size of the first one, which probes the link.
 const MIN_PIECE: Size = Size(4 * 1024);
 
-/// The largest piece. A link of 10 Mbit/s, busy with it for 100 ms, still serves callers.
+/// Maximum size of a piece. A link of 10 Mbit/s, occupied by it for 100 ms, can still serve
+/// callers.
 pub const MAX_PIECE: Size = Size(128 * 1024);
 
-/// After a piece that took less the next one is twice as large.
+/// Transfer time of a piece below which the size of the next one is doubled.
 const FAST_TRANSFER: Duration = Duration::from_millis(40);
 
-/// After a piece that took more the next one is half as large: what else goes over the
-/// link waits as long.
+/// Transfer time of a piece above which the size of the next one is halved: other traffic
+/// on the link is delayed by this time.
 const SLOW_TRANSFER: Duration = Duration::from_millis(160);
 
-/// Documents that a host gives out. Those before the newest are for hosts that have begun
-/// to fetch them: begun anew with each version, a fetch would never end while versions
-/// come faster than they can be fetched.
+/// Number of documents that a host offers. Older ones are for hosts that have begun to
+/// fetch them: if a fetch started over with each version, it would never finish while
+/// versions arrive faster than they can be fetched.
 const MAX_DOCUMENTS: usize = 4;
 
-/// The piece of a document that a host asks for.
+/// Request for a piece of a document.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PieceRequest {
-    /// The document.
+    /// Revision of the document.
     pub revision: Revision,
-    /// Where the piece begins.
+    /// Offset of the piece in bytes.
     pub from: Size,
-    /// How large it may be.
+    /// Maximum size of the piece in bytes.
     pub most: Size,
 }
 
-/// A piece of a document.
+/// Piece of a document.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Piece {
     /// Digest of the whole document.
     pub digest: u64,
-    /// Size of the whole document.
+    /// Size of the whole document in bytes.
     pub whole: Size,
-    /// Store time at which the sender knew the document to be the newest.
+    /// Store time at which the sender confirmed that the document was the newest.
     pub confirmed: Duration,
-    /// The piece.
+    /// Content of the piece.
     pub bytes: Bytes,
 }
 
@@ -68,19 +70,19 @@
     revision: Revision,
     digest: u64,
     bytes: Bytes,
-    /// Store time at which the document was known to be the newest; never decreases.
+    /// Store time at which the document was confirmed to be the newest; never decreases.
     confirmed: Duration,
 }
 
-/// The documents that a host gives out.
+/// Documents that a host offers to other hosts.
 #[derive(Debug, Default)]
 pub struct Documents {
-    /// The newest last.
+    /// Oldest first.
     documents: VecDeque<Document>,
 }
 
 impl Documents {
-    /// Adds the document of a revision that is newer than all before.
+    /// Adds the document of a revision that is newer than all others.
     pub fn add(&mut self, revision: Revision, bytes: Bytes) {
         let digest = xxh3::xxh3_64(&bytes);
         let confirmed = self.confirmed();
@@ -90,63 +92,66 @@
         }
     }
 
-    /// Notes that the newest document here was still the newest at store time `clock`.
+    /// Records that the newest document here was still the newest at store time `clock`.
     pub fn confirm(&mut self, clock: Duration) {
         if let Some(newest) = self.documents.back_mut() {
             newest.confirmed = newest.confirmed.max(clock);
         }
     }
 
-    /// Store time up to which nothing newer than the newest document here was accepted. It
-    /// holds for a newer document as well, so an added one starts from it.
+    /// Returns the store time up to which no document newer than the newest one here was
+    /// accepted. The time holds for a newer document as well, so an added one starts with
+    /// it.
     pub fn confirmed(&self) -> Duration {
         self.documents.back().map(|newest| newest.confirmed).unwrap_or_default()
     }
 
-    /// A piece; `None` of a document that is not there, or from beyond its end.
+    /// Returns a piece; `None` if the document is not available or the offset is beyond its
+    /// end.
     pub fn piece(&self, request: PieceRequest) -> Option<Piece> {
         let Document { digest, bytes, confirmed, .. } =
             self.documents.iter().find(|document| document.revision == request.revision)?;
         let from = usize::try_from(request.from.0).ok().filter(|from| *from < bytes.len())?;
         let most = usize::try_from(request.most.min(MAX_PIECE).0).ok()?;
-        let to = bytes.len().min(from + most);
+        let end = bytes.len().min(from + most);
         let whole = Size(bytes.len() as u64);
-        Some(Piece { digest: *digest, whole, confirmed: *confirmed, bytes: bytes.slice(from..to) })
+        Some(Piece { digest: *digest, whole, confirmed: *confirmed, bytes: bytes.slice(from..end) })
     }
 }
 
-/// What a piece has brought.
+/// Result of adding a piece to a fetch.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Progress {
-    /// There is more to fetch.
+    /// More pieces are missing.
     More,
-    /// The whole document.
+    /// The document is complete.
     Complete(Bytes),
-    /// What had come was of another document of that name, or was damaged: it is fetched anew.
+    /// The received pieces belonged to another document of the same revision or were
+    /// damaged; the fetch starts over.
     Restarted,
 }
 
-/// A document that is being fetched, from one host or from several in turn.
+/// Document being fetched, from one host or from several in turn.
 #[derive(Debug)]
 pub struct Fetch {
-    /// The document.
+    /// Revision of the document.
     pub revision: Revision,
-    /// Pieces that have come.
+    /// Number of pieces received.
     pub pieces: u32,
-    /// Pieces that did not come.
+    /// Number of pieces not received.
     pub missed: u32,
-    /// Store time at which a sender knew the document to be the newest.
+    /// Latest store time at which a sender confirmed that the document was the newest.
     pub confirmed: Duration,
-    /// Digest of the whole document; none before the first piece.
+    /// Digest of the whole document; `None` before the first piece.
     digest: Option<u64>,
-    /// The beginning of the document, as far as it has come.
+    /// Beginning of the document, as far as received.
     bytes: Vec<u8>,
-    /// How large the next piece may be; from [`MIN_PIECE`] to [`MAX_PIECE`].
+    /// Size to request for the next piece; from [`MIN_PIECE`] to [`MAX_PIECE`].
     piece_size: Size,
 }
 
 impl Fetch {
-    /// A fetch of which nothing has come.
+    /// Creates a fetch without any received pieces.
     pub fn new(revision: Revision) -> Self {
         let confirmed = Duration::ZERO;
         Self {
@@ -160,13 +165,13 @@
         }
     }
 
-    /// The piece to ask for next.
+    /// Returns the request for the next piece.
     pub fn next_request(&self) -> PieceRequest {
         let from = Size(self.bytes.len() as u64);
         PieceRequest { revision: self.revision, from, most: self.piece_size }
     }
 
-    /// Takes the piece that was asked for, which took so long.
+    /// Adds the requested piece, which was received after `took`.
     pub fn take(&mut self, piece: Piece, took: Duration) -> Progress {
         self.pieces += 1;
         self.confirmed = self.confirmed.max(piece.confirmed);
@@ -176,7 +181,8 @@
             self.shrink();
         }
         if self.digest.is_some_and(|digest| digest != piece.digest) {
-            // Another host's document of that revision. Of its beginning nothing has come.
+            // The sender has another document of the same revision, whose beginning was not
+            // received.
             return self.restart();
         }
         self.digest = Some(piece.digest);
@@ -190,7 +196,7 @@
         Progress::Complete(std::mem::take(&mut self.bytes).into())
     }
 
-    /// Notes that the piece did not come: the link was lost, or it took too long.
+    /// Records that the piece was not received: the link was lost, or the timeout passed.
     pub fn miss(&mut self) {
         self.missed += 1;
         self.shrink();
