--- a/components/coordination/src/demand.rs
+++ b/components/coordination/src/demand.rs
@@ -103,7 +103,9 @@
 #[derive(Debug)]
 pub struct Demand {
     tolerance: Tolerance,
+    /// Identifies this process among successive ones of the host.
     run: u64,
+    /// Sequence number of the last snapshot.
     no: u64,
     /// Participant that this host belongs to, with the reports of its other hosts.
     own: (Option<HostId>, Participant),
@@ -245,15 +247,15 @@
     /// `timeout`, this host's own included. The sum over all sides of a network partition
     /// is at most 1.
     fn pool(&self, timeout: Duration, now: Instant) -> f64 {
-        let hosts = (self.participants.len() + 1) as f64;
+        let count = (self.participants.len() + 1) as f64;
         let silences = self
             .participants
             .values()
             .map(|participant| now.saturating_duration_since(participant.last_contact));
         let reachable = (silences.filter(|silence| *silence < timeout).count() + 1) as f64;
-        let min_part = (1.0 - DEMAND_WEIGHT) / hosts;
-        match (2.0 * reachable).total_cmp(&hosts) {
-            Ordering::Greater => 1.0 - (hosts - reachable) * min_part,
+        let min_part = (1.0 - DEMAND_WEIGHT) / count;
+        match (2.0 * reachable).total_cmp(&count) {
+            Ordering::Greater => 1.0 - (count - reachable) * min_part,
             Ordering::Equal => 0.5,
             Ordering::Less => reachable * min_part,
         }
