--- a/components/coordination/src/bucket.rs
+++ b/components/coordination/src/bucket.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Lends up to `requested` tokens, excluding those needed here soon. Loans in `ended` no
-    /// longer count against the ceiling.
+    /// Lends up to `requested` tokens, excluding those needed here soon. Loans in `ended`
+    /// no longer count against the ceiling.
     ///
     /// Lends whole tokens only: fractions would be spread over several hosts and expire
     /// there before they add up to a whole token.
@@ -212,8 +212,8 @@
         (self.level - shortage.max(0.0)).max(0.0)
     }
 
-    /// Returns the time until refilling makes a whole token available, at most 1 h; `None` if
-    /// the rate is zero.
+    /// Returns the time until refilling makes a whole token available, at most 1 h; `None`
+    /// if the rate is zero.
     pub fn until_next(&mut self, now: Instant) -> Option<Duration> {
         let lacking = (1.0 - self.tokens(now)).max(0.0);
         let rate = self.share.rate.0;
--- a/components/coordination/src/connections.rs
+++ b/components/coordination/src/connections.rs
@@ -5,8 +5,8 @@
 //! long as a short statement. Most accounts send a server a statement every few seconds, so
 //! their connections are reused only if they stay open that long. The holder therefore
 //! keeps most of the connections that the server accepts, and leaves headroom for the
-//! standby that replaces it: for seconds after a host loses power, a server still counts its
-//! connections.
+//! standby that replaces it: for seconds after a host loses power, a server still counts
+//! its connections.
 
 use std::time::Duration;
 
--- a/components/coordination/src/demand.rs
+++ b/components/coordination/src/demand.rs
@@ -11,8 +11,8 @@
 //! replicas are computed from the same reports, so they agree within one report interval.
 //! Until the next reports each host may admit its *weight* of the remaining tokens: three
 //! quarters of the weight follow the reported demand, with the unrequested part of the rate
-//! divided equally, and one quarter is equal. All hosts together admit no more than what
-//! remained.
+//! divided equally, and one quarter is equal. All hosts together admit no more than the
+//! remaining tokens.
 //!
 //! A host that has just started uses equal weights until the others have reported, and
 //! takes over their bucket level. When all hosts fail, the level is lost. A bucket then
@@ -237,7 +237,7 @@
     }
 
     /// Returns whether another participant that may be running has not reported since it
-    /// became known here.
+    /// was added here.
     fn is_new(&self, now: Instant) -> bool {
         let pending = |p: &Participant| !p.has_reported() && p.liveness(now) != Liveness::Lost;
         self.participants.values().any(pending)
--- a/components/coordination/src/gate.rs
+++ b/components/coordination/src/gate.rs
@@ -5,11 +5,12 @@
 //! replicas are seconds behind, so that the load exceeds its slots. A server runs
 //! statements first come, first served. With all connections of all hosts in that queue,
 //! each answer would take ten times its execution time and all answers would be late. The
-//! queue is therefore kept at the hosts: each host limits its statements in flight to what
-//! the server answers without long queueing, sends queued statements by priority and then
-//! by earliest queue deadline, and refuses statements at once whose wait would exceed their
-//! queue timeout. In order of arrival, long reads with long queue timeouts would take the
-//! slots of short reads with short ones, and the short reads would be refused.
+//! queue is therefore kept at the hosts: each host limits its statements in flight to the
+//! number that the server answers without long queueing, sends queued statements by
+//! priority and then by earliest queue deadline, and refuses statements at once whose wait
+//! would exceed their queue timeout. In order of arrival, long reads with long queue
+//! timeouts would take the slots of short reads with short ones, and the short reads would
+//! be refused.
 
 use std::{
     collections::BTreeSet,
--- a/components/coordination/src/ledger.rs
+++ b/components/coordination/src/ledger.rs
@@ -1,4 +1,4 @@
-//! One account's token bucket at one host, and what was reported of it to the other hosts.
+//! One account's token bucket at one host, and its state as last reported to other hosts.
 
 use std::time::{Duration, Instant};
 
@@ -7,8 +7,8 @@
 /// Time constant of the exponential decay of demand.
 pub const DEMAND_DECAY: Duration = Duration::from_millis(2000);
 
-/// Fraction of the tolerance that hosts use deliberately. The rest covers what they cannot
-/// know: admissions of a host that died before reporting them, and differing clocks.
+/// Fraction of the tolerance that hosts use deliberately. The rest covers admissions of
+/// a host that died before reporting them, and differing clocks.
 const TOLERANCE_USED: f64 = 0.5;
 
 /// Fraction of the rest with which a bucket starts when its host starts. The sum of 0.6 and
--- a/components/coordination/src/outcome.rs
+++ b/components/coordination/src/outcome.rs
@@ -64,7 +64,7 @@
     Replace(Attempt),
 }
 
-/// What to do with a request, or with a query for its outcome.
+/// Action for a request, or for a query for its outcome.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Plan {
     /// Write the row: as done in the request's transaction, or as void on its own.
--- a/components/coordination/src/reports.rs
+++ b/components/coordination/src/reports.rs
@@ -168,13 +168,12 @@
 #[derive(Debug)]
 pub struct Participant {
     reporters: BTreeMap<HostId, Reporter>,
-    /// Time of the last report of any of the processes, or when the participant became
-    /// known.
+    /// Time of the last report of any of the processes, or when the participant was added.
     pub last_contact: Instant,
 }
 
 impl Participant {
-    /// Creates a participant that became known at `now`.
+    /// Creates a participant that is added at `now`.
     pub fn new(now: Instant) -> Self {
         Self { reporters: BTreeMap::new(), last_contact: now }
     }
