--- a/components/coordination/src/fair.rs
+++ b/components/coordination/src/fair.rs
@@ -14,7 +14,7 @@
 /// Minimum time charged for a request, so that no request is free.
 const MIN_COST: Duration = Duration::from_micros(50);
 
-/// Smoothing of the mean slot time: each new measurement has a weight of 1/32.
+/// Smoothing of the mean slot time: inverse of the weight of each new measurement.
 const MEAN_SAMPLES: f64 = 32.0;
 
 /// A request that waits for a slot.
--- a/components/coordination/src/gate.rs
+++ b/components/coordination/src/gate.rs
@@ -20,12 +20,12 @@
 /// Initial mean answer time in seconds: a usual read.
 const INITIAL_MEAN: f64 = 0.035;
 
-/// Smoothing of the mean answer time: each new answer has a weight of 1/12.
+/// Smoothing of the mean answer time: inverse of the weight of each new answer.
 const MEAN_SAMPLES: f64 = 12.0;
 
-/// Smoothing of the baseline while the mean is above it: each answer moves the baseline by
-/// 1/4000 of the difference, so that it follows servers that have become permanently
-/// slower, but not queues.
+/// Smoothing of the baseline while the mean is above it: inverse of the weight of each new
+/// answer. The baseline follows servers that have become permanently slower, but not
+/// queues.
 const BASELINE_SAMPLES: f64 = 4000.0;
 
 /// Ratio of mean to baseline above which the limit shrinks. Execution times vary, so the
--- a/components/coordination/src/token.rs
+++ b/components/coordination/src/token.rs
@@ -41,8 +41,8 @@
         self.mac(parts).finalize().into_bytes().into()
     }
 
-    /// Returns whether `tag` is a prefix, of at least 16 bytes, of the keyed hash of the
-    /// parts. Compares in constant time.
+    /// Returns whether `tag` is a prefix, of at least `TAG_LEN` bytes, of the keyed hash of
+    /// the parts. Compares in constant time.
     pub fn verify(&self, parts: &[&[u8]], tag: &[u8]) -> bool {
         tag.len() >= TAG_LEN && self.mac(parts).verify_truncated_left(tag).is_ok()
     }
