--- a/components/coordination/src/gate.rs
+++ b/components/coordination/src/gate.rs
@@ -1,182 +1,189 @@
-//! How many statements a host has under way at a server, and who waits.
+//! Adaptive concurrency limit of one host's statements at one server, with a priority
+//! queue.
 //!
-//! The load it answers: a group whose reads all come to its leader, because its
-//! replicas are seconds behind, so that more is asked of it than its slots can
-//! run. A server queues what comes, first come first served. With all connections
-//! of all hosts in that queue each answer takes ten times its work, and all are
-//! late. Here the queue stands at the hosts: each keeps as many statements under
-//! way as the server answers without queueing long, lets the more urgent go first and
-//! then what has the least time left, and refuses at once what would wait for too long.
-//! In the order of coming, long reads whose callers can wait would take the slots of
-//! short ones whose callers cannot, which are refused meanwhile.
+//! Guards against overload of a leader that serves all reads of its group because its
+//! replicas are seconds behind, so that the load exceeds its slots. A server runs
+//! statements first come, first served. With all connections of all hosts in that queue,
+//! each answer would take ten times its execution time and all answers would be late. The
+//! queue is therefore kept at the hosts: each host limits its statements in flight to the
+//! number that the server answers without long queueing, sends queued statements by
+//! priority and then by earliest queue deadline, and refuses statements at once whose wait
+//! would exceed their queue timeout. In order of arrival, long reads with long queue
+//! timeouts would take the slots of short reads with short ones, and the short reads would
+//! be refused.
 
 use std::{
     collections::BTreeSet,
     time::{Duration, Instant},
 };
 
-/// The first guess of an answer's time: a read's usual work.
-const FIRST_GUESS: f64 = 0.035;
+/// Initial mean answer time in seconds: a usual read.
+const INITIAL_MEAN: f64 = 0.035;
 
-/// How much a new answer moves the mean, as one part of so many.
-const MEAN_OVER: f64 = 12.0;
+/// Smoothing of the mean answer time: inverse of the weight of each new answer.
+const MEAN_SAMPLES: f64 = 12.0;
 
-/// How much a mean above the base moves the base: it follows servers that have
-/// become slower for good, not queues.
-const BASE_OVER: f64 = 4000.0;
+/// Smoothing of the baseline while the mean is above it: inverse of the weight of each new
+/// answer. The baseline follows servers that have become permanently slower, but not
+/// queues.
+const BASELINE_SAMPLES: f64 = 4000.0;
 
-/// Answers may take so many times the base before less is kept under way. Work is
-/// unequal, so a mean of a dozen answers wanders by half; a queue as long as the
-/// slots doubles it.
-const LONG: f64 = 2.2;
+/// Ratio of mean to baseline above which the limit shrinks. Execution times vary, so the
+/// mean of a dozen answers varies by half; a queue as long as the slots doubles it.
+const CONGESTION_RATIO: f64 = 2.2;
 
-/// The factor while answers take long, once for each round of answers.
-const SHRINK: f64 = 0.8;
+/// Factor applied to the limit, at most once per round of answers, while answers are slow.
+const SHRINK_FACTOR: f64 = 0.8;
 
-/// Statements under way at first. More grow within a second, if they are needed.
-const FIRST_LIMIT: f64 = 6.0;
+/// Initial limit. If more are needed, the limit grows within a second.
+const INITIAL_LIMIT: f64 = 6.0;
 
-/// Statements under way at the least. Several hosts with one each fill the slots.
-const LEAST: f64 = 1.0;
+/// Minimum limit. Several hosts with one statement each fill the slots.
+const MIN_LIMIT: f64 = 1.0;
 
-/// What waits: the urgent first, then what has the least time left, then in the order
-/// of coming.
-pub type Place = (u32, Instant, u64);
+/// Sort key of a queued statement: priority (0 is the most urgent), queue deadline, arrival
+/// sequence number.
+pub type QueueKey = (u32, Instant, u64);
 
-/// A host's gate to one server.
+/// Concurrency limiter of one host for one server, with the queue of statements above the
+/// limit.
 #[derive(Clone, Debug)]
 pub struct Gate {
     limit: f64,
-    least: f64,
-    most: f64,
+    min_limit: f64,
+    max_limit: f64,
     running: usize,
     mean: f64,
-    base: f64,
-    waiting: BTreeSet<Place>,
-    next: u64,
-    /// Answers until the limit may shrink again: those under way when it shrank
-    /// still show the longer queue.
-    settle: f64,
+    baseline: f64,
+    waiting: BTreeSet<QueueKey>,
+    next_sequence: u64,
+    /// Answers until the limit may shrink again: statements that were in flight when it
+    /// shrank still reflect the longer queue.
+    cooldown: f64,
 }
 
-/// How a statement is received.
+/// Outcome of [`Gate::enter`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Entry {
-    /// It may be sent now; it counts as under way.
-    Go,
-    /// It waits in this place.
-    Wait(Place),
-    /// It would wait too long; come back after this time.
+pub enum Admission {
+    /// The statement may be sent now and counts as in flight.
+    Admitted,
+    /// The statement is queued under this key.
+    Queued(QueueKey),
+    /// The estimated wait exceeds the queue timeout; retry after this time.
     Refused(Duration),
 }
 
 impl Gate {
-    /// A gate that keeps `most` statements under way at most.
-    pub fn new(most: usize) -> Self {
+    /// Creates a gate with at most `max_limit` (at least 1) statements in flight.
+    pub fn new(max_limit: usize) -> Self {
         Self {
-            limit: FIRST_LIMIT.min(most.max(1) as f64),
-            least: LEAST,
-            most: most.max(1) as f64,
+            limit: INITIAL_LIMIT.min(max_limit.max(1) as f64),
+            min_limit: MIN_LIMIT,
+            max_limit: max_limit.max(1) as f64,
             running: 0,
-            mean: FIRST_GUESS,
-            base: FIRST_GUESS,
+            mean: INITIAL_MEAN,
+            baseline: INITIAL_MEAN,
             waiting: BTreeSet::new(),
-            next: 0,
-            settle: 0.0,
+            next_sequence: 0,
+            cooldown: 0.0,
         }
     }
 
-    /// Sets the least and the most that may be under way.
+    /// Sets the minimum and maximum limit.
     ///
-    /// A host that alone sends to a server keeps its slots filled at the least, however
-    /// long answers take: fewer would leave slots idle while callers are refused.
-    pub fn set_bounds(&mut self, least: usize, most: usize) {
-        self.most = most.max(1) as f64;
-        self.least = (least as f64).clamp(LEAST, self.most);
-        self.limit = self.limit.clamp(self.least, self.most);
+    /// The only host that sends to a server needs a minimum that keeps the server's slots
+    /// filled, however long answers take: with fewer statements in flight, slots would be
+    /// idle while callers are refused.
+    pub fn set_bounds(&mut self, min_limit: usize, max_limit: usize) {
+        self.max_limit = max_limit.max(1) as f64;
+        self.min_limit = (min_limit as f64).clamp(MIN_LIMIT, self.max_limit);
+        self.limit = self.limit.clamp(self.min_limit, self.max_limit);
     }
 
-    /// Statements under way.
+    /// Returns the number of statements in flight.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// Statements that wait.
+    /// Returns the number of queued statements.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// How many may be under way now.
+    /// Returns the current limit.
     pub fn limit(&self) -> usize {
-        self.limit.max(self.least) as usize
+        self.limit.max(self.min_limit) as usize
     }
 
-    /// How long the next one of that priority would wait that may wait until then.
-    pub fn wait(&self, priority: u32, until: Instant) -> Duration {
+    /// Estimates the wait of a new statement with this priority and queue deadline.
+    pub fn wait(&self, priority: u32, deadline: Instant) -> Duration {
         if self.running < self.limit() && self.waiting.is_empty() {
             return Duration::ZERO;
         }
-        let ahead = self.waiting.range(..=(priority, until, u64::MAX)).count() + 1;
-        Duration::from_secs_f64(ahead as f64 * self.mean / self.limit.max(self.least))
+        let ahead = self.waiting.range(..=(priority, deadline, u64::MAX)).count() + 1;
+        Duration::from_secs_f64(ahead as f64 * self.mean / self.limit.max(self.min_limit))
     }
 
-    /// Receives a statement that may wait for `patience`; 0 is the most urgent priority.
-    pub fn enter(&mut self, priority: u32, patience: Duration, now: Instant) -> Entry {
-        let until = now + patience;
-        let wait = self.wait(priority, until);
+    /// Admits, queues or refuses a statement that may wait for `queue_timeout`; 0 is the
+    /// most urgent priority.
+    pub fn enter(&mut self, priority: u32, queue_timeout: Duration, now: Instant) -> Admission {
+        let deadline = now + queue_timeout;
+        let wait = self.wait(priority, deadline);
         if wait.is_zero() {
             self.running += 1;
-            return Entry::Go;
+            return Admission::Admitted;
         }
-        if wait > patience {
-            return Entry::Refused(wait);
+        if wait > queue_timeout {
+            return Admission::Refused(wait);
         }
-        let place = (priority, until, self.next);
-        self.next += 1;
-        self.waiting.insert(place);
-        Entry::Wait(place)
+        let key = (priority, deadline, self.next_sequence);
+        self.next_sequence += 1;
+        self.waiting.insert(key);
+        Admission::Queued(key)
     }
 
-    /// A statement of an open transaction goes on: it holds a connection, and
-    /// perhaps locks, until its transaction ends.
+    /// Admits a statement of an open transaction regardless of the limit: the transaction
+    /// holds a connection, and possibly locks, until it ends.
     pub fn go_on(&mut self) {
         self.running += 1;
     }
 
-    /// Gives up a place.
-    pub fn leave(&mut self, place: Place) {
-        self.waiting.remove(&place);
+    /// Removes a statement from the queue.
+    pub fn leave(&mut self, key: QueueKey) {
+        self.waiting.remove(&key);
     }
 
-    /// A statement is under way no more; `took` if it was answered.
+    /// Ends a statement in flight; `took` is its answer time, `None` if it was not
+    /// answered.
     pub fn end(&mut self, took: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         let Some(took) = took else { return };
-        self.mean += (took.as_secs_f64() - self.mean) / MEAN_OVER;
-        if self.mean < self.base {
-            self.base = self.mean;
+        self.mean += (took.as_secs_f64() - self.mean) / MEAN_SAMPLES;
+        if self.mean < self.baseline {
+            self.baseline = self.mean;
         } else {
-            self.base += (self.mean - self.base) / BASE_OVER;
+            self.baseline += (self.mean - self.baseline) / BASELINE_SAMPLES;
         }
-        self.settle -= 1.0;
-        if self.mean > LONG * self.base {
-            if self.settle <= 0.0 {
-                self.limit = (self.limit * SHRINK).max(self.least);
-                self.settle = self.limit + MEAN_OVER / 2.0;
+        self.cooldown -= 1.0;
+        if self.mean > CONGESTION_RATIO * self.baseline {
+            if self.cooldown <= 0.0 {
+                self.limit = (self.limit * SHRINK_FACTOR).max(self.min_limit);
+                self.cooldown = self.limit + MEAN_SAMPLES / 2.0;
             }
         } else {
-            self.limit = (self.limit + 1.0 / self.limit).min(self.most);
+            self.limit = (self.limit + 1.0 / self.limit).min(self.max_limit);
         }
     }
 
-    /// The next that may be sent, if there is room; it counts as under way.
-    pub fn next(&mut self, now: Instant) -> Option<Place> {
-        self.waiting.retain(|(_, until, _)| *until > now);
+    /// Drops statements whose queue deadline has passed and, if the limit allows it,
+    /// dequeues the next one, which then counts as in flight.
+    pub fn next(&mut self, now: Instant) -> Option<QueueKey> {
+        self.waiting.retain(|(_, deadline, _)| *deadline > now);
         if self.running >= self.limit() {
             return None;
         }
-        let place = self.waiting.pop_first()?;
+        let key = self.waiting.pop_first()?;
         self.running += 1;
-        Some(place)
+        Some(key)
     }
 }
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -12,7 +12,7 @@
     choice::Health,
     cold, congestion,
     connections::{self, Bounds, Role, Usage},
-    gate::{Entry, Gate, Place},
+    gate::{Admission, Gate, QueueKey},
     idle, silence,
 };
 use bergamottrack_model::{Failure, Listed};
@@ -55,7 +55,7 @@
     /// What the server owes on connections of this host, other hosts' statements included.
     pub exchanges: RefCell<silence::Watch>,
     /// Whether the host that holds its connections has room for statements.
-    pub congestion: RefCell<congestion::Memory>,
+    pub congestion: RefCell<congestion::Backoff>,
     /// Whether it has just started, and what it was sent since.
     pub warmth: RefCell<cold::Warmth>,
     /// The limit while it is cold, and how far all hosts may exceed it.
@@ -63,7 +63,7 @@
     /// How many statements are under way, and who waits.
     gate: RefCell<Gate>,
     /// Whom to tell that they may go on, by their places at the gate.
-    waiting: RefCell<HashMap<Place, oneshot::Sender<()>>>,
+    waiting: RefCell<HashMap<QueueKey, oneshot::Sender<()>>>,
     /// Connections that nobody uses and since when.
     idle: RefCell<idle::Connections<(Backend, Instant)>>,
     /// Connections open or being opened, idle ones included; at most the cap of `bounds`.
@@ -192,9 +192,9 @@
         self.take_cold(now)?;
         let entry = self.gate.borrow_mut().enter(priority, patience, now);
         let place = match entry {
-            Entry::Go => return Ok(Permit { pool: self.clone(), took: Cell::default() }),
-            Entry::Refused(wait) => return Err(wait),
-            Entry::Wait(place) => place,
+            Admission::Admitted => return Ok(Permit { pool: self.clone(), took: Cell::default() }),
+            Admission::Refused(wait) => return Err(wait),
+            Admission::Queued(place) => place,
         };
         let (go, going) = oneshot::channel();
         self.waiting.borrow_mut().insert(place, go);
@@ -351,10 +351,10 @@
 
     /// Closes connections beyond those that are kept and that were not used for a while.
     pub fn trim(&self) {
-        let Bounds { kept, unused_for, .. } = self.bounds.get();
+        let Bounds { kept, idle_ttl, .. } = self.bounds.get();
         let mut idle = self.idle.borrow_mut();
         while self.open.get() > kept
-            && idle.oldest().is_some_and(|(_, since)| since.elapsed() > unused_for)
+            && idle.oldest().is_some_and(|(_, since)| since.elapsed() > idle_ttl)
         {
             idle.pop_oldest();
             self.open.set(self.open.get() - 1);
