--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -53,7 +53,7 @@
     host.heard.borrow_mut().insert(peer.host.clone(), (host.now(), version));
     match question {
         Question::Heartbeat(beat) => {
-            positions::take_question(host, &beat);
+            positions::apply_heartbeat(host, &beat);
             replier.reply(Answer::Heartbeat(Box::new(answered_heartbeat(host))));
             if beat.asked.is_none() && peer.domain == host.settings.domain {
                 host.demand.borrow_mut().idle(&peer.host);
@@ -72,7 +72,7 @@
             monoio::spawn(relay::serve(host.clone(), peer.host.clone(), *errand, replier));
         }
         Question::Hang(work) => {
-            host.works.hang(&peer.host, work, host.now());
+            host.works.cancel(&peer.host, work, host.now());
             replier.reply(Answer::Pong);
         }
         Question::Act { group, row } => {
@@ -119,7 +119,7 @@
 }
 
 fn own_heartbeat(host: &Host) -> Heartbeat {
-    let asked = tokens::reports(host).then(|| host.demand.borrow().report(host.now()));
+    let asked = tokens::is_reporter(host).then(|| host.demand.borrow().report(host.now()));
     let (known, majority) = (host.known(), host.hears_majority());
     let evacuations = evacuations(host);
     Heartbeat { asked, known, majority, evacuations, seen: Vec::new(), clock: None, echo: None }
@@ -152,7 +152,7 @@
         host.hub_majority.set(Some(host.now()));
     }
     if let Some(evacuations) = &beat.evacuations {
-        placement::adopt(host, id, evacuations);
+        placement::merge(host, id, evacuations);
     }
     renew(host, beat.known);
     let (own, known) = (host.known(), beat.known);
@@ -206,8 +206,8 @@
         host.demand.borrow_mut().publish(host.now());
         let beat = own_heartbeat(&host);
         let own = positions::own(&host);
-        let (hub, reports) = (host.hub(), tokens::reports(&host));
-        let spoken = |link: &Rc<Link>| link.is_up() && (reports || link.host == hub);
+        let (hub, is_reporter) = (host.hub(), tokens::is_reporter(&host));
+        let spoken = |link: &Rc<Link>| link.is_up() && (is_reporter || link.host == hub);
         for link in host.mesh.links().into_iter().filter(spoken) {
             let beat = Box::new(heartbeat_for(&host, &link, &beat, &own));
             let host = host.clone();
@@ -235,7 +235,7 @@
     if let Some(clock) = answer.clock {
         host.clocks.borrow_mut().insert(link.host.clone(), (clock, host.now()));
     }
-    positions::take_answer(host, answer, sent);
+    positions::apply_reply(host, answer, sent);
 }
 
 /// Asks other hosts for the newest view and configuration while the store does
@@ -278,7 +278,7 @@
         };
         fetch::begin(host, link, newest.known.plan.0);
         if let Some(evacuations) = &newest.evacuations {
-            placement::adopt(host, &link.host, evacuations);
+            placement::merge(host, &link.host, evacuations);
         }
         let fits = take_newest(host, *newest);
         if fits || known.view_version == 0 {
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -34,7 +34,7 @@
     measure::Measures,
     placement,
     pool::{self, Pool},
-    relay::Works,
+    relay::RemoteTransactions,
 };
 
 /// How long a hub's word that it hears most of the fleet counts.
@@ -127,7 +127,7 @@
     /// Links to the other hosts.
     pub mesh: Rc<Mesh>,
     /// Transactions of other hosts on connections of this one.
-    pub works: Works,
+    pub works: RemoteTransactions,
     /// When this host last admitted a request for its failure domain.
     pub admits: Cell<Option<Instant>>,
     /// Parts of the accounts' rates.
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -53,7 +53,7 @@
 
 /// How many of the group's databases a server may serve by their homes; the same for all
 /// servers where none has any.
-pub fn served(host: &host::Host, pool: &pool::Pool) -> usize {
+pub fn servable_databases(host: &host::Host, pool: &pool::Pool) -> usize {
     let Some(plan) = host.plan().filter(|_| host.has_homes.get()) else { return 0 };
     let listed = pool.listed.borrow();
     let routes = plan.routes.values().filter(|route| route.group == listed.group);
@@ -109,7 +109,7 @@
 }
 
 /// Takes what another host knows of them.
-pub fn adopt(host: &host::Host, from: &ids::HostId, told: &evacuation::Set) {
+pub fn merge(host: &host::Host, from: &ids::HostId, told: &evacuation::Set) {
     let before = host.evacuations.borrow().clone();
     host.evacuations.borrow_mut().adopt(told);
     note(host, &before, Some(from));
--- a/components/proxy/src/positions.rs
+++ b/components/proxy/src/positions.rs
@@ -53,7 +53,7 @@
 }
 
 /// Takes the positions of a question, whose times count from this host's own clock.
-pub fn take_question(host: &Host, beat: &Heartbeat) {
+pub fn apply_heartbeat(host: &Host, beat: &Heartbeat) {
     // The clock of an earlier process of this host began at another moment.
     if let Some(echo) = beat.echo.filter(|echo| echo.run == host.run) {
         take(host, host.began + echo.clock, &beat.seen);
@@ -61,7 +61,7 @@
 }
 
 /// Takes the positions of an answer to a question that was sent at `asked`.
-pub fn take_answer(host: &Host, beat: &Heartbeat, asked: Instant) {
+pub fn apply_reply(host: &Host, beat: &Heartbeat, asked: Instant) {
     take(host, asked, &beat.seen);
 }
 
--- a/components/proxy/src/relay.rs
+++ b/components/proxy/src/relay.rs
@@ -39,13 +39,13 @@
 
 /// Transactions of other hosts on connections of this one.
 #[derive(Default)]
-pub struct Works {
+pub struct RemoteTransactions {
     resting: RefCell<HashMap<(HostId, WorkNo), Resting>>,
     /// Transactions given up while a statement of them was under way, and when.
     given_up: RefCell<HashMap<(HostId, WorkNo), Instant>>,
 }
 
-impl Works {
+impl RemoteTransactions {
     /// Transactions that rest here.
     pub fn count(&self) -> usize {
         self.resting.borrow().len()
@@ -80,7 +80,7 @@
 
     /// Closes the connection of a transaction; once its answer is there, if a statement
     /// of it is under way.
-    pub fn hang(&self, host: &HostId, work: WorkNo, now: Instant) {
+    pub fn cancel(&self, host: &HostId, work: WorkNo, now: Instant) {
         let key = (host.clone(), work);
         if self.resting.borrow_mut().remove(&key).is_none() {
             self.given_up.borrow_mut().insert(key, now);
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -72,7 +72,7 @@
 
 /// Whether this host reports requests that it admitted: as hub, and for a while after it
 /// admitted some in place of one.
-pub fn reports(host: &Host) -> bool {
+pub fn is_reporter(host: &Host) -> bool {
     let lately = |at| host.now().saturating_duration_since(at) < REPORTED_FOR;
     host.is_hub() || host.admits.get().is_some_and(lately)
 }
