--- a/components/proxy/src/caller.rs
+++ b/components/proxy/src/caller.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     host::{Host, Phase},
-    job::Refused,
-    talk::Talk,
+    operation::Refused,
+    session::Talk,
 };
 
 /// How long a caller may take to begin its session.
@@ -80,18 +80,18 @@
         phase: host.phase.subscribe(),
     };
     let Some((database, key)) = caller.start().await? else { return Ok(()) };
-    let mut talk = Talk::new(host.clone(), database, key);
-    if let Err(refused) = talk.check() {
+    let mut session = Talk::new(host.clone(), database, key);
+    if let Err(refused) = session.check() {
         return caller.close_with(&refused).await;
     }
     wire::put_ready(State::Idle, &mut caller.out);
     caller.flush().await?;
     loop {
-        let limit = talk.rest_limit();
-        match caller.next(talk.state() == State::Idle, limit).await? {
+        let limit = session.rest_limit();
+        match caller.next(session.state() == State::Idle, limit).await? {
             Next::Line(line) => match wire::decode_caller(&line) {
-                Ok(FromCaller::Query(request)) => talk.answer(&request, &mut caller.out).await,
-                Ok(FromCaller::Unreadable) => talk.answer_unreadable(&mut caller.out),
+                Ok(FromCaller::Query(request)) => session.answer(&request, &mut caller.out).await,
+                Ok(FromCaller::Unreadable) => session.answer_unreadable(&mut caller.out),
                 Ok(FromCaller::Bye) => return Ok(()),
                 Ok(FromCaller::Start { .. }) | Err(_) => {
                     let refused = Refused::of(Failure::Malformed, "an unknown message");
@@ -102,7 +102,7 @@
                 let refused = Refused::of(Failure::TooLarge, "the message is too large");
                 return caller.close_with(&refused).await;
             }
-            Next::Rested => talk.end_rested(),
+            Next::Rested => session.end_rested(),
             Next::Ended | Next::Stopped => return Ok(()),
         }
         caller.flush().await?;
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -17,9 +17,9 @@
 use tracing::info;
 
 use crate::{
-    fetch, fleet, follow,
+    fetch, fleet, follow, forward,
     host::{Host, Phase},
-    placement, positions, relay, tokens,
+    placement, positions, tokens,
 };
 
 /// How often hosts tell each other what their callers ask for and what they know:
@@ -69,7 +69,7 @@
             replier.reply(Answer::Silence(answered));
         }
         Question::Relay(errand) => {
-            monoio::spawn(relay::serve(host.clone(), peer.host.clone(), *errand, replier));
+            monoio::spawn(forward::serve(host.clone(), peer.host.clone(), *errand, replier));
         }
         Question::Hang(work) => {
             host.works.cancel(&peer.host, work, host.now());
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -30,11 +30,11 @@
 use tracing::info;
 
 use crate::{
+    forward::RemoteTransactions,
     group::{Group, Use},
     measure::Measures,
     placement,
     pool::{self, Pool},
-    relay::RemoteTransactions,
 };
 
 /// How long a hub's word that it hears most of the fleet counts.
--- a/components/proxy/src/job.rs
+++ b/components/proxy/src/operation.rs
@@ -13,9 +13,9 @@
     confirm,
     group::{Group, Use},
     host::Host,
-    place::{self, Chosen, NoAnswer, Place, Running},
     placement,
     pool::Pool,
+    target::{self, Chosen, NoAnswer, Place, Running},
 };
 
 /// How long a statement waits for a leader while there is none. A change of
@@ -119,34 +119,34 @@
 }
 
 /// Waits until a job has a place.
-async fn find(host: &Host, job: &Job) -> Result<Vec<Place>, Refused> {
-    let until = job.deadline.min(Instant::now() + LEADER_WITHIN);
+async fn find(host: &Host, operation: &Job) -> Result<Vec<Place>, Refused> {
+    let until = operation.deadline.min(Instant::now() + LEADER_WITHIN);
     loop {
-        if job.access == Access::Write && job.group.receipts.state.borrow().is_stuck() {
+        if operation.access == Access::Write && operation.group.receipts.state.borrow().is_stuck() {
             return Err(Refused::busy("the leader's replicas receive nothing"));
         }
-        let mut places = place::places(host, job);
-        if let Some(wait) = place::congested(host, job, &places) {
+        let mut places = target::places(host, operation);
+        if let Some(wait) = target::congested(host, operation, &places) {
             return Err(Refused::crowded(wait));
         }
-        places.retain(|place| {
-            let congestion = place.pool.congestion.borrow();
-            congestion.lasts(job.priority, job.patience, host.now()).is_none()
+        places.retain(|target| {
+            let congestion = target.pool.congestion.borrow();
+            congestion.lasts(operation.priority, operation.patience, host.now()).is_none()
         });
         if !places.is_empty() {
             return Ok(places);
         }
-        if let Some(why) = placement::barred(host, job) {
+        if let Some(why) = placement::barred(host, operation) {
             return Err(Refused::busy(why));
         }
         if !host.leased() {
             return Err(Refused::busy("this host cannot show who leads"));
         }
-        let hopeless = job.group.leaderless(host.now()) > HOPELESS_AFTER;
+        let hopeless = operation.group.leaderless(host.now()) > HOPELESS_AFTER;
         if hopeless || Instant::now() >= until {
             return Err(Refused::busy("the group has no leader now"));
         }
-        job.group.wait_changed(until).await;
+        operation.group.wait_changed(until).await;
     }
 }
 
@@ -164,22 +164,23 @@
 
 async fn attempt(
     host: &Rc<Host>,
-    job: &Job,
+    operation: &Job,
     session: &Session,
     request: &Request,
-    place: Place,
+    target: Place,
     last: bool,
 ) -> Tried {
-    let mut running = match place::connect(host, job, session, place).await {
+    let mut running = match target::connect(host, operation, session, target).await {
         Ok(running) => running,
         Err(refused) => return Tried::Elsewhere(refused),
     };
     let after = running.after;
     let pool = running.conn.pool().clone();
-    place::put(&mut running, session, request, after);
-    let left = job.deadline.saturating_duration_since(Instant::now());
-    let within = if last || job.access == Access::Write { left } else { left.min(TRY_WITHIN) };
-    let answer = match place::exchange(host, job, &mut running, within).await {
+    target::put(&mut running, session, request, after);
+    let left = operation.deadline.saturating_duration_since(Instant::now());
+    let within =
+        if last || operation.access == Access::Write { left } else { left.min(TRY_WITHIN) };
+    let answer = match target::exchange(host, operation, &mut running, within).await {
         Ok(answer) => answer,
         Err(NoAnswer::NotSent(refused)) => return Tried::Elsewhere(refused),
         Err(NoAnswer::Lost(why)) => return Tried::Lost(why),
@@ -190,12 +191,12 @@
     if after.is_some() && answer.failure().is_none() {
         pool.health.borrow_mut().caught_up();
     }
-    match elsewhere(host, job, &pool, after, &answer) {
+    match elsewhere(host, operation, &pool, after, &answer) {
         Some(refused) => Tried::Elsewhere(refused),
         // An answer of a leader that was replaced meanwhile proves nothing.
         None if !led => Tried::Lost("the leader changed"),
-        None if job.access == Access::Write => {
-            match confirmed(host, job, &answer, usage.as_ref()).await {
+        None if operation.access == Access::Write => {
+            match confirmed(host, operation, &answer, usage.as_ref()).await {
                 Ok(()) => Tried::Answered(answer),
                 Err(why) => Tried::Lost(why),
             }
@@ -210,12 +211,12 @@
 /// back: the successor is the replica that has received most.
 async fn confirmed(
     host: &Rc<Host>,
-    job: &Job,
+    operation: &Job,
     answer: &ServerAnswer,
     usage: Option<&Use>,
 ) -> Result<(), &'static str> {
     let (None, Some(commit)) = (answer.failure(), answer.point) else { return Ok(()) };
-    confirm::wait(host, &job.group, commit).await?;
+    confirm::wait(host, &operation.group, commit).await?;
     let led = usage.is_none_or(|usage| host.holds(usage));
     if led { Ok(()) } else { Err("the leader changed") }
 }
@@ -224,7 +225,7 @@
 /// another server may be asked.
 fn elsewhere(
     host: &Host,
-    job: &Job,
+    operation: &Job,
     pool: &Pool,
     after: Option<Point>,
     answer: &ServerAnswer,
@@ -232,7 +233,7 @@
     Some(Refused::busy(match answer.failure()? {
         Failure::Behind => {
             if let Some(after) = after {
-                let (ages, now) = (job.group.ages.borrow(), host.now());
+                let (ages, now) = (operation.group.ages.borrow(), host.now());
                 let lag = answer.point.and_then(|shown| ages.age(shown, now));
                 let missing =
                     lag.zip(ages.age(after, now)).map(|(lag, due)| lag.saturating_sub(due));
@@ -253,91 +254,91 @@
 /// kept nothing.
 pub async fn single(
     host: &Rc<Host>,
-    job: &Job,
+    operation: &Job,
     session: &Session,
     request: &Request,
 ) -> Result<(ServerAnswer, usize), Refused> {
-    let until = job.deadline.min(Instant::now() + LEADER_WITHIN);
+    let until = operation.deadline.min(Instant::now() + LEADER_WITHIN);
     let mut tries = 0;
     loop {
-        let places = find(host, job).await?;
+        let places = find(host, operation).await?;
         let mut refused = Refused::busy("no server can be asked");
         let count = places.len().min(MOST_TRIES - tries);
-        for (i, place) in places.into_iter().take(count).enumerate() {
+        for (i, target) in places.into_iter().take(count).enumerate() {
             tries += 1;
             if tries > 1 {
                 host.measures.retries.inc();
             }
-            let chosen = Chosen::of(&place);
-            match attempt(host, job, session, request, place, i + 1 == count).await {
+            let chosen = Chosen::of(&target);
+            match attempt(host, operation, session, request, target, i + 1 == count).await {
                 Tried::Answered(answer) => return Ok((answer, tries)),
                 Tried::Elsewhere(why) => {
-                    chosen.log(job, why.why);
+                    chosen.log(operation, why.why);
                     refused = why;
                 }
-                Tried::Lost(why) if job.access == Access::Write => {
+                Tried::Lost(why) if operation.access == Access::Write => {
                     return Err(Refused::of(Failure::Uncertain, why));
                 }
                 Tried::Lost(why) => {
-                    chosen.log(job, why);
+                    chosen.log(operation, why);
                     refused = Refused::of(Failure::TimedOut, why);
                 }
             }
-            if Instant::now() >= job.deadline {
+            if Instant::now() >= operation.deadline {
                 return Err(refused);
             }
         }
         if refused.crowded || tries >= MOST_TRIES || Instant::now() >= until {
             return Err(refused);
         }
-        job.group.wait_changed(until.min(Instant::now() + AGAIN_AFTER)).await;
+        operation.group.wait_changed(until.min(Instant::now() + AGAIN_AFTER)).await;
     }
 }
 
 /// Opens a transaction for a job.
-pub async fn open(host: &Rc<Host>, job: &Job, session: &Session) -> Result<Running, Refused> {
-    let until = job.deadline.min(Instant::now() + LEADER_WITHIN);
+pub async fn open(host: &Rc<Host>, operation: &Job, session: &Session) -> Result<Running, Refused> {
+    let until = operation.deadline.min(Instant::now() + LEADER_WITHIN);
     let mut tries = 0;
     loop {
-        let places = find(host, job).await?;
+        let places = find(host, operation).await?;
         let mut refused = Refused::busy("no server can be asked");
-        for place in places.into_iter().take(MOST_TRIES - tries) {
+        for target in places.into_iter().take(MOST_TRIES - tries) {
             tries += 1;
             if tries > 1 {
                 host.measures.retries.inc();
             }
-            let chosen = Chosen::of(&place);
-            match begin(host, job, session, place).await {
+            let chosen = Chosen::of(&target);
+            match begin(host, operation, session, target).await {
                 Ok(running) => return Ok(running),
                 Err(why) => {
-                    chosen.log(job, why.why);
+                    chosen.log(operation, why.why);
                     refused = why;
                 }
             }
-            if Instant::now() >= job.deadline {
+            if Instant::now() >= operation.deadline {
                 return Err(refused);
             }
         }
         if refused.crowded || tries >= MOST_TRIES || Instant::now() >= until {
             return Err(refused);
         }
-        job.group.wait_changed(until.min(Instant::now() + AGAIN_AFTER)).await;
+        operation.group.wait_changed(until.min(Instant::now() + AGAIN_AFTER)).await;
     }
 }
 
 async fn begin(
     host: &Rc<Host>,
-    job: &Job,
+    operation: &Job,
     session: &Session,
-    place: Place,
+    target: Place,
 ) -> Result<Running, Refused> {
-    let mut running = place::connect(host, job, session, place).await?;
+    let mut running = target::connect(host, operation, session, target).await?;
     let pool = running.conn.pool().clone();
     let after = running.after;
     running.conn.open_work();
-    running.conn.put(session, None, |out| wire::put_begin(job.access, after, out));
-    let left = job.deadline.saturating_duration_since(Instant::now());
-    let answer = place::exchange(host, job, &mut running, left.min(TRY_WITHIN)).await;
+    running.conn.put(session, None, |out| wire::put_begin(operation.access, after, out));
+    let left = operation.deadline.saturating_duration_since(Instant::now());
+    let answer = target::exchange(host, operation, &mut running, left.min(TRY_WITHIN)).await;
     let answer = answer.map_err(|error| match error {
         NoAnswer::NotSent(refused) => refused,
         // Nothing but the opening was sent.
@@ -350,7 +351,7 @@
         return Ok(running);
     }
     running.conn.give_back(&answer);
-    let refused = elsewhere(host, job, &pool, after, &answer);
+    let refused = elsewhere(host, operation, &pool, after, &answer);
     Err(refused.unwrap_or(Refused::busy("the server opened no transaction")))
 }
 
@@ -367,7 +368,7 @@
 /// Runs a statement on a transaction's connection.
 pub async fn step(
     host: &Rc<Host>,
-    job: &Job,
+    operation: &Job,
     session: &Session,
     request: &Request,
     running: &mut Running,
@@ -379,12 +380,13 @@
         return Step::NotSent(Refused::busy("the server's failure domain is evacuated"));
     }
     running.wrote |= access(session, &request.statement) == Some(Access::Write);
-    place::put(running, session, request, None);
-    let left = job.deadline.saturating_duration_since(Instant::now());
-    match place::exchange(host, job, running, left).await {
+    target::put(running, session, request, None);
+    let left = operation.deadline.saturating_duration_since(Instant::now());
+    match target::exchange(host, operation, running, left).await {
         Ok(answer) if running.usage.as_ref().is_none_or(|usage| host.holds(usage)) => {
             let commits = running.wrote && request.statement == Statement::Commit;
-            if commits && let Err(why) = confirmed(host, job, &answer, running.usage.as_ref()).await
+            if commits
+                && let Err(why) = confirmed(host, operation, &answer, running.usage.as_ref()).await
             {
                 return Step::Lost(why);
             }
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -7,7 +7,7 @@
 use bergamottrack_peer::link;
 use tracing::info;
 
-use crate::{host, job, pool};
+use crate::{host, operation, pool};
 
 /// What may run at a server now.
 pub fn of(host: &host::Host, pool: &pool::Pool) -> evacuation::Placement {
@@ -70,23 +70,25 @@
 
 /// Why no server may run a job for as long as placements stay as they are; `None` where one
 /// may, or where the leader is about to be replaced by one that may.
-pub fn barred(host: &host::Host, job: &job::Job) -> Option<&'static str> {
-    let servers = host.servers(&job.group.id);
+pub fn barred(host: &host::Host, operation: &operation::Job) -> Option<&'static str> {
+    let servers = host.servers(&operation.group.id);
     if servers.is_empty() {
         return None;
     }
     if !servers.iter().any(|pool| !is_forbidden(host, pool)) {
         return Some("all servers of the group are in evacuated failure domains");
     }
-    let homes = |pool: &Rc<pool::Pool>| is_home(host, pool, &job.homes);
+    let homes = |pool: &Rc<pool::Pool>| is_home(host, pool, &operation.homes);
     if !servers.iter().any(homes) {
         return Some("no server of the group stands in a home of the database and account");
     }
     if !servers.iter().any(|pool| homes(pool) && !is_forbidden(host, pool)) {
         return Some("all servers in homes are in evacuated failure domains");
     }
-    let leader = job.group.leader().and_then(|leader| host.server(&leader))?;
-    if job.access == statement::Access::Read || successors(host, &job.group.id).iter().any(homes) {
+    let leader = operation.group.leader().and_then(|leader| host.server(&leader))?;
+    if operation.access == statement::Access::Read
+        || successors(host, &operation.group.id).iter().any(homes)
+    {
         return None;
     }
     if is_forbidden(host, &leader) {
--- a/components/proxy/src/talk.rs
+++ b/components/proxy/src/session.rs
@@ -13,8 +13,8 @@
 
 use crate::{
     host::Host,
-    job::{self, Job, Refused, Step},
-    place::Running,
+    operation::{self, Job, Refused, Step},
+    target::Running,
     tokens,
 };
 
@@ -27,7 +27,7 @@
 
 /// A transaction that is open.
 struct Transaction {
-    job: Job,
+    operation: Job,
     /// The longest that one statement may take.
     timeout: Duration,
     /// Opened with the first statement that needs a server.
@@ -83,9 +83,9 @@
     /// and locks perhaps, that others wait for.
     pub fn end_rested(&mut self) {
         if let Some(transaction) = self.transaction.take() {
-            info!(id = %transaction.job.id, "transaction: ended, its caller rested too long");
+            info!(id = %transaction.operation.id, "transaction: ended, its caller rested too long");
             if let Some(running) = transaction.running {
-                job::roll_back(&self.host, running);
+                operation::roll_back(&self.host, running);
             }
             self.state = State::Failed;
             self.ended = true;
@@ -112,8 +112,8 @@
             Statement::Begin(access) => match self.admit_operation(request).await {
                 Ok(admitted) => {
                     let timeout = admitted.0.timeout;
-                    let job = self.job(request, admitted, *access);
-                    self.transaction = Some(Transaction { job, timeout, running: None });
+                    let operation = self.operation(request, admitted, *access);
+                    self.transaction = Some(Transaction { operation, timeout, running: None });
                     self.state = State::Open;
                     self.done(out);
                 }
@@ -131,7 +131,7 @@
 
     /// Answers a statement outside of any transaction.
     async fn answer_single(&mut self, request: &Request, out: &mut BytesMut) {
-        let Some(access) = job::access(&self.session, &request.statement) else {
+        let Some(access) = operation::access(&self.session, &request.statement) else {
             self.fail(&Refused::of(Failure::UnknownName, "no such name"), out);
             return;
         };
@@ -140,13 +140,13 @@
             Err(refused) => return self.fail(&refused, out),
         };
         let began = Instant::now();
-        let job = self.job(request, admitted, access);
-        let answer = job::single(&self.host, &job, &self.session, request).await;
-        self.log(&job, request, began, &answer);
+        let operation = self.operation(request, admitted, access);
+        let answer = operation::single(&self.host, &operation, &self.session, request).await;
+        self.log(&operation, request, began, &answer);
         match answer {
             Ok((answer, _)) => {
                 if access == Access::Write {
-                    self.raise(&job, answer.point);
+                    self.raise(&operation, answer.point);
                 }
                 out.extend_from_slice(&answer.relay);
                 wire::put_ready(State::Idle, out);
@@ -167,7 +167,7 @@
             }
             Statement::Commit => self.answer_step(request, None, out).await,
             Statement::Read | Statement::Write | Statement::Execute { .. } => {
-                match job::access(&self.session, &request.statement) {
+                match operation::access(&self.session, &request.statement) {
                     Some(access) => self.answer_step(request, Some(access), out).await,
                     None => self.fail(&Refused::of(Failure::UnknownName, "no such name"), out),
                 }
@@ -180,10 +180,10 @@
     async fn answer_step(&mut self, request: &Request, access: Option<Access>, out: &mut BytesMut) {
         let Some(mut transaction) = self.transaction.take() else { return };
         let began = Instant::now();
-        transaction.job.deadline = began + transaction.timeout;
-        transaction.job.id = request.id.clone();
+        transaction.operation.deadline = began + transaction.timeout;
+        transaction.operation.id = request.id.clone();
         let answer = self.step(request, &mut transaction).await;
-        self.log(&transaction.job, request, began, &answer);
+        self.log(&transaction.operation, request, began, &answer);
         let commits = access.is_none();
         match answer {
             Ok((answer, _)) if answer.failure().is_none() && !commits => {
@@ -193,7 +193,7 @@
             }
             Ok((answer, _)) => {
                 if answer.failure().is_none() {
-                    self.raise(&transaction.job, answer.point);
+                    self.raise(&transaction.operation, answer.point);
                 }
                 out.extend_from_slice(&answer.relay);
                 if let Some(running) = transaction.running {
@@ -217,9 +217,9 @@
         request: &Request,
         transaction: &mut Transaction,
     ) -> Result<(ServerAnswer, usize), Refused> {
-        let Transaction { job, running, .. } = transaction;
+        let Transaction { operation, running, .. } = transaction;
         if running.is_none() {
-            *running = Some(job::open(&self.host, job, &self.session).await?);
+            *running = Some(operation::open(&self.host, operation, &self.session).await?);
         }
         let Some(on) = running else { return Err(Refused::busy("no connection")) };
         let commits = request.statement == Statement::Commit;
@@ -230,7 +230,7 @@
                 ..Refused::busy("the leader changed")
             });
         }
-        match job::step(&self.host, job, &self.session, request, on).await {
+        match operation::step(&self.host, operation, &self.session, request, on).await {
             Step::Answered(answer) => Ok((answer, 1)),
             // Sent, and nobody knows whether it was kept.
             Step::Lost(why) if commits => Err(Refused::of(Failure::Uncertain, why)),
@@ -287,7 +287,7 @@
 
     fn end_transaction(&mut self) {
         if let Some(running) = self.transaction.take().and_then(|open| open.running) {
-            job::roll_back(&self.host, running);
+            operation::roll_back(&self.host, running);
         }
         self.state = State::Idle;
         self.ended = false;
@@ -302,7 +302,7 @@
     fn fail(&mut self, refused: &Refused, out: &mut BytesMut) {
         if self.state == State::Open {
             if let Some(running) = self.transaction.take().and_then(|open| open.running) {
-                job::roll_back(&self.host, running);
+                operation::roll_back(&self.host, running);
             }
             self.state = State::Failed;
         }
@@ -311,9 +311,9 @@
     }
 
     /// Notes how far the session has written.
-    fn raise(&mut self, job: &Job, point: Option<Point>) {
+    fn raise(&mut self, operation: &Job, point: Option<Point>) {
         if let Some(point) = point {
-            let floor = self.floors.entry(job.group.id.clone()).or_insert(point);
+            let floor = self.floors.entry(operation.group.id.clone()).or_insert(point);
             *floor = (*floor).max(point);
         }
     }
@@ -368,7 +368,7 @@
         Ok((route, account.id.clone(), homes))
     }
 
-    fn job(
+    fn operation(
         &self,
         request: &Request,
         (route, account, homes): (Rc<Route>, AccountId, homes::Homes),
@@ -390,7 +390,7 @@
 
     fn log(
         &self,
-        job: &Job,
+        operation: &Job,
         request: &Request,
         began: Instant,
         answer: &Result<(ServerAnswer, usize), Refused>,
@@ -405,13 +405,13 @@
             Err(refused) if refused.failure == Failure::Uncertain => ("uncertain", 0, refused.why),
             Err(refused) => ("refused", 0, refused.why),
         };
-        self.host.measures.answered(&job.account, outcome, took);
+        self.host.measures.answered(&operation.account, outcome, took);
         let point = answer.as_ref().ok().and_then(|(answer, _)| answer.point);
         info!(
-            id = %request.id, verb, account = %job.account, group = %job.group.id,
-            leader = job.group.leader().as_ref().map(tracing::field::display),
+            id = %request.id, verb, account = %operation.account, group = %operation.group.id,
+            leader = operation.group.leader().as_ref().map(tracing::field::display),
             point = point.as_ref().map(tracing::field::display),
-            floor = job.floor.as_ref().map(tracing::field::display),
+            floor = operation.floor.as_ref().map(tracing::field::display),
             version = self.host.version().0,
             ms = took.as_millis() as u64, tries, outcome, why, "statement"
         );
@@ -423,7 +423,7 @@
     if answer.state == State::Idle {
         running.conn.give_back(answer);
     } else {
-        job::roll_back(host, running);
+        operation::roll_back(host, running);
     }
 }
 
--- a/components/proxy/src/place.rs
+++ b/components/proxy/src/target.rs
@@ -20,7 +20,7 @@
     conn::{Broken, Conn, Turn},
     group::{Need, Use},
     host::Host,
-    job::{Job, Refused},
+    operation::{Job, Refused},
     placement,
     pool::Pool,
 };
@@ -47,16 +47,16 @@
 
 impl Chosen {
     /// Of a place.
-    pub fn of(place: &Place) -> Self {
-        let server = place.pool.listed.borrow().id.clone();
-        Self { server, after: place.after, leads: place.usage.is_some() }
+    pub fn of(target: &Place) -> Self {
+        let server = target.pool.listed.borrow().id.clone();
+        Self { server, after: target.after, leads: target.usage.is_some() }
     }
 
     /// Logs why nothing was served there.
-    pub fn log(&self, job: &Job, why: &str) {
+    pub fn log(&self, operation: &Job, why: &str) {
         let after = self.after.as_ref().map(tracing::field::display);
         info!(
-            id = %job.id, server = %self.server, leads = self.leads, after, why,
+            id = %operation.id, server = %self.server, leads = self.leads, after, why,
             "statement: not served there"
         );
     }
@@ -75,28 +75,28 @@
 }
 
 /// The places where a job may run, best first. Empty when there is none now.
-pub fn places(host: &Host, job: &Job) -> Vec<Place> {
+pub fn places(host: &Host, operation: &Job) -> Vec<Place> {
     let now = host.now();
-    let need = match job.access {
+    let need = match operation.access {
         Access::Write => Need::Leader,
-        Access::Read => job.group.need(job.currency, job.floor, now),
+        Access::Read => operation.group.need(operation.currency, operation.floor, now),
     };
-    let leader = host.begin(&job.group).filter(|usage| leads_for(host, job, usage));
+    let leader = host.begin(&operation.group).filter(|usage| leads_for(host, operation, usage));
     let after = match need {
         Need::Log(point) => Some(point),
         Need::Leader => None,
     };
     let Some(after) = after else {
-        let place = leader.and_then(|usage| {
+        let target = leader.and_then(|usage| {
             Some(Place { pool: host.server(&usage.server)?, after: None, usage: Some(usage) })
         });
-        return place.into_iter().collect();
+        return target.into_iter().collect();
     };
     let leads = leader.as_ref().map(|usage| usage.server.clone());
-    let mut servers = host.servers(&job.group.id);
+    let mut servers = host.servers(&operation.group.id);
     servers.retain(|pool| {
         let fits = placement::of(host, pool) == evacuation::Placement::Allowed;
-        fits && placement::is_home(host, pool, &job.homes)
+        fits && placement::is_home(host, pool, &operation.homes)
     });
     let health: Vec<_> = servers.iter().map(|pool| pool.health.borrow()).collect();
     let candidates: Vec<_> = servers
@@ -107,11 +107,11 @@
             Candidate {
                 health,
                 near: listed.domain == host.settings.domain,
-                warm: host.holder(pool).is_some() || pool.is_warm(&job.account),
+                warm: host.holder(pool).is_some() || pool.is_warm(&operation.account),
                 leads: leads.as_ref() == Some(&listed.id),
                 cold: pool.is_cold(now),
                 slots: listed.slots,
-                wait: pool.wait(job.priority, job.patience, now),
+                wait: pool.wait(operation.priority, operation.patience, now),
             }
         })
         .collect();
@@ -143,38 +143,39 @@
 }
 
 /// How long all places would refuse a job; none if one may have room.
-pub fn congested(host: &Host, job: &Job, places: &[Place]) -> Option<Duration> {
+pub fn congested(host: &Host, operation: &Job, places: &[Place]) -> Option<Duration> {
     let now = host.now();
-    let lasts =
-        |place: &Place| place.pool.congestion.borrow().lasts(job.priority, job.patience, now);
+    let lasts = |target: &Place| {
+        target.pool.congestion.borrow().lasts(operation.priority, operation.patience, now)
+    };
     let waits: Option<Vec<_>> = places.iter().map(lasts).collect();
     waits?.into_iter().min()
 }
 
 /// Whether the leader may run a job where it stands.
-fn leads_for(host: &Host, job: &Job, usage: &Use) -> bool {
+fn leads_for(host: &Host, operation: &Job, usage: &Use) -> bool {
     let pool = host.server(&usage.server);
     pool.is_some_and(|pool| {
-        !placement::is_forbidden(host, &pool) && placement::is_home(host, &pool, &job.homes)
+        !placement::is_forbidden(host, &pool) && placement::is_home(host, &pool, &operation.homes)
     })
 }
 
 /// Takes a connection at the place.
 pub async fn connect(
     host: &Host,
-    job: &Job,
+    operation: &Job,
     session: &Session,
-    place: Place,
+    target: Place,
 ) -> Result<Running, Refused> {
-    let Place { pool, after, usage } = place;
-    let until = job.deadline.min(Instant::now() + CONNECTION_WITHIN);
-    let turn = Turn { priority: job.priority, patience: job.patience, until };
+    let Place { pool, after, usage } = target;
+    let until = operation.deadline.min(Instant::now() + CONNECTION_WITHIN);
+    let turn = Turn { priority: operation.priority, patience: operation.patience, until };
     let now = host.now();
-    let conn = match placement::carrier(host, &pool, &job.homes).await {
-        Some(link) => Conn::far(pool, link, job.account.clone(), turn),
-        None => Conn::own(&pool, &job.account, session, turn, now)
+    let conn = match placement::carrier(host, &pool, &operation.homes).await {
+        Some(link) => Conn::far(pool, link, operation.account.clone(), turn),
+        None => Conn::own(&pool, &operation.account, session, turn, now)
             .await
-            .map_err(|why| refused(host, job, &pool, usage.is_some(), why, now))?,
+            .map_err(|why| refused(host, operation, &pool, usage.is_some(), why, now))?,
     };
     if usage.as_ref().is_some_and(|usage| !host.holds(usage)) {
         return Err(Refused::busy("the leader changed"));
@@ -186,7 +187,7 @@
 /// says so to the caller.
 fn refused(
     host: &Host,
-    job: &Job,
+    operation: &Job,
     pool: &Pool,
     leads: bool,
     why: NotSent,
@@ -197,21 +198,21 @@
         NotSent::Crowded(wait_ms) => {
             let wait = Duration::from_millis(wait_ms.into());
             let mut congestion = pool.congestion.borrow_mut();
-            congestion.refused(job.priority, job.patience, wait, host.now());
+            congestion.refused(operation.priority, operation.patience, wait, host.now());
             return Refused::crowded(wait);
         }
         NotSent::Dead => {
             health.fail(since);
             health.fail(since);
             if leads {
-                job.group.suspicion.borrow_mut().refused(host.now());
+                operation.group.suspicion.borrow_mut().refused(host.now());
             }
         }
         NotSent::Silent => {
             health.fail(since);
             // Not only silence: it may accept connections and close them.
             if leads {
-                job.group.suspicion.borrow_mut().silent(since);
+                operation.group.suspicion.borrow_mut().silent(since);
             }
         }
         NotSent::Misdirected => {
@@ -245,7 +246,7 @@
 /// Sends what the connection has to write and reads the answer.
 pub async fn exchange(
     host: &Host,
-    job: &Job,
+    operation: &Job,
     running: &mut Running,
     within: Duration,
 ) -> Result<ServerAnswer, NoAnswer> {
@@ -269,16 +270,16 @@
     let now = host.now();
     match answer {
         Ok(answer) => {
-            pool.congestion.borrow_mut().served(job.priority, now);
+            pool.congestion.borrow_mut().served(operation.priority, now);
             let took = now.saturating_duration_since(asked);
             pool.health.borrow_mut().end(Some(took), now);
-            note(host, job, running, &pool, &answer, asked);
+            note(host, operation, running, &pool, &answer, asked);
             Ok(answer)
         }
         Err(Broken::NotSent(why)) => {
             pool.health.borrow_mut().end(None, now);
             let leads = running.usage.is_some();
-            Err(NoAnswer::NotSent(refused(host, job, &pool, leads, why, asked)))
+            Err(NoAnswer::NotSent(refused(host, operation, &pool, leads, why, asked)))
         }
         Err(broken) => {
             let mut health = pool.health.borrow_mut();
@@ -295,25 +296,25 @@
 /// Notes what an answer shows of the server's log and of who leads.
 fn note(
     host: &Host,
-    job: &Job,
+    operation: &Job,
     running: &Running,
     pool: &Pool,
     answer: &ServerAnswer,
     asked: StdInstant,
 ) {
     if let Some(point) = answer.point
-        && job.group.leader().is_some_and(|id| id != pool.listed.borrow().id)
+        && operation.group.leader().is_some_and(|id| id != pool.listed.borrow().id)
     {
         // What a replica shows it has received.
-        job.group.receipts.state.borrow_mut().note(point);
+        operation.group.receipts.state.borrow_mut().note(point);
     }
     if let Some(usage) = &running.usage
         && host.holds(usage)
     {
-        job.group.suspicion.borrow_mut().answered();
+        operation.group.suspicion.borrow_mut().answered();
         if let Some(point) = answer.point {
-            job.group.ages.borrow_mut().note_point(asked, point);
-            job.group.seen.set(Some((asked, point)));
+            operation.group.ages.borrow_mut().note_point(asked, point);
+            operation.group.seen.set(Some((asked, point)));
         }
     }
 }
