--- a/components/proxy/src/caller.rs
+++ b/components/proxy/src/caller.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     host::{Host, Phase},
-    operation::Refused,
-    session::Talk,
+    operation::Refusal,
+    session::CallerSession,
 };
 
 /// How long a caller may take to begin its session.
@@ -80,9 +80,9 @@
         phase: host.phase.subscribe(),
     };
     let Some((database, key)) = caller.start().await? else { return Ok(()) };
-    let mut session = Talk::new(host.clone(), database, key);
-    if let Err(refused) = session.check() {
-        return caller.close_with(&refused).await;
+    let mut session = CallerSession::new(host.clone(), database, key);
+    if let Err(refusal) = session.check() {
+        return caller.close_with(&refusal).await;
     }
     wire::put_ready(State::Idle, &mut caller.out);
     caller.flush().await?;
@@ -94,13 +94,13 @@
                 Ok(FromCaller::Unreadable) => session.answer_unreadable(&mut caller.out),
                 Ok(FromCaller::Bye) => return Ok(()),
                 Ok(FromCaller::Start { .. }) | Err(_) => {
-                    let refused = Refused::of(Failure::Malformed, "an unknown message");
-                    return caller.close_with(&refused).await;
+                    let refusal = Refusal::new(Failure::Malformed, "an unknown message");
+                    return caller.close_with(&refusal).await;
                 }
             },
             Next::TooLong => {
-                let refused = Refused::of(Failure::TooLarge, "the message is too large");
-                return caller.close_with(&refused).await;
+                let refusal = Refusal::new(Failure::TooLarge, "the message is too large");
+                return caller.close_with(&refusal).await;
             }
             Next::Rested => session.end_rested(),
             Next::Ended | Next::Stopped => return Ok(()),
@@ -115,8 +115,8 @@
         let line = match self.next(true, Some(START_WITHIN)).await? {
             Next::Line(line) => line,
             Next::TooLong => {
-                let refused = Refused::of(Failure::TooLarge, "the message is too large");
-                self.close_with(&refused).await?;
+                let refusal = Refusal::new(Failure::TooLarge, "the message is too large");
+                self.close_with(&refusal).await?;
                 return Ok(None);
             }
             Next::Ended | Next::Rested | Next::Stopped => return Ok(None),
@@ -124,7 +124,7 @@
         if let Ok(FromCaller::Start { database, key }) = wire::decode_caller(&line) {
             return Ok(Some((database, key)));
         }
-        self.close_with(&Refused::of(Failure::Malformed, "no session was begun")).await?;
+        self.close_with(&Refusal::new(Failure::Malformed, "no session was begun")).await?;
         Ok(None)
     }
 
@@ -179,8 +179,8 @@
     }
 
     /// Tells why, and ends the connection.
-    async fn close_with(&mut self, refused: &Refused) -> anyhow::Result<()> {
-        wire::put_failure(refused.failure, &refused.text(), &mut self.out);
+    async fn close_with(&mut self, refusal: &Refusal) -> anyhow::Result<()> {
+        wire::put_failure(refusal.failure, &refusal.text(), &mut self.out);
         self.flush().await?;
         self.io.shutdown().await.context("ending a connection")
     }
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -31,24 +31,24 @@
 }
 
 /// Whether another host may be sent statements with these homes.
-pub fn may_carry(host: &host::Host, carrier: &ids::HostId, homes: &homes::Homes) -> bool {
+pub fn may_forward(host: &host::Host, holder_link: &ids::HostId, homes: &homes::Homes) -> bool {
     if homes.is_anywhere() {
         return true;
     }
     let held = host.held.borrow();
-    let member = held.view().members.get(carrier);
+    let member = held.view().members.get(holder_link);
     member.is_some_and(|member| homes.allow(region(host, &member.value.domain)))
 }
 
 /// The link to the host that holds a server's connections, if statements with these homes
 /// may go through it.
-pub async fn carrier(
+pub async fn holder_link(
     host: &host::Host,
     pool: &pool::Pool,
     homes: &homes::Homes,
 ) -> Option<Rc<link::Link>> {
     let link = host.settled_holder(pool).await?;
-    may_carry(host, &link.host, homes).then_some(link)
+    may_forward(host, &link.host, homes).then_some(link)
 }
 
 /// How many of the group's databases a server may serve by their homes; the same for all
@@ -70,7 +70,10 @@
 
 /// Why no server may run a job for as long as placements stay as they are; `None` where one
 /// may, or where the leader is about to be replaced by one that may.
-pub fn barred(host: &host::Host, operation: &operation::Job) -> Option<&'static str> {
+pub fn rejection_reason(
+    host: &host::Host,
+    operation: &operation::Operation,
+) -> Option<&'static str> {
     let servers = host.servers(&operation.group.id);
     if servers.is_empty() {
         return None;
--- a/components/proxy/src/session.rs
+++ b/components/proxy/src/session.rs
@@ -13,8 +13,8 @@
 
 use crate::{
     host::Host,
-    operation::{self, Job, Refused, Step},
-    target::Running,
+    operation::{self, Operation, Refusal, StepOutcome},
+    target::Execution,
     tokens,
 };
 
@@ -27,28 +27,28 @@
 
 /// A transaction that is open.
 struct Transaction {
-    operation: Job,
+    operation: Operation,
     /// The longest that one statement may take.
     timeout: Duration,
     /// Opened with the first statement that needs a server.
-    running: Option<Running>,
+    execution: Option<Execution>,
 }
 
 /// A caller's session.
-pub struct Talk {
+pub struct CallerSession {
     host: Rc<Host>,
     database: Box<str>,
     key: Box<str>,
     session: Session,
     /// How far this session has written, by group.
-    floors: HashMap<GroupId, Point>,
+    last_writes: HashMap<GroupId, Point>,
     transaction: Option<Transaction>,
     state: State,
     /// The transaction was ended while its caller rested; it has not been told.
     ended: bool,
 }
 
-impl Talk {
+impl CallerSession {
     /// A session that has said nothing yet.
     pub fn new(host: Rc<Host>, database: Box<str>, key: Box<str>) -> Self {
         Self {
@@ -56,7 +56,7 @@
             database,
             key,
             session: Session::default(),
-            floors: HashMap::new(),
+            last_writes: HashMap::new(),
             transaction: None,
             state: State::Idle,
             ended: false,
@@ -75,7 +75,7 @@
     }
 
     /// Whether the session may be there: its database is known and so is its key.
-    pub fn check(&self) -> Result<(), Refused> {
+    pub fn check(&self) -> Result<(), Refusal> {
         self.admit().map(|_| ())
     }
 
@@ -84,8 +84,8 @@
     pub fn end_rested(&mut self) {
         if let Some(transaction) = self.transaction.take() {
             info!(id = %transaction.operation.id, "transaction: ended, its caller rested too long");
-            if let Some(running) = transaction.running {
-                operation::roll_back(&self.host, running);
+            if let Some(execution) = transaction.execution {
+                operation::roll_back(&self.host, execution);
             }
             self.state = State::Failed;
             self.ended = true;
@@ -94,8 +94,8 @@
 
     /// Answers a statement that cannot be read.
     pub fn answer_unreadable(&mut self, out: &mut BytesMut) {
-        let refused = Refused::of(Failure::Malformed, "the statement cannot be read");
-        self.fail(&refused, out);
+        let refusal = Refusal::new(Failure::Malformed, "the statement cannot be read");
+        self.fail(&refusal, out);
     }
 
     /// Answers a statement.
@@ -113,14 +113,14 @@
                 Ok(admitted) => {
                     let timeout = admitted.0.timeout;
                     let operation = self.operation(request, admitted, *access);
-                    self.transaction = Some(Transaction { operation, timeout, running: None });
+                    self.transaction = Some(Transaction { operation, timeout, execution: None });
                     self.state = State::Open;
                     self.done(out);
                 }
-                Err(refused) => self.fail(&refused, out),
+                Err(refusal) => self.fail(&refusal, out),
             },
             Statement::Commit | Statement::Rollback => {
-                self.fail(&Refused::of(Failure::Malformed, "no transaction is open"), out);
+                self.fail(&Refusal::new(Failure::Malformed, "no transaction is open"), out);
             }
             Statement::Read | Statement::Write | Statement::Execute { .. } => {
                 self.answer_single(request, out).await;
@@ -132,16 +132,16 @@
     /// Answers a statement outside of any transaction.
     async fn answer_single(&mut self, request: &Request, out: &mut BytesMut) {
         let Some(access) = operation::access(&self.session, &request.statement) else {
-            self.fail(&Refused::of(Failure::UnknownName, "no such name"), out);
+            self.fail(&Refusal::new(Failure::UnknownName, "no such name"), out);
             return;
         };
         let admitted = match self.admit_operation(request).await {
             Ok(admitted) => admitted,
-            Err(refused) => return self.fail(&refused, out),
+            Err(refusal) => return self.fail(&refusal, out),
         };
         let began = Instant::now();
         let operation = self.operation(request, admitted, access);
-        let answer = operation::single(&self.host, &operation, &self.session, request).await;
+        let answer = operation::run_statement(&self.host, &operation, &self.session, request).await;
         self.log(&operation, request, began, &answer);
         match answer {
             Ok((answer, _)) => {
@@ -151,15 +151,15 @@
                 out.extend_from_slice(&answer.relay);
                 wire::put_ready(State::Idle, out);
             }
-            Err(refused) => self.fail(&refused, out),
+            Err(refusal) => self.fail(&refusal, out),
         }
     }
 
     async fn answer_open(&mut self, request: &Request, out: &mut BytesMut) {
         match &request.statement {
             Statement::Begin(_) => {
-                let refused = Refused::of(Failure::Malformed, "a transaction is open already");
-                self.fail(&refused, out);
+                let refusal = Refusal::new(Failure::Malformed, "a transaction is open already");
+                self.fail(&refusal, out);
             }
             Statement::Rollback => {
                 self.end_transaction();
@@ -169,7 +169,7 @@
             Statement::Read | Statement::Write | Statement::Execute { .. } => {
                 match operation::access(&self.session, &request.statement) {
                     Some(access) => self.answer_step(request, Some(access), out).await,
-                    None => self.fail(&Refused::of(Failure::UnknownName, "no such name"), out),
+                    None => self.fail(&Refusal::new(Failure::UnknownName, "no such name"), out),
                 }
             }
             _ => self.answer_local(request, out),
@@ -196,16 +196,16 @@
                     self.raise(&transaction.operation, answer.point);
                 }
                 out.extend_from_slice(&answer.relay);
-                if let Some(running) = transaction.running {
-                    finish(&self.host, running, &answer);
+                if let Some(execution) = transaction.execution {
+                    finish(&self.host, execution, &answer);
                 }
                 self.state = if commits { State::Idle } else { State::Failed };
                 wire::put_ready(self.state, out);
             }
-            Err(refused) => {
+            Err(refusal) => {
                 // What is dropped here closes the connection, which rolls back.
                 drop(transaction);
-                wire::put_failure(refused.failure, &refused.text(), out);
+                wire::put_failure(refusal.failure, &refusal.text(), out);
                 self.state = if commits { State::Idle } else { State::Failed };
                 wire::put_ready(self.state, out);
             }
@@ -216,26 +216,29 @@
         &self,
         request: &Request,
         transaction: &mut Transaction,
-    ) -> Result<(ServerAnswer, usize), Refused> {
-        let Transaction { operation, running, .. } = transaction;
-        if running.is_none() {
-            *running = Some(operation::open(&self.host, operation, &self.session).await?);
+    ) -> Result<(ServerAnswer, usize), Refusal> {
+        let Transaction { operation, execution, .. } = transaction;
+        if execution.is_none() {
+            *execution =
+                Some(operation::open_transaction(&self.host, operation, &self.session).await?);
         }
-        let Some(on) = running else { return Err(Refused::busy("no connection")) };
+        let Some(on) = execution else { return Err(Refusal::busy("no connection")) };
         let commits = request.statement == Statement::Commit;
         let valid = on.usage.as_ref().is_none_or(|usage| self.host.holds(usage));
         if !valid {
-            return Err(Refused {
+            return Err(Refusal {
                 failure: Failure::Aborted,
-                ..Refused::busy("the leader changed")
+                ..Refusal::busy("the leader changed")
             });
         }
-        match operation::step(&self.host, operation, &self.session, request, on).await {
-            Step::Answered(answer) => Ok((answer, 1)),
+        match operation::run_step(&self.host, operation, &self.session, request, on).await {
+            StepOutcome::Answered(answer) => Ok((answer, 1)),
             // Sent, and nobody knows whether it was kept.
-            Step::Lost(why) if commits => Err(Refused::of(Failure::Uncertain, why)),
-            Step::Lost(why) => Err(Refused { failure: Failure::Aborted, ..Refused::busy(why) }),
-            Step::NotSent(refused) => Err(Refused { failure: Failure::Aborted, ..refused }),
+            StepOutcome::Lost(why) if commits => Err(Refusal::new(Failure::Uncertain, why)),
+            StepOutcome::Lost(why) => {
+                Err(Refusal { failure: Failure::Aborted, ..Refusal::busy(why) })
+            }
+            StepOutcome::NotSent(refusal) => Err(Refusal { failure: Failure::Aborted, ..refusal }),
         }
     }
 
@@ -247,14 +250,14 @@
             }
             Statement::Commit => {
                 self.end_transaction();
-                let refused = Refused::of(Failure::Aborted, "the transaction has failed");
-                self.fail(&refused, out);
+                let refusal = Refusal::new(Failure::Aborted, "the transaction has failed");
+                self.fail(&refusal, out);
             }
             _ if std::mem::take(&mut self.ended) => {
                 let why = "the transaction was ended, its caller rested too long";
-                self.fail(&Refused::of(Failure::Aborted, why), out);
+                self.fail(&Refusal::new(Failure::Aborted, why), out);
             }
-            _ => self.fail(&Refused::of(Failure::Malformed, "the transaction has failed"), out),
+            _ => self.fail(&Refusal::new(Failure::Malformed, "the transaction has failed"), out),
         }
     }
 
@@ -267,8 +270,8 @@
             _ => true,
         };
         if !known && session.values.len() + session.prepared.len() >= MOST_NAMES {
-            let refused = Refused::of(Failure::TooLarge, "the session holds too many names");
-            return self.fail(&refused, out);
+            let refusal = Refusal::new(Failure::TooLarge, "the session holds too many names");
+            return self.fail(&refusal, out);
         }
         match &request.statement {
             Statement::Set { name, value } => {
@@ -278,7 +281,7 @@
                 session.prepared.insert(name.clone(), shape.clone());
             }
             Statement::Forget { name } if session.prepared.remove(name).is_none() => {
-                return self.fail(&Refused::of(Failure::UnknownName, "no such name"), out);
+                return self.fail(&Refusal::new(Failure::UnknownName, "no such name"), out);
             }
             _ => {}
         }
@@ -286,8 +289,8 @@
     }
 
     fn end_transaction(&mut self) {
-        if let Some(running) = self.transaction.take().and_then(|open| open.running) {
-            operation::roll_back(&self.host, running);
+        if let Some(execution) = self.transaction.take().and_then(|open| open.execution) {
+            operation::roll_back(&self.host, execution);
         }
         self.state = State::Idle;
         self.ended = false;
@@ -299,36 +302,36 @@
     }
 
     /// Tells a failure; within a transaction it fails the transaction.
-    fn fail(&mut self, refused: &Refused, out: &mut BytesMut) {
+    fn fail(&mut self, refusal: &Refusal, out: &mut BytesMut) {
         if self.state == State::Open {
-            if let Some(running) = self.transaction.take().and_then(|open| open.running) {
-                operation::roll_back(&self.host, running);
+            if let Some(execution) = self.transaction.take().and_then(|open| open.execution) {
+                operation::roll_back(&self.host, execution);
             }
             self.state = State::Failed;
         }
-        wire::put_failure(refused.failure, &refused.text(), out);
+        wire::put_failure(refusal.failure, &refusal.text(), out);
         wire::put_ready(self.state, out);
     }
 
     /// Notes how far the session has written.
-    fn raise(&mut self, operation: &Job, point: Option<Point>) {
+    fn raise(&mut self, operation: &Operation, point: Option<Point>) {
         if let Some(point) = point {
-            let floor = self.floors.entry(operation.group.id.clone()).or_insert(point);
+            let floor = self.last_writes.entry(operation.group.id.clone()).or_insert(point);
             *floor = (*floor).max(point);
         }
     }
 
     /// The route and the account that the session has by the newest configuration.
-    fn admit(&self) -> Result<(Rc<Route>, Option<Rc<Account>>), Refused> {
+    fn admit(&self) -> Result<(Rc<Route>, Option<Rc<Account>>), Refusal> {
         if !self.host.may_serve() {
-            return Err(Refused::busy("this host cannot show that its configuration is in force"));
+            return Err(Refusal::busy("this host cannot show that its configuration is in force"));
         }
         let (route, account) = self.host.find(&self.database, &self.key);
         let Some(route) = route else {
-            return Err(Refused::of(Failure::NoDatabase, "there is no such database"));
+            return Err(Refusal::new(Failure::NoDatabase, "there is no such database"));
         };
         if account.is_none() && !route.public {
-            return Err(Refused::of(Failure::Denied, "the key is not known"));
+            return Err(Refusal::new(Failure::Denied, "the key is not known"));
         }
         Ok((route, account))
     }
@@ -337,13 +340,13 @@
     async fn admit_operation(
         &self,
         request: &Request,
-    ) -> Result<(Rc<Route>, AccountId, homes::Homes), Refused> {
-        let (route, account) = self.admit().inspect_err(|refused| {
+    ) -> Result<(Rc<Route>, AccountId, homes::Homes), Refusal> {
+        let (route, account) = self.admit().inspect_err(|refusal| {
             info!(
                 id = %request.id, database = %self.database, version = self.host.version().0,
                 newest = self.host.newest.get().0,
                 plan_age_ms = self.host.plan_age().map(|age| age.as_millis() as u64),
-                failure = ?refused.failure, why = refused.why, "statement: not admitted"
+                failure = ?refusal.failure, why = refusal.reason, "statement: not admitted"
             );
         })?;
         let Some(account) = account else {
@@ -353,7 +356,7 @@
         };
         let Some(ruling) = tokens::take(&self.host, &request.id, &account).await else {
             info!(id = %request.id, account = %account.id, "statement: its rate cannot be checked");
-            return Err(Refused::busy("the account's rate cannot be checked now"));
+            return Err(Refusal::busy("the account's rate cannot be checked now"));
         };
         if !ruling.admitted {
             info!(
@@ -361,8 +364,8 @@
                 part = ruling.part, side = ruling.side, level = ruling.level, retry_ms = ruling.retry.as_millis() as u64,
                 "statement: over the account's rate"
             );
-            let retry = Some(ruling.retry);
-            return Err(Refused { retry, ..Refused::busy("the account is over its rate") });
+            let retry_after = Some(ruling.retry);
+            return Err(Refusal { retry_after, ..Refusal::busy("the account is over its rate") });
         }
         let homes = route.homes.and(&account.homes);
         Ok((route, account.id.clone(), homes))
@@ -373,27 +376,27 @@
         request: &Request,
         (route, account, homes): (Rc<Route>, AccountId, homes::Homes),
         access: Access,
-    ) -> Job {
-        Job {
+    ) -> Operation {
+        Operation {
             id: request.id.clone(),
             account,
             group: self.host.group(&route.group),
             currency: route.currency,
             access,
             homes,
-            floor: self.floors.get(&route.group).copied(),
+            last_write: self.last_writes.get(&route.group).copied(),
             deadline: Instant::now() + route.timeout,
             priority: route.priority,
-            patience: route.aim / 2,
+            queue_timeout: route.aim / 2,
         }
     }
 
     fn log(
         &self,
-        operation: &Job,
+        operation: &Operation,
         request: &Request,
         began: Instant,
-        answer: &Result<(ServerAnswer, usize), Refused>,
+        answer: &Result<(ServerAnswer, usize), Refusal>,
     ) {
         let took = began.elapsed();
         let verb = request.text.split(' ').next().unwrap_or_default();
@@ -402,8 +405,10 @@
                 None => ("done", *tries, ""),
                 Some(_) => ("failed", *tries, "the server said so"),
             },
-            Err(refused) if refused.failure == Failure::Uncertain => ("uncertain", 0, refused.why),
-            Err(refused) => ("refused", 0, refused.why),
+            Err(refusal) if refusal.failure == Failure::Uncertain => {
+                ("uncertain", 0, refusal.reason)
+            }
+            Err(refusal) => ("refused", 0, refusal.reason),
         };
         self.host.measures.answered(&operation.account, outcome, took);
         let point = answer.as_ref().ok().and_then(|(answer, _)| answer.point);
@@ -411,7 +416,7 @@
             id = %request.id, verb, account = %operation.account, group = %operation.group.id,
             leader = operation.group.leader().as_ref().map(tracing::field::display),
             point = point.as_ref().map(tracing::field::display),
-            floor = operation.floor.as_ref().map(tracing::field::display),
+            floor = operation.last_write.as_ref().map(tracing::field::display),
             version = self.host.version().0,
             ms = took.as_millis() as u64, tries, outcome, why, "statement"
         );
@@ -419,15 +424,15 @@
 }
 
 /// Keeps or closes the connection of a transaction that the answer has ended.
-fn finish(host: &Host, running: Running, answer: &ServerAnswer) {
+fn finish(host: &Host, execution: Execution, answer: &ServerAnswer) {
     if answer.state == State::Idle {
-        running.conn.give_back(answer);
+        execution.conn.give_back(answer);
     } else {
-        operation::roll_back(host, running);
+        operation::roll_back(host, execution);
     }
 }
 
-impl Drop for Talk {
+impl Drop for CallerSession {
     fn drop(&mut self) {
         self.end_transaction();
     }
--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -20,41 +20,41 @@
     conn::{Broken, Conn, Turn},
     group::{Need, Use},
     host::Host,
-    operation::{Job, Refused},
+    operation::{Operation, Refusal},
     placement,
     pool::Pool,
 };
 
 /// How long a statement waits for a connection while all are in use.
-const CONNECTION_WITHIN: Duration = Duration::from_millis(400);
+const CONNECTION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A server chosen for a job.
-pub struct Place {
+pub struct Target {
     /// The server.
     pub pool: Rc<Pool>,
     /// The position that its log must reach.
-    pub after: Option<Point>,
+    pub required_position: Option<Point>,
     /// The right to use it, where it is the leader.
     pub usage: Option<Use>,
 }
 
 /// What is logged of a place that served nothing.
-pub struct Chosen {
+pub struct TargetInfo {
     server: ServerId,
-    after: Option<Point>,
+    required_position: Option<Point>,
     leads: bool,
 }
 
-impl Chosen {
+impl TargetInfo {
     /// Of a place.
-    pub fn of(target: &Place) -> Self {
+    pub fn new(target: &Target) -> Self {
         let server = target.pool.listed.borrow().id.clone();
-        Self { server, after: target.after, leads: target.usage.is_some() }
+        Self { server, required_position: target.required_position, leads: target.usage.is_some() }
     }
 
     /// Logs why nothing was served there.
-    pub fn log(&self, operation: &Job, why: &str) {
-        let after = self.after.as_ref().map(tracing::field::display);
+    pub fn log(&self, operation: &Operation, why: &str) {
+        let after = self.required_position.as_ref().map(tracing::field::display);
         info!(
             id = %operation.id, server = %self.server, leads = self.leads, after, why,
             "statement: not served there"
@@ -63,32 +63,37 @@
 }
 
 /// A connection on which a job runs.
-pub struct Running {
+pub struct Execution {
     /// The connection.
     pub conn: Conn,
     /// The right to use the leader, where it is one.
     pub usage: Option<Use>,
     /// The position asked for.
-    pub after: Option<Point>,
+    pub required_position: Option<Point>,
     /// Whether its transaction has written.
     pub wrote: bool,
 }
 
 /// The places where a job may run, best first. Empty when there is none now.
-pub fn places(host: &Host, operation: &Job) -> Vec<Place> {
+pub fn select(host: &Host, operation: &Operation) -> Vec<Target> {
     let now = host.now();
     let need = match operation.access {
         Access::Write => Need::Leader,
-        Access::Read => operation.group.need(operation.currency, operation.floor, now),
+        Access::Read => operation.group.need(operation.currency, operation.last_write, now),
     };
-    let leader = host.begin(&operation.group).filter(|usage| leads_for(host, operation, usage));
-    let after = match need {
+    let leader =
+        host.begin(&operation.group).filter(|usage| leader_allowed(host, operation, usage));
+    let required_position = match need {
         Need::Log(point) => Some(point),
         Need::Leader => None,
     };
-    let Some(after) = after else {
+    let Some(required_position) = required_position else {
         let target = leader.and_then(|usage| {
-            Some(Place { pool: host.server(&usage.server)?, after: None, usage: Some(usage) })
+            Some(Target {
+                pool: host.server(&usage.server)?,
+                required_position: None,
+                usage: Some(usage),
+            })
         });
         return target.into_iter().collect();
     };
@@ -111,20 +116,21 @@
                 leads: leads.as_ref() == Some(&listed.id),
                 cold: pool.is_cold(now),
                 slots: listed.slots,
-                wait: pool.wait(operation.priority, operation.patience, now),
+                wait: pool.wait(operation.priority, operation.queue_timeout, now),
             }
         })
         .collect();
-    let mut order = choice::order(&candidates, Some(after), now);
+    let mut order = choice::order(&candidates, Some(required_position), now);
     // Those that are known to lack the position are no use while another may have it.
-    let lacks = |i: &usize| !candidates[*i].leads && candidates[*i].health.lacks(after, now);
+    let lacks =
+        |i: &usize| !candidates[*i].leads && candidates[*i].health.lacks(required_position, now);
     if !order.iter().all(lacks) {
         order.retain(|i| !lacks(i));
     }
     drop(candidates);
     drop(health);
     let mut leader = leader;
-    let mut places: Vec<Place> = Vec::new();
+    let mut targets: Vec<Target> = Vec::new();
     for i in order {
         let pool = servers[i].clone();
         let listed = pool.listed.borrow().clone();
@@ -133,27 +139,31 @@
             continue;
         }
         let usage = leader.take_if(|usage| usage.server == listed.id);
-        let after = if usage.is_some() { None } else { Some(after) };
-        places.push(Place { pool, after, usage });
+        let required_position = if usage.is_some() { None } else { Some(required_position) };
+        targets.push(Target { pool, required_position, usage });
     }
     // A leader whose failure domain is being evacuated, after all others.
     let last = leader.and_then(|usage| Some((host.server(&usage.server)?, usage)));
-    places.extend(last.map(|(pool, usage)| Place { pool, after: None, usage: Some(usage) }));
-    places
+    targets.extend(last.map(|(pool, usage)| Target {
+        pool,
+        required_position: None,
+        usage: Some(usage),
+    }));
+    targets
 }
 
 /// How long all places would refuse a job; none if one may have room.
-pub fn congested(host: &Host, operation: &Job, places: &[Place]) -> Option<Duration> {
+pub fn congestion_wait(host: &Host, operation: &Operation, targets: &[Target]) -> Option<Duration> {
     let now = host.now();
-    let lasts = |target: &Place| {
-        target.pool.congestion.borrow().lasts(operation.priority, operation.patience, now)
+    let lasts = |target: &Target| {
+        target.pool.congestion.borrow().lasts(operation.priority, operation.queue_timeout, now)
     };
-    let waits: Option<Vec<_>> = places.iter().map(lasts).collect();
+    let waits: Option<Vec<_>> = targets.iter().map(lasts).collect();
     waits?.into_iter().min()
 }
 
 /// Whether the leader may run a job where it stands.
-fn leads_for(host: &Host, operation: &Job, usage: &Use) -> bool {
+fn leader_allowed(host: &Host, operation: &Operation, usage: &Use) -> bool {
     let pool = host.server(&usage.server);
     pool.is_some_and(|pool| {
         !placement::is_forbidden(host, &pool) && placement::is_home(host, &pool, &operation.homes)
@@ -163,43 +173,43 @@
 /// Takes a connection at the place.
 pub async fn connect(
     host: &Host,
-    operation: &Job,
+    operation: &Operation,
     session: &Session,
-    target: Place,
-) -> Result<Running, Refused> {
-    let Place { pool, after, usage } = target;
-    let until = operation.deadline.min(Instant::now() + CONNECTION_WITHIN);
-    let turn = Turn { priority: operation.priority, patience: operation.patience, until };
+    target: Target,
+) -> Result<Execution, Refusal> {
+    let Target { pool, required_position, usage } = target;
+    let until = operation.deadline.min(Instant::now() + CONNECTION_TIMEOUT);
+    let turn = Turn { priority: operation.priority, patience: operation.queue_timeout, until };
     let now = host.now();
-    let conn = match placement::carrier(host, &pool, &operation.homes).await {
+    let conn = match placement::holder_link(host, &pool, &operation.homes).await {
         Some(link) => Conn::far(pool, link, operation.account.clone(), turn),
         None => Conn::own(&pool, &operation.account, session, turn, now)
             .await
-            .map_err(|why| refused(host, operation, &pool, usage.is_some(), why, now))?,
+            .map_err(|reason| refused(host, operation, &pool, usage.is_some(), reason, now))?,
     };
     if usage.as_ref().is_some_and(|usage| !host.holds(usage)) {
-        return Err(Refused::busy("the leader changed"));
+        return Err(Refusal::busy("the leader changed"));
     }
-    Ok(Running { conn, usage, after, wrote: false })
+    Ok(Execution { conn, usage, required_position, wrote: false })
 }
 
 /// Notes what speaks against a server that did not get a statement sent at `since`, and
 /// says so to the caller.
 fn refused(
     host: &Host,
-    operation: &Job,
+    operation: &Operation,
     pool: &Pool,
     leads: bool,
-    why: NotSent,
+    reason: NotSent,
     since: StdInstant,
-) -> Refused {
+) -> Refusal {
     let mut health = pool.health.borrow_mut();
-    match why {
+    match reason {
         NotSent::Crowded(wait_ms) => {
             let wait = Duration::from_millis(wait_ms.into());
             let mut congestion = pool.congestion.borrow_mut();
-            congestion.refused(operation.priority, operation.patience, wait, host.now());
-            return Refused::crowded(wait);
+            congestion.refused(operation.priority, operation.queue_timeout, wait, host.now());
+            return Refusal::overloaded(wait);
         }
         NotSent::Dead => {
             health.fail(since);
@@ -221,7 +231,7 @@
         }
         _ => {}
     }
-    Refused::busy(match why {
+    Refusal::busy(match reason {
         NotSent::Full => "all connections to the server are in use",
         NotSent::Dead => "the server does not run",
         NotSent::Silent => "the server does not answer",
@@ -236,9 +246,9 @@
 }
 
 /// Why an exchange brought no answer.
-pub enum NoAnswer {
+pub enum ExchangeError {
     /// Nothing was sent.
-    NotSent(Refused),
+    NotSent(Refusal),
     /// No whole answer came to what was sent.
     Lost(&'static str),
 }
@@ -246,46 +256,46 @@
 /// Sends what the connection has to write and reads the answer.
 pub async fn exchange(
     host: &Host,
-    operation: &Job,
-    running: &mut Running,
-    within: Duration,
-) -> Result<ServerAnswer, NoAnswer> {
-    let asked = host.now();
-    let pool = running.conn.pool().clone();
-    pool.health.borrow_mut().begin(asked);
+    operation: &Operation,
+    execution: &mut Execution,
+    timeout: Duration,
+) -> Result<ServerAnswer, ExchangeError> {
+    let sent_at = host.now();
+    let pool = execution.conn.pool().clone();
+    pool.health.borrow_mut().begin(sent_at);
     let given_up = async {
-        match &running.usage {
+        match &execution.usage {
             Some(usage) => usage.given_up().await,
             None => std::future::pending().await,
         }
     };
     // Its answer could not be passed on any more: said now, not when time is up.
     let answer = monoio::select! {
-        answer = running.conn.exchange(within) => answer,
+        answer = execution.conn.exchange(timeout) => answer,
         _ = given_up => {
             pool.health.borrow_mut().end(None, host.now());
-            return Err(NoAnswer::Lost("the leader changed"));
+            return Err(ExchangeError::Lost("the leader changed"));
         }
     };
     let now = host.now();
     match answer {
         Ok(answer) => {
             pool.congestion.borrow_mut().served(operation.priority, now);
-            let took = now.saturating_duration_since(asked);
+            let took = now.saturating_duration_since(sent_at);
             pool.health.borrow_mut().end(Some(took), now);
-            note(host, operation, running, &pool, &answer, asked);
+            note(host, operation, execution, &pool, &answer, sent_at);
             Ok(answer)
         }
-        Err(Broken::NotSent(why)) => {
+        Err(Broken::NotSent(reason)) => {
             pool.health.borrow_mut().end(None, now);
-            let leads = running.usage.is_some();
-            Err(NoAnswer::NotSent(refused(host, operation, &pool, leads, why, asked)))
+            let leads = execution.usage.is_some();
+            Err(ExchangeError::NotSent(refused(host, operation, &pool, leads, reason, sent_at)))
         }
         Err(broken) => {
             let mut health = pool.health.borrow_mut();
             health.end(None, now);
             health.fail(now);
-            Err(NoAnswer::Lost(match broken {
+            Err(ExchangeError::Lost(match broken {
                 Broken::Late => "the server did not answer in time",
                 _ => "the connection was lost",
             }))
@@ -296,11 +306,11 @@
 /// Notes what an answer shows of the server's log and of who leads.
 fn note(
     host: &Host,
-    operation: &Job,
-    running: &Running,
+    operation: &Operation,
+    execution: &Execution,
     pool: &Pool,
     answer: &ServerAnswer,
-    asked: StdInstant,
+    sent_at: StdInstant,
 ) {
     if let Some(point) = answer.point
         && operation.group.leader().is_some_and(|id| id != pool.listed.borrow().id)
@@ -308,28 +318,33 @@
         // What a replica shows it has received.
         operation.group.receipts.state.borrow_mut().note(point);
     }
-    if let Some(usage) = &running.usage
+    if let Some(usage) = &execution.usage
         && host.holds(usage)
     {
         operation.group.suspicion.borrow_mut().answered();
         if let Some(point) = answer.point {
-            operation.group.ages.borrow_mut().note_point(asked, point);
-            operation.group.seen.set(Some((asked, point)));
+            operation.group.ages.borrow_mut().note_point(sent_at, point);
+            operation.group.seen.set(Some((sent_at, point)));
         }
     }
 }
 
 /// Puts a statement on the connection, after what brings it to the session.
-pub fn put(running: &mut Running, session: &Session, request: &Request, after: Option<Point>) {
+pub fn put_statement(
+    execution: &mut Execution,
+    session: &Session,
+    request: &Request,
+    required_position: Option<Point>,
+) {
     let (shape, args) = match &request.statement {
         Statement::Execute { name, args } => (session.prepared.get(name), &**args),
         _ => (None, ""),
     };
-    running.conn.put(session, shape, |out| match shape {
+    execution.conn.put(session, shape, |out| match shape {
         Some(shape) => {
             let name = session::shared_name(shape);
-            wire::put_execute(&request.id, after, &name, args, out);
+            wire::put_execute(&request.id, required_position, &name, args, out);
         }
-        None => wire::put_query(&request.id, after, &request.text, out),
+        None => wire::put_query(&request.id, required_position, &request.text, out),
     });
 }
