--- a/components/proxy/src/operation.rs
+++ b/components/proxy/src/operation.rs
@@ -1,4 +1,5 @@
-//! Running a statement or transaction: where it is tried, and what a failure means.
+//! Running an operation, which is a single statement or a transaction: selects targets, retries
+//! at other servers where that is safe, and turns failures into answers for the caller.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,72 +19,72 @@
     target::{self, ExchangeError, Execution, Target, TargetInfo},
 };
 
-/// How long a statement waits for a leader while there is none. A change of
-/// leader that all hosts take part in is over within this; callers that are sent
-/// away come back to the same gap.
+/// How long an operation waits for the group to get a leader. A failover in which all hosts
+/// take part ends within this time; a caller that is refused sooner would only retry into the
+/// same gap.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long a change of leader must last before statements that come are refused
-/// at once: it is one of those that wait for a silent host.
+/// Time without a leader after which new operations are refused at once: a failover that lasts
+/// this long is waiting for a silent host.
 const FAILOVER_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How long a read waits for a server's answer while other servers could answer.
-/// Above the longest usual answer, so that slow reads do not run twice.
+/// Timeout of a read at one server while other targets remain. Longer than the slowest usual
+/// answer, so that slow reads do not run twice.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long a connection may take to be rolled back before it is closed.
+/// Timeout of a rollback, after which the connection is closed instead.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long after a refusal by the leader it is tried again, unless another one
-/// comes first.
+/// Delay before an operation that all targets refused is tried again, unless the group gets a
+/// new leader first.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Servers that a read tries at most.
+/// Maximum number of attempts per operation.
 const MAX_ATTEMPTS: usize = 4;
 
-/// When callers are told to come back, where nothing better is known.
+/// Retry delay suggested to callers where no better estimate exists.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What a statement or transaction needs, and for whom it runs.
+/// Requirements of a single statement or a transaction.
 #[derive(Clone)]
 pub struct Operation {
-    /// The caller's id of its first statement.
+    /// Request id that the caller gave to the current statement.
     pub id: Box<str>,
-    /// The account that it runs for.
+    /// Client account that it runs for.
     pub account: AccountId,
-    /// The group that holds the database.
+    /// Database group that holds the database.
     pub group: Rc<Group>,
-    /// What its reads must show.
+    /// How current the data of its reads must be.
     pub currency: Currency,
-    /// What it may do.
+    /// Whether it may write.
     pub access: Access,
-    /// Where it may run.
+    /// Regions in which it may run.
     pub homes: homes::Homes,
-    /// How far the session has written in the group.
+    /// Log position of the session's last write in the group.
     pub last_write: Option<Point>,
-    /// When it must be done.
+    /// Time by which it must have been answered.
     pub deadline: Instant,
-    /// Who goes first where not all can be served; 0 is the most urgent.
+    /// Queue priority under overload; 0 is the highest.
     pub priority: u32,
-    /// How long it may wait for its turn at a server.
+    /// Maximum time in a server's queue.
     pub queue_timeout: Duration,
 }
 
-/// Why a statement has no answer of a server.
+/// Reason why a statement gets no answer from a backend server.
 #[derive(Clone, Debug)]
 pub struct Refusal {
-    /// What the caller is told.
+    /// Kind of failure reported to the caller.
     pub failure: Failure,
-    /// When to come back.
+    /// Delay after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// What decided it.
+    /// Explanation for the caller and the log.
     pub reason: &'static str,
-    /// The server has more to do than it can; to ask again sooner than told is no use.
+    /// Whether the server is overloaded, so that a retry before `retry_after` is useless.
     pub overloaded: bool,
 }
 
 impl Refusal {
-    /// Nothing has run, and the caller may come back.
+    /// Refusal of a statement that has not run and may be retried after the default delay.
     pub fn busy(reason: &'static str) -> Self {
         Self {
             failure: Failure::Busy,
@@ -93,18 +94,19 @@
         }
     }
 
-    /// Nothing has run; there is room after that time.
+    /// Refusal of a statement that has not run because the server's queue is full for `wait`.
     pub fn overloaded(wait: Duration) -> Self {
         let reason = "too many statements wait for the server";
         Self { retry_after: Some(wait), overloaded: true, ..Self::busy(reason) }
     }
 
-    /// Of that kind; coming back at once is no use or no harm.
+    /// Refusal without a retry delay, for failures where an immediate retry is either useless or
+    /// harmless.
     pub fn new(failure: Failure, reason: &'static str) -> Self {
         Self { failure, retry_after: None, reason, overloaded: false }
     }
 
-    /// The text for the caller.
+    /// Formats the message for the caller.
     pub fn text(&self) -> String {
         let fate = match self.failure.fate() {
             Fate::NotRun => Fate::NotRun,
@@ -114,16 +116,16 @@
     }
 }
 
-/// How a statement ended at a server.
+/// Result of trying a statement at one server.
 enum Attempt {
     Answered(ServerAnswer),
-    /// Nothing was kept; another server may be asked.
+    /// Nothing was kept; another server may be tried.
     Retryable(Refusal),
-    /// No whole answer came to a statement that was sent.
+    /// The statement was sent and no complete answer was received.
     Lost(&'static str),
 }
 
-/// Waits until a job has a place.
+/// Waits until at least one server can run the operation and returns the targets, best first.
 async fn wait_for_targets(host: &Host, operation: &Operation) -> Result<Vec<Target>, Refusal> {
     let until = operation.deadline.min(Instant::now() + LEADER_TIMEOUT);
     loop {
@@ -155,7 +157,7 @@
     }
 }
 
-/// What a statement does, if it runs at servers.
+/// Returns the access that a statement needs, or `None` if it does not run at a backend server.
 pub fn access(session: &Session, statement: &Statement) -> Option<Access> {
     match statement {
         Statement::Read => Some(Access::Read),
@@ -198,7 +200,7 @@
     }
     match retryable(host, operation, &pool, required_position, &answer) {
         Some(refusal) => Attempt::Retryable(refusal),
-        // An answer of a leader that was replaced meanwhile proves nothing.
+        // The answer of a leader that was replaced in the meantime proves nothing.
         None if !still_leads => Attempt::Lost("the leader changed"),
         None if operation.access == Access::Write => {
             match wait_replicated(host, operation, &answer, usage.as_ref()).await {
@@ -210,10 +212,10 @@
     }
 }
 
-/// Waits until a second server holds what an answer says is kept.
+/// Waits until a second server holds the commit that an answer acknowledges.
 ///
-/// Guards against a booking that a caller was told of and that a promotion takes
-/// back: the successor is the replica that has received most.
+/// Guards against an acknowledged write that is lost by a failover: the successor is the replica
+/// that has received most, which may lack a commit that only the former leader holds.
 async fn wait_replicated(
     host: &Rc<Host>,
     operation: &Operation,
@@ -226,8 +228,8 @@
     if still_leads { Ok(()) } else { Err("the leader changed") }
 }
 
-/// The refusal, if a server's failure is its word that nothing was kept and that
-/// another server may be asked.
+/// Returns a refusal if the server's failure means that nothing was kept and another server may
+/// be tried.
 fn retryable(
     host: &Host,
     operation: &Operation,
@@ -254,10 +256,10 @@
     }))
 }
 
-/// Runs a single statement.
+/// Runs a single statement and returns the answer and the number of attempts.
 ///
-/// A read is tried at several servers; a write only after a server's word that it
-/// kept nothing.
+/// A read is tried at several servers. A write is tried again only if it was not sent or the
+/// server answered that nothing was kept.
 pub async fn run_statement(
     host: &Rc<Host>,
     operation: &Operation,
@@ -268,40 +270,40 @@
     let mut attempts = 0;
     loop {
         let targets = wait_for_targets(host, operation).await?;
-        let mut refusal = Refusal::busy("no server can be asked");
+        let mut last_refusal = Refusal::busy("no server can be asked");
         let count = targets.len().min(MAX_ATTEMPTS - attempts);
         for (i, target) in targets.into_iter().take(count).enumerate() {
             attempts += 1;
             if attempts > 1 {
                 host.measures.retries.inc();
             }
-            let chosen = TargetInfo::new(&target);
+            let info = TargetInfo::new(&target);
             match attempt(host, operation, session, request, target, i + 1 == count).await {
                 Attempt::Answered(answer) => return Ok((answer, attempts)),
-                Attempt::Retryable(reason) => {
-                    chosen.log(operation, reason.reason);
-                    refusal = reason;
+                Attempt::Retryable(refusal) => {
+                    info.log(operation, refusal.reason);
+                    last_refusal = refusal;
                 }
                 Attempt::Lost(reason) if operation.access == Access::Write => {
                     return Err(Refusal::new(Failure::Uncertain, reason));
                 }
                 Attempt::Lost(reason) => {
-                    chosen.log(operation, reason);
-                    refusal = Refusal::new(Failure::TimedOut, reason);
+                    info.log(operation, reason);
+                    last_refusal = Refusal::new(Failure::TimedOut, reason);
                 }
             }
             if Instant::now() >= operation.deadline {
-                return Err(refusal);
+                return Err(last_refusal);
             }
         }
-        if refusal.overloaded || attempts >= MAX_ATTEMPTS || Instant::now() >= until {
-            return Err(refusal);
+        if last_refusal.overloaded || attempts >= MAX_ATTEMPTS || Instant::now() >= until {
+            return Err(last_refusal);
         }
         operation.group.wait_changed(until.min(Instant::now() + RETRY_DELAY)).await;
     }
 }
 
-/// Opens a transaction for a job.
+/// Opens a transaction at one of the operation's targets.
 pub async fn open_transaction(
     host: &Rc<Host>,
     operation: &Operation,
@@ -311,26 +313,26 @@
     let mut attempts = 0;
     loop {
         let targets = wait_for_targets(host, operation).await?;
-        let mut refusal = Refusal::busy("no server can be asked");
+        let mut last_refusal = Refusal::busy("no server can be asked");
         for target in targets.into_iter().take(MAX_ATTEMPTS - attempts) {
             attempts += 1;
             if attempts > 1 {
                 host.measures.retries.inc();
             }
-            let chosen = TargetInfo::new(&target);
+            let info = TargetInfo::new(&target);
             match begin(host, operation, session, target).await {
                 Ok(execution) => return Ok(execution),
-                Err(reason) => {
-                    chosen.log(operation, reason.reason);
-                    refusal = reason;
+                Err(refusal) => {
+                    info.log(operation, refusal.reason);
+                    last_refusal = refusal;
                 }
             }
             if Instant::now() >= operation.deadline {
-                return Err(refusal);
+                return Err(last_refusal);
             }
         }
-        if refusal.overloaded || attempts >= MAX_ATTEMPTS || Instant::now() >= until {
-            return Err(refusal);
+        if last_refusal.overloaded || attempts >= MAX_ATTEMPTS || Instant::now() >= until {
+            return Err(last_refusal);
         }
         operation.group.wait_changed(until.min(Instant::now() + RETRY_DELAY)).await;
     }
@@ -353,7 +355,7 @@
     let answer = target::exchange(host, operation, &mut execution, left.min(ATTEMPT_TIMEOUT)).await;
     let answer = answer.map_err(|error| match error {
         ExchangeError::NotSent(refusal) => refusal,
-        // Nothing but the opening was sent.
+        // Only the opening statement was sent, so the transaction can be opened elsewhere.
         ExchangeError::Lost(reason) => Refusal::busy(reason),
     })?;
     if answer.state == State::Open && answer.failure().is_none() {
@@ -367,17 +369,17 @@
     Err(refusal.unwrap_or(Refusal::busy("the server opened no transaction")))
 }
 
-/// How a statement within a transaction ended.
+/// Result of a statement within a transaction.
 pub enum StepOutcome {
-    /// With an answer.
+    /// The server answered.
     Answered(ServerAnswer),
-    /// Without a whole answer; the connection must be closed.
+    /// The statement may have been sent and has no valid answer; the connection must be closed.
     Lost(&'static str),
-    /// It was not sent, and the transaction is over.
+    /// The statement was not sent, and the transaction is over.
     NotSent(Refusal),
 }
 
-/// Runs a statement on a transaction's connection.
+/// Runs a statement on the transaction's connection.
 pub async fn run_step(
     host: &Rc<Host>,
     operation: &Operation,
@@ -411,8 +413,9 @@
     }
 }
 
-/// Rolls a transaction back and keeps its connection, in a task of its own. At a server to
-/// which nothing may be sent the connection is closed, which rolls back too.
+/// Rolls a transaction back in a separate task and returns its connection to the pool.
+///
+/// If nothing may be sent to the server, the connection is closed, which rolls back too.
 pub fn roll_back(host: &Host, execution: Execution) {
     let Execution { mut conn, usage, .. } = execution;
     if placement::is_forbidden(host, conn.pool()) {
@@ -420,7 +423,7 @@
     }
     monoio::spawn(async move {
         conn.put_bare(wire::put_rollback);
-        // Without an answer the connection is closed, which rolls back too.
+        // Dropping the connection without an answer closes it, which rolls back too.
         if let Ok(answer) = conn.exchange(ROLLBACK_TIMEOUT).await {
             conn.give_back(&answer);
         }
