--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -1,4 +1,4 @@
-//! Servers at which a job may run, and the connection on which it does.
+//! Backend servers that may run an operation, and the connection on which it runs.
 
 use std::{
     rc::Rc,
@@ -25,20 +25,20 @@
     pool::Pool,
 };
 
-/// How long a statement waits for a connection while all are in use.
+/// How long a statement waits for a free connection while all are in use.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A server chosen for a job.
+/// A backend server that may run an operation.
 pub struct Target {
-    /// The server.
+    /// Connections to the server.
     pub pool: Rc<Pool>,
-    /// The position that its log must reach.
+    /// Log position that the server must have reached.
     pub required_position: Option<Point>,
-    /// The right to use it, where it is the leader.
+    /// Permission to use the server as leader, if it is the leader.
     pub usage: Option<Use>,
 }
 
-/// What is logged of a place that served nothing.
+/// Description of a target for the log.
 pub struct TargetInfo {
     server: ServerId,
     required_position: Option<Point>,
@@ -46,35 +46,35 @@
 }
 
 impl TargetInfo {
-    /// Of a place.
+    /// Describes a target.
     pub fn new(target: &Target) -> Self {
         let server = target.pool.listed.borrow().id.clone();
         Self { server, required_position: target.required_position, leads: target.usage.is_some() }
     }
 
-    /// Logs why nothing was served there.
+    /// Logs why the target did not serve the operation.
     pub fn log(&self, operation: &Operation, why: &str) {
         let after = self.required_position.as_ref().map(tracing::field::display);
         info!(
             id = %operation.id, server = %self.server, leads = self.leads, after, why,
-            "statement: not served there"
+            "statement: not served by target"
         );
     }
 }
 
-/// A connection on which a job runs.
+/// Connection on which an operation runs.
 pub struct Execution {
     /// The connection.
     pub conn: Conn,
-    /// The right to use the leader, where it is one.
+    /// Permission to use the leader, if the server is the leader.
     pub usage: Option<Use>,
-    /// The position asked for.
+    /// Log position that the server must have reached.
     pub required_position: Option<Point>,
-    /// Whether its transaction has written.
+    /// Whether the transaction has sent a write.
     pub wrote: bool,
 }
 
-/// The places where a job may run, best first. Empty when there is none now.
+/// Selects the servers that may run the operation now, best first; may return none.
 pub fn select(host: &Host, operation: &Operation) -> Vec<Target> {
     let now = host.now();
     let need = match operation.access {
@@ -97,11 +97,11 @@
         });
         return target.into_iter().collect();
     };
-    let leads = leader.as_ref().map(|usage| usage.server.clone());
+    let leader_id = leader.as_ref().map(|usage| usage.server.clone());
     let mut servers = host.servers(&operation.group.id);
     servers.retain(|pool| {
-        let fits = placement::of(host, pool) == evacuation::Placement::Allowed;
-        fits && placement::is_home(host, pool, &operation.homes)
+        let allowed = placement::of(host, pool) == evacuation::Placement::Allowed;
+        allowed && placement::is_home(host, pool, &operation.homes)
     });
     let health: Vec<_> = servers.iter().map(|pool| pool.health.borrow()).collect();
     let candidates: Vec<_> = servers
@@ -113,7 +113,7 @@
                 health,
                 near: listed.domain == host.settings.domain,
                 warm: host.holder(pool).is_some() || pool.is_warm(&operation.account),
-                leads: leads.as_ref() == Some(&listed.id),
+                leads: leader_id.as_ref() == Some(&listed.id),
                 cold: pool.is_cold(now),
                 slots: listed.slots,
                 wait: pool.wait(operation.priority, operation.queue_timeout, now),
@@ -121,7 +121,7 @@
         })
         .collect();
     let mut order = choice::order(&candidates, Some(required_position), now);
-    // Those that are known to lack the position are no use while another may have it.
+    // Servers known to lack the position are skipped while another one may have reached it.
     let lacks =
         |i: &usize| !candidates[*i].leads && candidates[*i].health.lacks(required_position, now);
     if !order.iter().all(lacks) {
@@ -134,7 +134,7 @@
     for i in order {
         let pool = servers[i].clone();
         let listed = pool.listed.borrow().clone();
-        // Leaving servers get no new reads as long as another one is there.
+        // A server that is leaving gets no new reads while the group has another one.
         if listed.leaving && servers.len() > 1 {
             continue;
         }
@@ -142,7 +142,7 @@
         let required_position = if usage.is_some() { None } else { Some(required_position) };
         targets.push(Target { pool, required_position, usage });
     }
-    // A leader whose failure domain is being evacuated, after all others.
+    // A leader whose failure domain is being evacuated is the last resort.
     let last = leader.and_then(|usage| Some((host.server(&usage.server)?, usage)));
     targets.extend(last.map(|(pool, usage)| Target {
         pool,
@@ -152,17 +152,18 @@
     targets
 }
 
-/// How long all places would refuse a job; none if one may have room.
+/// Returns how long all targets would refuse the operation for congestion, or `None` if one of
+/// them may accept it.
 pub fn congestion_wait(host: &Host, operation: &Operation, targets: &[Target]) -> Option<Duration> {
     let now = host.now();
-    let lasts = |target: &Target| {
+    let wait = |target: &Target| {
         target.pool.congestion.borrow().lasts(operation.priority, operation.queue_timeout, now)
     };
-    let waits: Option<Vec<_>> = targets.iter().map(lasts).collect();
+    let waits: Option<Vec<_>> = targets.iter().map(wait).collect();
     waits?.into_iter().min()
 }
 
-/// Whether the leader may run a job where it stands.
+/// Returns whether the leader's location allows it to run the operation.
 fn leader_allowed(host: &Host, operation: &Operation, usage: &Use) -> bool {
     let pool = host.server(&usage.server);
     pool.is_some_and(|pool| {
@@ -170,7 +171,7 @@
     })
 }
 
-/// Takes a connection at the place.
+/// Acquires a connection to the target.
 pub async fn connect(
     host: &Host,
     operation: &Operation,
@@ -181,27 +182,28 @@
     let until = operation.deadline.min(Instant::now() + CONNECTION_TIMEOUT);
     let turn = Turn { priority: operation.priority, patience: operation.queue_timeout, until };
     let now = host.now();
-    let conn = match placement::holder_link(host, &pool, &operation.homes).await {
-        Some(link) => Conn::far(pool, link, operation.account.clone(), turn),
-        None => Conn::own(&pool, &operation.account, session, turn, now)
-            .await
-            .map_err(|reason| refused(host, operation, &pool, usage.is_some(), reason, now))?,
-    };
+    let conn =
+        match placement::holder_link(host, &pool, &operation.homes).await {
+            Some(link) => Conn::far(pool, link, operation.account.clone(), turn),
+            None => Conn::own(&pool, &operation.account, session, turn, now).await.map_err(
+                |reason| record_not_sent(host, operation, &pool, usage.is_some(), reason, now),
+            )?,
+        };
     if usage.as_ref().is_some_and(|usage| !host.holds(usage)) {
         return Err(Refusal::busy("the leader changed"));
     }
     Ok(Execution { conn, usage, required_position, wrote: false })
 }
 
-/// Notes what speaks against a server that did not get a statement sent at `since`, and
-/// says so to the caller.
-fn refused(
+/// Records the failure of a server that did not receive a statement and returns the refusal for
+/// the caller. `sent_at` is the time at which the attempt began.
+fn record_not_sent(
     host: &Host,
     operation: &Operation,
     pool: &Pool,
     leads: bool,
     reason: NotSent,
-    since: StdInstant,
+    sent_at: StdInstant,
 ) -> Refusal {
     let mut health = pool.health.borrow_mut();
     match reason {
@@ -212,22 +214,22 @@
             return Refusal::overloaded(wait);
         }
         NotSent::Dead => {
-            health.fail(since);
-            health.fail(since);
+            health.fail(sent_at);
+            health.fail(sent_at);
             if leads {
                 operation.group.suspicion.borrow_mut().refused(host.now());
             }
         }
         NotSent::Silent => {
-            health.fail(since);
-            // Not only silence: it may accept connections and close them.
+            health.fail(sent_at);
+            // Includes servers that accept connections and close them.
             if leads {
-                operation.group.suspicion.borrow_mut().silent(since);
+                operation.group.suspicion.borrow_mut().silent(sent_at);
             }
         }
         NotSent::Misdirected => {
-            health.fail(since);
-            health.fail(since);
+            health.fail(sent_at);
+            health.fail(sent_at);
         }
         _ => {}
     }
@@ -245,15 +247,15 @@
     })
 }
 
-/// Why an exchange brought no answer.
+/// Reason why an exchange has no answer.
 pub enum ExchangeError {
-    /// Nothing was sent.
+    /// The statement was not sent to the server.
     NotSent(Refusal),
-    /// No whole answer came to what was sent.
+    /// The statement was sent and no complete answer was received.
     Lost(&'static str),
 }
 
-/// Sends what the connection has to write and reads the answer.
+/// Sends the pending statement and reads the answer, for `timeout` at most.
 pub async fn exchange(
     host: &Host,
     operation: &Operation,
@@ -263,16 +265,17 @@
     let sent_at = host.now();
     let pool = execution.conn.pool().clone();
     pool.health.borrow_mut().begin(sent_at);
-    let given_up = async {
+    let revoked = async {
         match &execution.usage {
             Some(usage) => usage.given_up().await,
             None => std::future::pending().await,
         }
     };
-    // Its answer could not be passed on any more: said now, not when time is up.
+    // The answer of a former leader may not be passed on, so the exchange ends when the leader
+    // is given up instead of at the timeout.
     let answer = monoio::select! {
         answer = execution.conn.exchange(timeout) => answer,
-        _ = given_up => {
+        _ = revoked => {
             pool.health.borrow_mut().end(None, host.now());
             return Err(ExchangeError::Lost("the leader changed"));
         }
@@ -283,13 +286,15 @@
             pool.congestion.borrow_mut().served(operation.priority, now);
             let took = now.saturating_duration_since(sent_at);
             pool.health.borrow_mut().end(Some(took), now);
-            note(host, operation, execution, &pool, &answer, sent_at);
+            record_answer(host, operation, execution, &pool, &answer, sent_at);
             Ok(answer)
         }
         Err(Broken::NotSent(reason)) => {
             pool.health.borrow_mut().end(None, now);
             let leads = execution.usage.is_some();
-            Err(ExchangeError::NotSent(refused(host, operation, &pool, leads, reason, sent_at)))
+            Err(ExchangeError::NotSent(record_not_sent(
+                host, operation, &pool, leads, reason, sent_at,
+            )))
         }
         Err(broken) => {
             let mut health = pool.health.borrow_mut();
@@ -303,8 +308,8 @@
     }
 }
 
-/// Notes what an answer shows of the server's log and of who leads.
-fn note(
+/// Records the log position that an answer shows and that the leader is alive.
+fn record_answer(
     host: &Host,
     operation: &Operation,
     execution: &Execution,
@@ -315,7 +320,7 @@
     if let Some(point) = answer.point
         && operation.group.leader().is_some_and(|id| id != pool.listed.borrow().id)
     {
-        // What a replica shows it has received.
+        // A replica has received every position that it shows.
         operation.group.receipts.state.borrow_mut().note(point);
     }
     if let Some(usage) = &execution.usage
@@ -329,7 +334,8 @@
     }
 }
 
-/// Puts a statement on the connection, after what brings it to the session.
+/// Queues a statement on the connection, preceded by the steps that apply the session's values
+/// and the named statement.
 pub fn put_statement(
     execution: &mut Execution,
     session: &Session,
