--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -1,4 +1,5 @@
-//! Where statements may run: evacuated failure domains, homes of databases and accounts.
+//! Restrictions on where statements may run: evacuated failure domains, and home regions of
+//! databases and accounts.
 
 use std::{collections::BTreeSet, rc::Rc, time::Duration};
 
@@ -9,14 +10,14 @@
 
 use crate::{host, operation, pool};
 
-/// What may run at a server now.
+/// Returns what may run at a backend server now, given the evacuations in force.
 pub fn of(host: &host::Host, pool: &pool::Pool) -> evacuation::Placement {
     let domain = pool.listed.borrow().domain.clone();
     let (store, bound) = (host.store_clock.borrow(), host.settings.evacuate);
     host.evacuations.borrow().placement(&domain, &store, bound, host.now())
 }
 
-/// Whether nothing at all may be sent to a server.
+/// Returns whether nothing may be sent to a backend server.
 pub fn is_forbidden(host: &host::Host, pool: &pool::Pool) -> bool {
     of(host, pool) == evacuation::Placement::Forbidden
 }
@@ -25,23 +26,23 @@
     host.settings.regions.get(domain)
 }
 
-/// Whether a server stands in one of the homes.
+/// Returns whether a backend server is in one of the home regions.
 pub fn is_home(host: &host::Host, pool: &pool::Pool, homes: &homes::Homes) -> bool {
     homes.allow(region(host, &pool.listed.borrow().domain))
 }
 
-/// Whether another host may be sent statements with these homes.
-pub fn may_forward(host: &host::Host, holder_link: &ids::HostId, homes: &homes::Homes) -> bool {
+/// Returns whether statements with these homes may be forwarded to another host.
+pub fn may_forward(host: &host::Host, holder: &ids::HostId, homes: &homes::Homes) -> bool {
     if homes.is_anywhere() {
         return true;
     }
     let held = host.held.borrow();
-    let member = held.view().members.get(holder_link);
+    let member = held.view().members.get(holder);
     member.is_some_and(|member| homes.allow(region(host, &member.value.domain)))
 }
 
-/// The link to the host that holds a server's connections, if statements with these homes
-/// may go through it.
+/// Returns the link to the holder of a server's connections, if another host holds them and
+/// statements with these homes may be forwarded to it.
 pub async fn holder_link(
     host: &host::Host,
     pool: &pool::Pool,
@@ -51,8 +52,8 @@
     may_forward(host, &link.host, homes).then_some(link)
 }
 
-/// How many of the group's databases a server may serve by their homes; the same for all
-/// servers where none has any.
+/// Returns the number of the group's databases whose homes include the server's region; 0 for
+/// all servers if no database or account has homes.
 pub fn servable_databases(host: &host::Host, pool: &pool::Pool) -> usize {
     let Some(plan) = host.plan().filter(|_| host.has_homes.get()) else { return 0 };
     let listed = pool.listed.borrow();
@@ -60,16 +61,16 @@
     homes::served(routes.map(|route| &route.homes), region(host, &listed.domain))
 }
 
-/// Servers of a group that could lead it next.
+/// Returns the servers of a group that may become its leader.
 pub fn successors(host: &host::Host, group: &ids::GroupId) -> Vec<Rc<pool::Pool>> {
-    let fit = |pool: &Rc<pool::Pool>| {
+    let eligible = |pool: &Rc<pool::Pool>| {
         !pool.listed.borrow().leaving && of(host, pool) == evacuation::Placement::Allowed
     };
-    host.servers(group).into_iter().filter(fit).collect()
+    host.servers(group).into_iter().filter(eligible).collect()
 }
 
-/// Why no server may run a job for as long as placements stay as they are; `None` where one
-/// may, or where the leader is about to be replaced by one that may.
+/// Returns why no server may run the operation under the restrictions in force; `None` if one
+/// may, or if a server that may is about to become leader.
 pub fn rejection_reason(
     host: &host::Host,
     operation: &operation::Operation,
@@ -81,26 +82,27 @@
     if !servers.iter().any(|pool| !is_forbidden(host, pool)) {
         return Some("all servers of the group are in evacuated failure domains");
     }
-    let homes = |pool: &Rc<pool::Pool>| is_home(host, pool, &operation.homes);
-    if !servers.iter().any(homes) {
+    let in_homes = |pool: &Rc<pool::Pool>| is_home(host, pool, &operation.homes);
+    if !servers.iter().any(in_homes) {
         return Some("no server of the group stands in a home of the database and account");
     }
-    if !servers.iter().any(|pool| homes(pool) && !is_forbidden(host, pool)) {
+    if !servers.iter().any(|pool| in_homes(pool) && !is_forbidden(host, pool)) {
         return Some("all servers in homes are in evacuated failure domains");
     }
     let leader = operation.group.leader().and_then(|leader| host.server(&leader))?;
     if operation.access == statement::Access::Read
-        || successors(host, &operation.group.id).iter().any(homes)
+        || successors(host, &operation.group.id).iter().any(in_homes)
     {
         return None;
     }
     if is_forbidden(host, &leader) {
         return Some("the leader's failure domain is evacuated and no other server may lead");
     }
-    (!homes(&leader)).then_some("the leader stands in no home, and no other server may lead")
+    (!in_homes(&leader)).then_some("the leader stands in no home, and no other server may lead")
 }
 
-/// Takes rows of the store about evacuated failure domains.
+/// Applies evacuations read from the store: all of them if `whole`, otherwise those that changed.
+/// `clock` is the store's clock at the read.
 pub fn read(
     host: &host::Host,
     rows: &[evacuation::Row],
@@ -110,36 +112,37 @@
 ) {
     let before = host.evacuations.borrow().clone();
     host.evacuations.borrow_mut().read(rows, whole, version, clock);
-    note(host, &before, None);
+    apply_changes(host, &before, None);
 }
 
-/// Takes what another host knows of them.
-pub fn merge(host: &host::Host, from: &ids::HostId, told: &evacuation::Set) {
+/// Applies another host's set of evacuations if it is newer.
+pub fn merge(host: &host::Host, from: &ids::HostId, other: &evacuation::Set) {
     let before = host.evacuations.borrow().clone();
-    host.evacuations.borrow_mut().adopt(told);
-    note(host, &before, Some(from));
+    host.evacuations.borrow_mut().adopt(other);
+    apply_changes(host, &before, Some(from));
 }
 
-fn note(host: &host::Host, before: &evacuation::Set, from: Option<&ids::HostId>) {
+/// Logs evacuations that began or ended and closes idle connections to evacuated servers.
+fn apply_changes(host: &host::Host, before: &evacuation::Set, from: Option<&ids::HostId>) {
     let after = host.evacuations.borrow();
-    let names = |of: &evacuation::Set| -> BTreeSet<(ids::FailureDomain, u64)> {
-        of.domains().map(|(domain, evacuation)| (domain.clone(), evacuation.version)).collect()
+    let versions = |set: &evacuation::Set| -> BTreeSet<(ids::FailureDomain, u64)> {
+        set.domains().map(|(domain, evacuation)| (domain.clone(), evacuation.version)).collect()
     };
-    let (old, new) = (names(before), names(&after));
+    let (old, new) = (versions(before), versions(&after));
     if old == new {
         return;
     }
     let (from, clock) = (from.map(tracing::field::display), after.clock());
     let age_ms = host.age_of(clock).map(|age| age.as_millis() as u64);
-    let is_known = |domain: &ids::FailureDomain| {
+    let has_servers = |domain: &ids::FailureDomain| {
         host.pools.borrow().values().any(|pool| pool.listed.borrow().domain == *domain)
     };
     for (domain, version) in new.difference(&old) {
-        let servers = is_known(domain);
+        let servers = has_servers(domain);
         info!(%domain, version, age_ms, from, servers, "evacuation: in force");
     }
     for (domain, version) in old.difference(&new) {
-        info!(%domain, version, age_ms, from, "evacuation: taken back");
+        info!(%domain, version, age_ms, from, "evacuation: withdrawn");
     }
     host.measures.evacuated.set(new.len() as i64);
     let pools = host.pools.borrow();
