--- a/components/proxy/src/caller.rs
+++ b/components/proxy/src/caller.rs
@@ -81,17 +81,17 @@
     };
     let Some((database, key)) = caller.start().await? else { return Ok(()) };
     let mut session = CallerSession::new(host.clone(), database, key);
-    if let Err(refusal) = session.check() {
+    if let Err(refusal) = session.check_access() {
         return caller.close_with(&refusal).await;
     }
     wire::put_ready(State::Idle, &mut caller.out);
     caller.flush().await?;
     loop {
-        let limit = session.rest_limit();
+        let limit = session.idle_timeout();
         match caller.next(session.state() == State::Idle, limit).await? {
             Next::Line(line) => match wire::decode_caller(&line) {
                 Ok(FromCaller::Query(request)) => session.answer(&request, &mut caller.out).await,
-                Ok(FromCaller::Unreadable) => session.answer_unreadable(&mut caller.out),
+                Ok(FromCaller::Unreadable) => session.answer_malformed(&mut caller.out),
                 Ok(FromCaller::Bye) => return Ok(()),
                 Ok(FromCaller::Start { .. }) | Err(_) => {
                     let refusal = Refusal::new(Failure::Malformed, "an unknown message");
@@ -102,7 +102,7 @@
                 let refusal = Refusal::new(Failure::TooLarge, "the message is too large");
                 return caller.close_with(&refusal).await;
             }
-            Next::Rested => session.end_rested(),
+            Next::Rested => session.expire_transaction(),
             Next::Ended | Next::Stopped => return Ok(()),
         }
         caller.flush().await?;
--- a/components/proxy/src/session.rs
+++ b/components/proxy/src/session.rs
@@ -1,4 +1,4 @@
-//! A session: what a caller's statements mean and how they are answered.
+//! A caller's session: admits statements, keeps the transaction state and answers the caller.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -18,19 +18,19 @@
     tokens,
 };
 
-/// The most values and named statements that one session may hold. Callers use a
-/// few; without a bound one session could take the host's memory.
-const MOST_NAMES: usize = 512;
+/// Maximum number of values and named statements of one session. Callers use a few; without a
+/// limit one session could exhaust the host's memory.
+const MAX_NAMES: usize = 512;
 
-/// The account that servers are told for a route that needs no key.
-const NOBODY: &str = "-";
+/// Account name sent to backend servers for a public database without a known key.
+const ANONYMOUS: &str = "-";
 
-/// A transaction that is open.
+/// An open transaction.
 struct Transaction {
     operation: Operation,
-    /// The longest that one statement may take.
+    /// Timeout of each statement.
     timeout: Duration,
-    /// Opened with the first statement that needs a server.
+    /// `None` until the first statement that needs a server.
     execution: Option<Execution>,
 }
 
@@ -40,16 +40,17 @@
     database: Box<str>,
     key: Box<str>,
     session: Session,
-    /// How far this session has written, by group.
+    /// Log position of the session's last write, by group.
     last_writes: HashMap<GroupId, Point>,
     transaction: Option<Transaction>,
     state: State,
-    /// The transaction was ended while its caller rested; it has not been told.
-    ended: bool,
+    /// Whether the transaction has exceeded the idle timeout and the caller has not been
+    /// notified yet.
+    expired: bool,
 }
 
 impl CallerSession {
-    /// A session that has said nothing yet.
+    /// Creates a session without a transaction.
     pub fn new(host: Rc<Host>, database: Box<str>, key: Box<str>) -> Self {
         Self {
             host,
@@ -59,46 +60,46 @@
             last_writes: HashMap::new(),
             transaction: None,
             state: State::Idle,
-            ended: false,
+            expired: false,
         }
     }
 
-    /// How the session stands.
+    /// Returns the transaction state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// How long the caller may rest now.
-    pub fn rest_limit(&self) -> Option<Duration> {
+    /// Returns how long the caller may stay idle now; limited only within a transaction.
+    pub fn idle_timeout(&self) -> Option<Duration> {
         self.transaction.as_ref()?;
         self.host.plan()?.idle_limit
     }
 
-    /// Whether the session may be there: its database is known and so is its key.
-    pub fn check(&self) -> Result<(), Refusal> {
-        self.admit().map(|_| ())
+    /// Checks that the database exists and that the key permits its use.
+    pub fn check_access(&self) -> Result<(), Refusal> {
+        self.authorize().map(|_| ())
     }
 
-    /// Ends a transaction whose caller rested too long: it holds a connection,
-    /// and locks perhaps, that others wait for.
-    pub fn end_rested(&mut self) {
+    /// Rolls back a transaction whose caller exceeded the idle timeout: it holds a connection, and
+    /// possibly locks, that other statements wait for.
+    pub fn expire_transaction(&mut self) {
         if let Some(transaction) = self.transaction.take() {
-            info!(id = %transaction.operation.id, "transaction: ended, its caller rested too long");
+            info!(id = %transaction.operation.id, "transaction: rolled back, its caller exceeded the idle timeout");
             if let Some(execution) = transaction.execution {
                 operation::roll_back(&self.host, execution);
             }
             self.state = State::Failed;
-            self.ended = true;
+            self.expired = true;
         }
     }
 
-    /// Answers a statement that cannot be read.
-    pub fn answer_unreadable(&mut self, out: &mut BytesMut) {
+    /// Answers a statement that cannot be parsed.
+    pub fn answer_malformed(&mut self, out: &mut BytesMut) {
         let refusal = Refusal::new(Failure::Malformed, "the statement cannot be read");
         self.fail(&refusal, out);
     }
 
-    /// Answers a statement.
+    /// Answers a statement according to the transaction state.
     pub async fn answer(&mut self, request: &Request, out: &mut BytesMut) {
         match self.state {
             State::Idle => self.answer_idle(request, out).await,
@@ -115,7 +116,7 @@
                     let operation = self.operation(request, admitted, *access);
                     self.transaction = Some(Transaction { operation, timeout, execution: None });
                     self.state = State::Open;
-                    self.done(out);
+                    self.acknowledge(out);
                 }
                 Err(refusal) => self.fail(&refusal, out),
             },
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Answers a statement outside of any transaction.
+    /// Answers a statement that runs outside of a transaction.
     async fn answer_single(&mut self, request: &Request, out: &mut BytesMut) {
         let Some(access) = operation::access(&self.session, &request.statement) else {
             self.fail(&Refusal::new(Failure::UnknownName, "no such name"), out);
@@ -139,14 +140,14 @@
             Ok(admitted) => admitted,
             Err(refusal) => return self.fail(&refusal, out),
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let operation = self.operation(request, admitted, access);
         let answer = operation::run_statement(&self.host, &operation, &self.session, request).await;
-        self.log(&operation, request, began, &answer);
+        self.log(&operation, request, started, &answer);
         match answer {
             Ok((answer, _)) => {
                 if access == Access::Write {
-                    self.raise(&operation, answer.point);
+                    self.record_write(&operation, answer.point);
                 }
                 out.extend_from_slice(&answer.relay);
                 wire::put_ready(State::Idle, out);
@@ -162,8 +163,8 @@
                 self.fail(&refusal, out);
             }
             Statement::Rollback => {
-                self.end_transaction();
-                self.done(out);
+                self.abort_transaction();
+                self.acknowledge(out);
             }
             Statement::Commit => self.answer_step(request, None, out).await,
             Statement::Read | Statement::Write | Statement::Execute { .. } => {
@@ -176,14 +177,14 @@
         }
     }
 
-    /// Answers a statement of a transaction; no access means that it commits.
+    /// Answers a statement of the open transaction; `access` is `None` for a commit.
     async fn answer_step(&mut self, request: &Request, access: Option<Access>, out: &mut BytesMut) {
         let Some(mut transaction) = self.transaction.take() else { return };
-        let began = Instant::now();
-        transaction.operation.deadline = began + transaction.timeout;
+        let started = Instant::now();
+        transaction.operation.deadline = started + transaction.timeout;
         transaction.operation.id = request.id.clone();
         let answer = self.step(request, &mut transaction).await;
-        self.log(&transaction.operation, request, began, &answer);
+        self.log(&transaction.operation, request, started, &answer);
         let commits = access.is_none();
         match answer {
             Ok((answer, _)) if answer.failure().is_none() && !commits => {
@@ -193,17 +194,17 @@
             }
             Ok((answer, _)) => {
                 if answer.failure().is_none() {
-                    self.raise(&transaction.operation, answer.point);
+                    self.record_write(&transaction.operation, answer.point);
                 }
                 out.extend_from_slice(&answer.relay);
                 if let Some(execution) = transaction.execution {
-                    finish(&self.host, execution, &answer);
+                    release(&self.host, execution, &answer);
                 }
                 self.state = if commits { State::Idle } else { State::Failed };
                 wire::put_ready(self.state, out);
             }
             Err(refusal) => {
-                // What is dropped here closes the connection, which rolls back.
+                // Dropping the transaction closes its connection, which rolls back.
                 drop(transaction);
                 wire::put_failure(refusal.failure, &refusal.text(), out);
                 self.state = if commits { State::Idle } else { State::Failed };
@@ -222,21 +223,21 @@
             *execution =
                 Some(operation::open_transaction(&self.host, operation, &self.session).await?);
         }
-        let Some(on) = execution else { return Err(Refusal::busy("no connection")) };
+        let Some(execution) = execution else { return Err(Refusal::busy("no connection")) };
         let commits = request.statement == Statement::Commit;
-        let valid = on.usage.as_ref().is_none_or(|usage| self.host.holds(usage));
-        if !valid {
+        let still_leads = execution.usage.as_ref().is_none_or(|usage| self.host.holds(usage));
+        if !still_leads {
             return Err(Refusal {
                 failure: Failure::Aborted,
                 ..Refusal::busy("the leader changed")
             });
         }
-        match operation::run_step(&self.host, operation, &self.session, request, on).await {
+        match operation::run_step(&self.host, operation, &self.session, request, execution).await {
             StepOutcome::Answered(answer) => Ok((answer, 1)),
-            // Sent, and nobody knows whether it was kept.
-            StepOutcome::Lost(why) if commits => Err(Refusal::new(Failure::Uncertain, why)),
-            StepOutcome::Lost(why) => {
-                Err(Refusal { failure: Failure::Aborted, ..Refusal::busy(why) })
+            // The commit may have been sent, so its result is unknown.
+            StepOutcome::Lost(reason) if commits => Err(Refusal::new(Failure::Uncertain, reason)),
+            StepOutcome::Lost(reason) => {
+                Err(Refusal { failure: Failure::Aborted, ..Refusal::busy(reason) })
             }
             StepOutcome::NotSent(refusal) => Err(Refusal { failure: Failure::Aborted, ..refusal }),
         }
@@ -245,31 +246,31 @@
     fn answer_failed(&mut self, request: &Request, out: &mut BytesMut) {
         match &request.statement {
             Statement::Rollback => {
-                self.end_transaction();
-                self.done(out);
+                self.abort_transaction();
+                self.acknowledge(out);
             }
             Statement::Commit => {
-                self.end_transaction();
+                self.abort_transaction();
                 let refusal = Refusal::new(Failure::Aborted, "the transaction has failed");
                 self.fail(&refusal, out);
             }
-            _ if std::mem::take(&mut self.ended) => {
-                let why = "the transaction was ended, its caller rested too long";
-                self.fail(&Refusal::new(Failure::Aborted, why), out);
+            _ if std::mem::take(&mut self.expired) => {
+                let reason = "the transaction was ended, its caller rested too long";
+                self.fail(&Refusal::new(Failure::Aborted, reason), out);
             }
             _ => self.fail(&Refusal::new(Failure::Malformed, "the transaction has failed"), out),
         }
     }
 
-    /// Answers what only concerns the session.
+    /// Answers a statement that changes only the session and needs no server.
     fn answer_local(&mut self, request: &Request, out: &mut BytesMut) {
         let session = &mut self.session;
-        let known = match &request.statement {
+        let exists = match &request.statement {
             Statement::Set { name, .. } => session.values.contains_key(name),
             Statement::Prepare { name, .. } => session.prepared.contains_key(name),
             _ => true,
         };
-        if !known && session.values.len() + session.prepared.len() >= MOST_NAMES {
+        if !exists && session.values.len() + session.prepared.len() >= MAX_NAMES {
             let refusal = Refusal::new(Failure::TooLarge, "the session holds too many names");
             return self.fail(&refusal, out);
         }
@@ -285,23 +286,24 @@
             }
             _ => {}
         }
-        self.done(out);
+        self.acknowledge(out);
     }
 
-    fn end_transaction(&mut self) {
+    /// Rolls back the open transaction, if any, and returns to the idle state.
+    fn abort_transaction(&mut self) {
         if let Some(execution) = self.transaction.take().and_then(|open| open.execution) {
             operation::roll_back(&self.host, execution);
         }
         self.state = State::Idle;
-        self.ended = false;
+        self.expired = false;
     }
 
-    fn done(&self, out: &mut BytesMut) {
+    fn acknowledge(&self, out: &mut BytesMut) {
         wire::put_done(out);
         wire::put_ready(self.state, out);
     }
 
-    /// Tells a failure; within a transaction it fails the transaction.
+    /// Answers with a failure, which also fails an open transaction.
     fn fail(&mut self, refusal: &Refusal, out: &mut BytesMut) {
         if self.state == State::Open {
             if let Some(execution) = self.transaction.take().and_then(|open| open.execution) {
@@ -313,16 +315,16 @@
         wire::put_ready(self.state, out);
     }
 
-    /// Notes how far the session has written.
-    fn raise(&mut self, operation: &Operation, point: Option<Point>) {
+    /// Records the log position up to which the session has written.
+    fn record_write(&mut self, operation: &Operation, point: Option<Point>) {
         if let Some(point) = point {
-            let floor = self.last_writes.entry(operation.group.id.clone()).or_insert(point);
-            *floor = (*floor).max(point);
+            let last_write = self.last_writes.entry(operation.group.id.clone()).or_insert(point);
+            *last_write = (*last_write).max(point);
         }
     }
 
-    /// The route and the account that the session has by the newest configuration.
-    fn admit(&self) -> Result<(Rc<Route>, Option<Rc<Account>>), Refusal> {
+    /// Returns the session's route and account under the current configuration.
+    fn authorize(&self) -> Result<(Rc<Route>, Option<Rc<Account>>), Refusal> {
         if !self.host.may_serve() {
             return Err(Refusal::busy("this host cannot show that its configuration is in force"));
         }
@@ -336,12 +338,12 @@
         Ok((route, account))
     }
 
-    /// Admits one operation and takes its token of the account's rate.
+    /// Admits one operation and takes a token of the account's rate limit for it.
     async fn admit_operation(
         &self,
         request: &Request,
     ) -> Result<(Rc<Route>, AccountId, homes::Homes), Refusal> {
-        let (route, account) = self.admit().inspect_err(|refusal| {
+        let (route, account) = self.authorize().inspect_err(|refusal| {
             info!(
                 id = %request.id, database = %self.database, version = self.host.version().0,
                 newest = self.host.newest.get().0,
@@ -350,11 +352,11 @@
             );
         })?;
         let Some(account) = account else {
-            let nobody = NOBODY.parse().expect("the name is allowed");
+            let anonymous = ANONYMOUS.parse().expect("the name is allowed");
             let homes = route.homes.clone();
-            return Ok((route, nobody, homes));
+            return Ok((route, anonymous, homes));
         };
-        let Some(ruling) = tokens::take(&self.host, &request.id, &account).await else {
+        let Some(ruling) = tokens::acquire(&self.host, &request.id, &account).await else {
             info!(id = %request.id, account = %account.id, "statement: its rate cannot be checked");
             return Err(Refusal::busy("the account's rate cannot be checked now"));
         };
@@ -395,15 +397,15 @@
         &self,
         operation: &Operation,
         request: &Request,
-        began: Instant,
+        started: Instant,
         answer: &Result<(ServerAnswer, usize), Refusal>,
     ) {
-        let took = began.elapsed();
+        let took = started.elapsed();
         let verb = request.text.split(' ').next().unwrap_or_default();
         let (outcome, tries, why) = match answer {
             Ok((answer, tries)) => match answer.failure() {
                 None => ("done", *tries, ""),
-                Some(_) => ("failed", *tries, "the server said so"),
+                Some(_) => ("failed", *tries, "the server reported a failure"),
             },
             Err(refusal) if refusal.failure == Failure::Uncertain => {
                 ("uncertain", 0, refusal.reason)
@@ -423,8 +425,8 @@
     }
 }
 
-/// Keeps or closes the connection of a transaction that the answer has ended.
-fn finish(host: &Host, execution: Execution, answer: &ServerAnswer) {
+/// Returns the connection to the pool if the answer ended the transaction; otherwise rolls back.
+fn release(host: &Host, execution: Execution, answer: &ServerAnswer) {
     if answer.state == State::Idle {
         execution.conn.give_back(answer);
     } else {
@@ -434,6 +436,6 @@
 
 impl Drop for CallerSession {
     fn drop(&mut self) {
-        self.end_transaction();
+        self.abort_transaction();
     }
 }
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -22,7 +22,7 @@
 /// In a large fleet the candidates for the hub of this host's failure domain are asked in
 /// turn, and hubs of other failure domains after them. Each reports what it admitted, so
 /// that it does not matter to the limit which one is asked.
-pub async fn take(host: &Host, id: &str, account: &Account) -> Option<Ruling> {
+pub async fn acquire(host: &Host, id: &str, account: &Account) -> Option<Ruling> {
     if host.neighbours.borrow().mesh {
         return Some(admit(host, &account.id, account.rate, account.burst));
     }
