--- a/components/proxy/src/positions.rs
+++ b/components/proxy/src/positions.rs
@@ -1,9 +1,10 @@
-//! Positions of leaders that hosts send each other, so that reads need not go to a leader.
+//! Gossip of leaders' log positions, which lets reads run at replicas.
 //!
-//! A read of a stated age may run at a replica that has reached a position which the leader had
-//! no longer ago than that. In a fleet of some hundred hosts each host sees each leader every
-//! few seconds only, so most of its reads would go to the leader. Hosts send positions to their
-//! hub with their heartbeats, and receive the newest of all hosts with its answers.
+//! A read with a maximum age may run at a replica that has reached a position which the leader
+//! had no longer ago than that age. In a fleet of several hundred hosts each host observes each
+//! leader only every few seconds, so without gossip most of its reads would go to the leader.
+//! Hosts send the positions that they observe to their hub with heartbeats and receive the newest
+//! positions of all hosts with the replies.
 
 use std::time::{Duration, Instant};
 
@@ -12,10 +13,11 @@
 
 use crate::host::Host;
 
-/// Positions older than this are not sent: reads allow little more.
-const SENT_FOR: Duration = Duration::from_millis(2500);
+/// Age above which a position is no longer sent: reads allow ages that are only little longer.
+const POSITION_TTL: Duration = Duration::from_millis(2500);
 
-/// Positions that this host saw itself and has not sent yet, and when it asked for them.
+/// Takes the positions that this host observed and has not sent yet, each with the time at which
+/// the statement that returned it was sent.
 pub fn own(host: &Host) -> Vec<(Instant, Seen)> {
     let groups = host.groups.borrow();
     let seen = groups.values().filter_map(|group| {
@@ -26,21 +28,22 @@
     seen.collect()
 }
 
-/// The same for a host whose clock was received at `base`.
-pub fn since(own: &[(Instant, Seen)], base: Instant) -> Vec<Seen> {
-    let seen = own
+/// Returns positions with their times as offsets from `base`, the time at which the receiver's
+/// clock reading arrived here.
+pub fn since(observed: &[(Instant, Seen)], base: Instant) -> Vec<Seen> {
+    let seen = observed
         .iter()
         .map(|(at, seen)| Seen { offset_ms: offsets::offset_ms(*at, base), ..seen.clone() });
     seen.collect()
 }
 
-/// The newest positions that this host knows.
+/// Returns the newest known position of each group, if it is recent enough to be sent.
 pub fn newest(host: &Host) -> Vec<Seen> {
     let now = host.now();
     let groups = host.groups.borrow();
     let seen = groups.values().filter_map(|group| {
         let (at, point) = group.ages.borrow().newest()?;
-        let recent = now.saturating_duration_since(at) < SENT_FOR;
+        let recent = now.saturating_duration_since(at) < POSITION_TTL;
         let leader = group.leader().filter(|_| recent)?;
         Some(Seen {
             group: group.id.clone(),
@@ -52,24 +55,25 @@
     seen.collect()
 }
 
-/// Takes the positions of a question, whose times count from this host's own clock.
+/// Applies the positions of a received heartbeat, whose times are offsets from the clock reading
+/// of this host that it echoes.
 pub fn apply_heartbeat(host: &Host, beat: &Heartbeat) {
-    // The clock of an earlier process of this host began at another moment.
+    // A clock reading of an earlier process of this host has another origin.
     if let Some(echo) = beat.echo.filter(|echo| echo.run == host.run) {
-        take(host, host.began + echo.clock, &beat.seen);
+        apply(host, host.began + echo.clock, &beat.seen);
     }
 }
 
-/// Takes the positions of an answer to a question that was sent at `asked`.
-pub fn apply_reply(host: &Host, beat: &Heartbeat, asked: Instant) {
-    take(host, asked, &beat.seen);
+/// Applies the positions of the reply to a heartbeat sent at `sent_at`.
+pub fn apply_reply(host: &Host, beat: &Heartbeat, sent_at: Instant) {
+    apply(host, sent_at, &beat.seen);
 }
 
-fn take(host: &Host, base: Instant, seen: &[Seen]) {
+fn apply(host: &Host, base: Instant, seen: &[Seen]) {
     for Seen { group, leader, point, offset_ms } in seen {
         let at = offsets::instant(base, *offset_ms);
         let group = host.group(group);
-        // What is known of a former leader's log ended with it.
+        // Positions of a former leader say nothing about the log of the current one.
         if let Some(at) = at.filter(|at| *at <= host.now())
             && group.leader().as_ref() == Some(leader)
         {
