--- a/components/proxy/src/caller.rs
+++ b/components/proxy/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: one task, from its start to its end.
+//! Connections of callers, each served by a task of its own.
 
 use std::{io, rc::Rc, time::Duration};
 
@@ -23,31 +23,31 @@
     session::CallerSession,
 };
 
-/// How long a caller may take to begin its session.
-const START_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of a caller's start message.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a caller may take to read an answer. One that reads nothing for so
-/// long is gone; its answer holds memory.
-const WRITE_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout of writing an answer. A caller that reads nothing for this long is taken to be gone;
+/// its unread answer holds memory.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When and how often a silent caller is tried out, and how often in vain: a
-/// session whose caller vanished would hold its memory for ever.
+/// TCP keep-alive: idle time before the first probe, interval between probes and number of failed
+/// probes. Without it a session whose caller vanished would hold its memory forever.
 const KEEP_ALIVE: (Duration, Duration, u32) = (Duration::from_secs(20), Duration::from_secs(5), 3);
 
 const READ_CHUNK: usize = 2 * 1024;
 
-/// What came of waiting for a caller's next line.
-enum Next {
+/// Result of waiting for a caller's next line.
+enum Event {
     Line(Bytes),
-    Ended,
+    Closed,
     TooLong,
-    /// It rested within a transaction for longer than it may.
-    Rested,
-    /// The host is stopping and the session is between transactions.
-    Stopped,
+    /// The caller was idle for longer than the timeout.
+    IdleTimeout,
+    /// The host is shutting down and the session is between transactions.
+    Shutdown,
 }
 
-struct Caller {
+struct Connection {
     io: TcpStreamPoll,
     buf: BytesMut,
     lines: Lines,
@@ -55,16 +55,16 @@
     phase: watch::Receiver<Phase>,
 }
 
-/// Serves one caller until it leaves.
+/// Serves one caller until its connection ends.
 pub async fn serve(host: Rc<Host>, stream: TcpStream) {
     host.sessions.set(host.sessions.get() + 1);
     if let Err(error) = run(&host, stream).await {
-        debug!("caller: a connection ended: {error:#}");
+        debug!("caller: connection closed: {error:#}");
     }
     host.sessions.set(host.sessions.get() - 1);
 }
 
-fn prepare(stream: TcpStream) -> io::Result<TcpStreamPoll> {
+fn configure(stream: TcpStream) -> io::Result<TcpStreamPoll> {
     stream.set_nodelay(true)?;
     let (time, interval, tries) = KEEP_ALIVE;
     stream.set_tcp_keepalive(Some(time), Some(interval), Some(tries))?;
@@ -72,54 +72,57 @@
 }
 
 async fn run(host: &Rc<Host>, stream: TcpStream) -> anyhow::Result<()> {
-    let mut caller = Caller {
-        io: prepare(stream).context("setting up")?,
+    let mut connection = Connection {
+        io: configure(stream).context("configuring a caller's connection")?,
         buf: BytesMut::new(),
         lines: Lines::default(),
         out: BytesMut::new(),
         phase: host.phase.subscribe(),
     };
-    let Some((database, key)) = caller.start().await? else { return Ok(()) };
+    let Some((database, key)) = connection.read_start().await? else { return Ok(()) };
     let mut session = CallerSession::new(host.clone(), database, key);
     if let Err(refusal) = session.check_access() {
-        return caller.close_with(&refusal).await;
+        return connection.close_with(&refusal).await;
     }
-    wire::put_ready(State::Idle, &mut caller.out);
-    caller.flush().await?;
+    wire::put_ready(State::Idle, &mut connection.out);
+    connection.flush().await?;
     loop {
-        let limit = session.idle_timeout();
-        match caller.next(session.state() == State::Idle, limit).await? {
-            Next::Line(line) => match wire::decode_caller(&line) {
-                Ok(FromCaller::Query(request)) => session.answer(&request, &mut caller.out).await,
-                Ok(FromCaller::Unreadable) => session.answer_malformed(&mut caller.out),
+        let timeout = session.idle_timeout();
+        match connection.next_event(session.state() == State::Idle, timeout).await? {
+            Event::Line(line) => match wire::decode_caller(&line) {
+                Ok(FromCaller::Query(request)) => {
+                    session.answer(&request, &mut connection.out).await
+                }
+                Ok(FromCaller::Unreadable) => session.answer_malformed(&mut connection.out),
                 Ok(FromCaller::Bye) => return Ok(()),
                 Ok(FromCaller::Start { .. }) | Err(_) => {
                     let refusal = Refusal::new(Failure::Malformed, "an unknown message");
-                    return caller.close_with(&refusal).await;
+                    return connection.close_with(&refusal).await;
                 }
             },
-            Next::TooLong => {
+            Event::TooLong => {
                 let refusal = Refusal::new(Failure::TooLarge, "the message is too large");
-                return caller.close_with(&refusal).await;
+                return connection.close_with(&refusal).await;
             }
-            Next::Rested => session.expire_transaction(),
-            Next::Ended | Next::Stopped => return Ok(()),
+            Event::IdleTimeout => session.expire_transaction(),
+            Event::Closed | Event::Shutdown => return Ok(()),
         }
-        caller.flush().await?;
+        connection.flush().await?;
     }
 }
 
-impl Caller {
-    /// The database and the key; `None` when the caller left before it said them.
-    async fn start(&mut self) -> anyhow::Result<Option<(Box<str>, Box<str>)>> {
-        let line = match self.next(true, Some(START_WITHIN)).await? {
-            Next::Line(line) => line,
-            Next::TooLong => {
+impl Connection {
+    /// Reads the start message and returns its database and key; `None` if the connection ended
+    /// without a valid one.
+    async fn read_start(&mut self) -> anyhow::Result<Option<(Box<str>, Box<str>)>> {
+        let line = match self.next_event(true, Some(START_TIMEOUT)).await? {
+            Event::Line(line) => line,
+            Event::TooLong => {
                 let refusal = Refusal::new(Failure::TooLarge, "the message is too large");
                 self.close_with(&refusal).await?;
                 return Ok(None);
             }
-            Next::Ended | Next::Rested | Next::Stopped => return Ok(None),
+            Event::Closed | Event::IdleTimeout | Event::Shutdown => return Ok(None),
         };
         if let Ok(FromCaller::Start { database, key }) = wire::decode_caller(&line) {
             return Ok(Some((database, key)));
@@ -128,25 +131,25 @@
         Ok(None)
     }
 
-    /// The next line. Between transactions a stop of the host ends the wait,
-    /// within one the limit does.
-    async fn next(&mut self, idle: bool, limit: Option<Duration>) -> anyhow::Result<Next> {
+    /// Waits for the next line until nothing has arrived for `timeout`. Between transactions
+    /// (`idle`) a shutdown of the host ends the wait too.
+    async fn next_event(&mut self, idle: bool, timeout: Option<Duration>) -> anyhow::Result<Event> {
         loop {
             match self.lines.take(&mut self.buf) {
-                Ok(Some(line)) => return Ok(Next::Line(line)),
+                Ok(Some(line)) => return Ok(Event::Line(line)),
                 Ok(None) => {}
-                Err(WireError::TooLong | WireError::Unknown) => return Ok(Next::TooLong),
+                Err(WireError::TooLong | WireError::Unknown) => return Ok(Event::TooLong),
             }
-            let between = idle && self.buf.is_empty();
+            let interruptible = idle && self.buf.is_empty();
             let (io, buf, phase) = (&mut self.io, &mut self.buf, &mut self.phase);
             buf.reserve(READ_CHUNK);
             let read = async {
-                match limit {
-                    Some(limit) => monoio::time::timeout(limit, io.read_buf(buf)).await.ok(),
+                match timeout {
+                    Some(timeout) => monoio::time::timeout(timeout, io.read_buf(buf)).await.ok(),
                     None => Some(io.read_buf(buf).await),
                 }
             };
-            let read = if between {
+            let read = if interruptible {
                 monoio::select! {
                     read = read => Some(read),
                     _ = phase.wait_for(|phase| *phase == Phase::Closing) => None,
@@ -154,17 +157,17 @@
             } else {
                 Some(read.await)
             };
-            // What has come already is still answered.
+            // A line that has already arrived is still answered.
             let read = match read {
                 Some(read) => read,
                 None => match self.io.read_buf(&mut self.buf).now_or_never() {
                     Some(read) => Some(read),
-                    None => return Ok(Next::Stopped),
+                    None => return Ok(Event::Shutdown),
                 },
             };
             match read {
-                None => return Ok(Next::Rested),
-                Some(Ok(0)) => return Ok(Next::Ended),
+                None => return Ok(Event::IdleTimeout),
+                Some(Ok(0)) => return Ok(Event::Closed),
                 Some(Ok(_)) => {}
                 Some(Err(error)) => return Err(error).context("reading from a caller"),
             }
@@ -173,15 +176,17 @@
 
     async fn flush(&mut self) -> anyhow::Result<()> {
         let write = self.io.write_all(&self.out);
-        monoio::time::timeout(WRITE_WITHIN, write).await.context("a caller reads nothing")??;
+        monoio::time::timeout(WRITE_TIMEOUT, write)
+            .await
+            .context("writing to a caller timed out")??;
         self.out.clear();
         Ok(())
     }
 
-    /// Tells why, and ends the connection.
+    /// Sends a refusal and closes the connection.
     async fn close_with(&mut self, refusal: &Refusal) -> anyhow::Result<()> {
         wire::put_failure(refusal.failure, &refusal.text(), &mut self.out);
         self.flush().await?;
-        self.io.shutdown().await.context("ending a connection")
+        self.io.shutdown().await.context("closing a caller's connection")
     }
 }
