--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -1,4 +1,4 @@
-//! Tokens of the accounts' rates: where a host gets them, and who reports them.
+//! Tokens of the accounts' rate limits: which host grants them and which hosts report usage.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,19 +9,19 @@
 
 use crate::host::Host;
 
-/// How long an answer for a token may take.
-const TOKEN_WITHIN: Duration = Duration::from_millis(150);
+/// Timeout of a token request to another host.
+const TOKEN_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a host that has admitted requests goes on reporting them, though others are
-/// asked now: three reports, of which some may be lost with a link.
-const REPORTED_FOR: Duration = Duration::from_millis(1500);
+/// How long a host keeps reporting after it last admitted a request, even if other hosts admit
+/// requests by then: time for three reports, some of which may be lost with a link.
+const REPORT_DURATION: Duration = Duration::from_millis(1500);
 
-/// A token of the account's rate for the request `id`; `None` when no host that admits
-/// requests can be reached.
+/// Requests a token of the account's rate limit for the request `id`; returns `None` if no host
+/// that admits requests can be reached.
 ///
-/// In a large fleet the candidates for the hub of this host's failure domain are asked in
-/// turn, and hubs of other failure domains after them. Each reports what it admitted, so
-/// that it does not matter to the limit which one is asked.
+/// In a large fleet the hub candidates of this host's failure domain are asked in turn, then the
+/// hubs of other failure domains. Every host reports what it has admitted, so the limit holds
+/// whichever host is asked.
 pub async fn acquire(host: &Host, id: &str, account: &Account) -> Option<Ruling> {
     if host.neighbours.borrow().mesh {
         return Some(admit(host, &account.id, account.rate, account.burst));
@@ -32,53 +32,53 @@
             return Some(admit(host, &account.id, account.rate, account.burst));
         }
         let Some(link) = host.mesh.link(candidate) else { continue };
-        if let Some(ruling) = ask(&link, id, account).await {
+        if let Some(ruling) = request_token(&link, id, account).await {
             return Some(ruling);
         }
     }
-    let elsewhere = host.neighbours.borrow().elsewhere.clone();
-    for hub in &elsewhere {
+    let other_hubs = host.neighbours.borrow().elsewhere.clone();
+    for hub in &other_hubs {
         let Some(link) = host.reach(hub) else { continue };
-        if let Some(ruling) = ask(&link, id, account).await {
+        if let Some(ruling) = request_token(&link, id, account).await {
             return Some(ruling);
         }
     }
     None
 }
 
-/// Admits a request here, if the account's rate allows it.
+/// Decides on this host whether the account's rate limit admits a request.
 pub fn admit(host: &Host, account: &AccountId, rate: Rate, burst: Burst) -> Ruling {
     let now = host.now();
     host.admits.set(Some(now));
     host.demand.borrow_mut().take(account, rate, burst, now)
 }
 
-async fn ask(link: &Rc<Link>, id: &str, account: &Account) -> Option<Ruling> {
-    if !link.is_prompt(TOKEN_WITHIN) {
+async fn request_token(link: &Rc<Link>, id: &str, account: &Account) -> Option<Ruling> {
+    if !link.is_prompt(TOKEN_TIMEOUT) {
         return None;
     }
     let question =
         Question::Take { account: account.id.clone(), rate: account.rate, burst: account.burst };
-    match link.ask(question, TOKEN_WITHIN).await {
+    match link.ask(question, TOKEN_TIMEOUT).await {
         Ok(Answer::Ruling(ruling)) => Some(ruling),
         Ok(_) => None,
         Err(error) => {
             let error = format_args!("{error:#}");
-            info!(id, hub = %link.host, account = %account.id, %error, "rates: no answer, asking the next host");
+            info!(id, hub = %link.host, account = %account.id, %error, "rates: no answer from hub, trying the next one");
             None
         }
     }
 }
 
-/// Whether this host reports requests that it admitted: as hub, and for a while after it
-/// admitted some in place of one.
+/// Returns whether this host reports the requests that it admitted: always as hub, otherwise for
+/// `REPORT_DURATION` after it admitted a request in place of one.
 pub fn is_reporter(host: &Host) -> bool {
-    let lately = |at| host.now().saturating_duration_since(at) < REPORTED_FOR;
-    host.is_hub() || host.admits.get().is_some_and(lately)
+    let recent = |at| host.now().saturating_duration_since(at) < REPORT_DURATION;
+    host.is_hub() || host.admits.get().is_some_and(recent)
 }
 
-/// Frees the share of candidates whose process is gone, so that this host can use the whole
-/// part of its failure domain at once.
+/// Frees the rate shares of hub candidates whose process is gone, so that this host can use the
+/// whole share of its failure domain at once.
 pub fn free_shares(host: &Host) {
     let candidates = host.neighbours.borrow().candidates.clone();
     let gone = |id: &HostId| host.mesh.link(id).is_some_and(|link| link.is_refused());
