--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a host's tasks and ends them in order.
+//! Startup of a host's tasks and its orderly shutdown.
 
 use std::{
     cell::{Cell, RefCell},
@@ -34,35 +34,36 @@
     silent,
 };
 
-/// How often signals are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Poll interval of signal flags and, during shutdown, of open sessions.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long callers are brought here after the readiness has changed: the
-/// platform asks once a second and believes the second answer.
-const STILL_BROUGHT: Duration = Duration::from_millis(2300);
+/// How long new callers still arrive after the readiness has changed: the platform polls it once
+/// a second and acts on the second answer.
+const READINESS_DELAY: Duration = Duration::from_millis(2300);
 
-/// How long before the process would be killed it ends by itself.
-const END_BEFORE: Duration = Duration::from_millis(900);
+/// How long before the end of the grace period, when the process would be killed, it exits by
+/// itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(900);
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted, per listener.
 const BACKLOG: i32 = 1024;
 
-/// The signals that a host acts on.
+/// Flags that the process's signal handlers set.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    /// Stop as planned.
+    /// Requests an orderly shutdown.
     pub stop: Arc<AtomicBool>,
-    /// Read the settings again.
+    /// Requests that the settings are read again.
     pub reload: Arc<AtomicBool>,
 }
 
-/// Runs a host until it is told to stop. `reread` reads the settings again.
+/// Runs a host until a shutdown is requested. `reread` reads the settings again.
 pub async fn run(
     settings: Settings,
     signals: Signals,
     reread: impl Fn() -> anyhow::Result<Settings>,
 ) -> anyhow::Result<()> {
-    // Before all else: a host that others find refusing connections runs no more.
+    // The listeners come first: other hosts take a host that refuses connections for dead.
     let peers = listen(settings.peers).context("listening for other hosts")?;
     let callers = listen(settings.callers).context("listening for callers")?;
     let state: Rc<RefCell<Option<Rc<Host>>>> = Rc::default();
@@ -72,8 +73,8 @@
     let (run, clock) = (rand::random(), Rc::new(BootClock::new()));
     let entered = monoio::select! {
         entered = fleet::enter(&settings, &*clock, &client) => entered,
-        // Counted in perhaps, and without any use of a leader.
-        _ = raised(&signals.stop) => return fleet::leave(&settings).await,
+        // The host may have joined the view already; it has not used any leader yet.
+        _ = wait_raised(&signals.stop) => return fleet::leave(&settings).await,
     };
     let host = new_host(settings, run, clock, &entered.secret);
     *state.borrow_mut() = Some(host.clone());
@@ -172,17 +173,17 @@
     }
 }
 
-/// Whether new callers should be brought to this host.
+/// Returns whether the platform should send new callers to this host.
 fn is_ready(host: &Host) -> bool {
     *host.phase.borrow() == Phase::Serving && host.may_serve() && host.leased()
 }
 
 fn readiness(state: Rc<RefCell<Option<Rc<Host>>>>) -> Rc<Handler> {
-    let was = Cell::new(false);
+    let last = Cell::new(false);
     Rc::new(move |request| {
         let ready = state.borrow().as_ref().is_some_and(|host| is_ready(host));
-        if was.replace(ready) != ready {
-            note_readiness(state.borrow().as_deref(), ready);
+        if last.replace(ready) != ready {
+            log_readiness(state.borrow().as_deref(), ready);
         }
         let status = match &*request.path {
             probes::READINESS_PATH if ready => StatusCode::OK,
@@ -193,7 +194,7 @@
     })
 }
 
-fn note_readiness(host: Option<&Host>, ready: bool) {
+fn log_readiness(host: Option<&Host>, ready: bool) {
     info!(
         ready,
         leased = host.map(Host::leased),
@@ -211,9 +212,9 @@
     })
 }
 
-async fn raised(flag: &AtomicBool) {
+async fn wait_raised(flag: &AtomicBool) {
     while !flag.load(Ordering::Relaxed) {
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -224,37 +225,40 @@
 ) {
     while !signals.stop.load(Ordering::Relaxed) {
         if signals.reload.swap(false, Ordering::Relaxed) {
-            // What the platform may change in a file is read where it is used; what
-            // stands for the life of a process is only checked.
+            // Files that the platform may change are read where they are used. Settings that are
+            // fixed for the life of the process are only validated here.
             match reread() {
                 Ok(settings) => info!(host = %settings.host, "host: settings read again"),
-                Err(error) => warn!(error = %format_args!("{error:#}"), "host: settings not read"),
+                Err(error) => {
+                    warn!(error = %format_args!("{error:#}"), "host: settings rejected")
+                }
             }
         }
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     stop(host).await;
 }
 
-/// Serves on while callers are still brought here, then closes sessions between
-/// transactions and ends with the last one, or before the process is killed.
+/// Shuts the host down: serves on while new callers still arrive, then closes sessions between
+/// transactions, and returns when the last one has ended or shortly before the process would be
+/// killed.
 async fn stop(host: &Rc<Host>) {
-    let began = Instant::now();
-    let end = host.settings.grace.saturating_sub(END_BEFORE);
+    let started = Instant::now();
+    let limit = host.settings.grace.saturating_sub(EXIT_MARGIN);
     info!(sessions = host.sessions.get(), "host: stopping");
     host.phase.send_replace(Phase::Leaving);
-    monoio::time::sleep(STILL_BROUGHT.min(end / 2)).await;
+    monoio::time::sleep(READINESS_DELAY.min(limit / 2)).await;
     host.phase.send_replace(Phase::Closing);
-    while host.sessions.get() + host.works.count() > 0 && began.elapsed() < end {
-        monoio::time::sleep(LOOK_EVERY).await;
+    while host.sessions.get() + host.works.count() > 0 && started.elapsed() < limit {
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     let cut = host.sessions.get();
-    // From here on no leader is used, so nobody has to wait for this host.
-    match monoio::time::timeout(END_BEFORE / 2, fleet::leave(&host.settings)).await {
+    // No leader is used from here on, so other hosts need not wait for this one.
+    match monoio::time::timeout(EXIT_MARGIN / 2, fleet::leave(&host.settings)).await {
         Ok(Ok(())) => info!(cut, "host: stopped"),
         Ok(Err(error)) => {
-            info!(cut, error = %format_args!("{error:#}"), "host: stopped, still in the view");
+            info!(cut, error = %format_args!("{error:#}"), "host: stopped without leaving the view");
         }
-        Err(_) => info!(cut, "host: stopped, still in the view"),
+        Err(_) => info!(cut, "host: stopped without leaving the view"),
     }
 }
