--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -1,4 +1,4 @@
-//! Running other hosts' statements on the connections that this host holds.
+//! Forwarded statements: other hosts' statements that run on connections held by this host.
 
 use std::{
     cell::RefCell,
@@ -22,110 +22,116 @@
     pool::{Leased, Permit, Pool},
 };
 
-/// How long a transaction of another host may rest here, where the configuration says
-/// nothing: its own host ends it sooner. This is for hosts that vanish.
-const RESTS_FOR: Duration = Duration::from_secs(10);
+/// Idle timeout of other hosts' transactions if the configuration sets none. The host of the
+/// caller ends an idle transaction sooner; this one is for hosts that vanish.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How much longer than its own host would let it rest.
-const RESTS_LONGER: Duration = Duration::from_secs(2);
+/// How much longer than the configured idle timeout a transaction is kept, so that the caller's
+/// host ends it first.
+const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
-/// A transaction of another host, between two of its statements.
-struct Resting {
+/// A transaction of another host between two of its statements.
+struct IdleTransaction {
     leased: Leased,
     since: Instant,
-    /// The link that its statements come by.
+    /// Link by which its statements are forwarded.
     watch: Watch,
 }
 
-/// Transactions of other hosts on connections of this one.
+/// Transactions of other hosts on connections held by this host.
 #[derive(Default)]
 pub struct RemoteTransactions {
-    resting: RefCell<HashMap<(HostId, WorkNo), Resting>>,
-    /// Transactions given up while a statement of them was under way, and when.
-    given_up: RefCell<HashMap<(HostId, WorkNo), Instant>>,
+    idle: RefCell<HashMap<(HostId, WorkNo), IdleTransaction>>,
+    /// Transactions cancelled while one of their statements was running, with the time of the
+    /// cancellation.
+    cancelled: RefCell<HashMap<(HostId, WorkNo), Instant>>,
 }
 
 impl RemoteTransactions {
-    /// Transactions that rest here.
+    /// Returns the number of idle transactions.
     pub fn count(&self) -> usize {
-        self.resting.borrow().len()
+        self.idle.borrow().len()
     }
 
-    /// Closes the connections of transactions whose host has gone or forgotten them, and of
-    /// those at servers to which nothing may be sent any more.
+    /// Closes the connections of idle transactions that have exceeded the idle timeout, whose link
+    /// is closed, or whose server may not be sent anything any more.
     ///
-    /// Guards against a host that dies within a transaction: its locks would be held
-    /// for as long as this host lives.
+    /// Guards against a host that dies within a transaction: the transaction's locks would be held
+    /// for as long as this host runs.
     pub fn sweep(
         &self,
-        limit: Option<Duration>,
+        idle_timeout: Option<Duration>,
         now: Instant,
         is_forbidden: impl Fn(&Pool) -> bool,
     ) {
-        let limit = limit.map_or(RESTS_FOR, |limit| limit + RESTS_LONGER);
-        self.resting.borrow_mut().retain(|(host, work), resting| {
-            let why = if !resting.watch.is_open() || now.duration_since(resting.since) >= limit {
-                "its host is gone"
-            } else if is_forbidden(resting.leased.pool()) {
+        let timeout = idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| timeout + IDLE_MARGIN);
+        self.idle.borrow_mut().retain(|(host, work), transaction| {
+            let why = if !transaction.watch.is_open()
+                || now.duration_since(transaction.since) >= timeout
+            {
+                "its host is gone or did not end it"
+            } else if is_forbidden(transaction.leased.pool()) {
                 "its server's failure domain is evacuated"
             } else {
                 return true;
             };
-            info!(%host, work, why, "relay: a transaction is closed");
+            info!(%host, work, why, "relay: idle transaction closed");
             false
         });
-        let mut given_up = self.given_up.borrow_mut();
-        given_up.retain(|_, since| now.duration_since(*since) < limit);
+        let mut cancelled = self.cancelled.borrow_mut();
+        cancelled.retain(|_, since| now.duration_since(*since) < timeout);
     }
 
-    /// Closes the connection of a transaction; once its answer is there, if a statement
-    /// of it is under way.
+    /// Cancels a transaction by closing its connection, after the answer if one of its statements
+    /// is running.
     pub fn cancel(&self, host: &HostId, work: WorkNo, now: Instant) {
         let key = (host.clone(), work);
-        if self.resting.borrow_mut().remove(&key).is_none() {
-            self.given_up.borrow_mut().insert(key, now);
+        if self.idle.borrow_mut().remove(&key).is_none() {
+            self.cancelled.borrow_mut().insert(key, now);
         }
     }
 
-    /// Keeps a transaction's connection, unless it was given up meanwhile.
-    fn keep(&self, key: (HostId, WorkNo), resting: Resting) {
-        if self.given_up.borrow_mut().remove(&key).is_none() {
-            self.resting.borrow_mut().insert(key, resting);
+    /// Stores a transaction until its next statement, unless it has been cancelled meanwhile.
+    fn store(&self, key: (HostId, WorkNo), transaction: IdleTransaction) {
+        if self.cancelled.borrow_mut().remove(&key).is_none() {
+            self.idle.borrow_mut().insert(key, transaction);
         }
     }
 }
 
-/// Runs a statement for another host.
+/// Runs a forwarded statement and replies with the result.
 pub async fn serve(host: Rc<Host>, from: HostId, errand: Errand, replier: Replier) {
     let watch = replier.watch();
-    let relayed = match begin(&host, &from, &errand).await {
+    let relayed = match acquire(&host, &from, &errand).await {
         Ok((leased, permit)) => run(&host, from, errand, leased, permit, watch).await,
-        Err(why) => {
-            suspect(&host, &errand, why);
-            Relayed::NotSent(why)
+        Err(reason) => {
+            record_failure(&host, &errand, reason);
+            Relayed::NotSent(reason)
         }
     };
     replier.reply(Answer::Relayed(relayed));
 }
 
-/// Notes what speaks against a leader that took no connection.
+/// Records a failed connection to a leader with the group's failure detector.
 ///
-/// Guards against a leader that closes each connection: other hosts leave it to this one, which
-/// has no statements of its own there.
-fn suspect(host: &Host, errand: &Errand, why: NotSent) {
+/// Guards against a leader that closes every connection: other hosts leave its detection to this
+/// one, the holder, which may send it no statements of its own.
+fn record_failure(host: &Host, errand: &Errand, reason: NotSent) {
     let Some(pool) = host.server(&errand.server) else { return };
     let group = host.group(&pool.listed.borrow().group);
     if group.leader().as_ref() != Some(&errand.server) {
         return;
     }
-    match why {
+    match reason {
         NotSent::Dead => group.suspicion.borrow_mut().refused(host.now()),
         NotSent::Silent => group.suspicion.borrow_mut().silent(host.now()),
         _ => {}
     }
 }
 
-async fn begin(
+/// Acquires the connection for a forwarded statement: that of its open transaction, or one from
+/// the pool. There is no permit for statements that are not bound to an account.
+async fn acquire(
     host: &Host,
     from: &HostId,
     errand: &Errand,
@@ -135,11 +141,11 @@
         return Err(NotSent::Evacuated);
     }
     if let Some(work) = errand.work.filter(|_| !errand.opens) {
-        let resting = host.works.resting.borrow_mut().remove(&(from.clone(), work));
-        let resting = resting.ok_or(NotSent::Closed)?;
+        let idle = host.works.idle.borrow_mut().remove(&(from.clone(), work));
+        let idle = idle.ok_or(NotSent::Closed)?;
         let until = monoio::time::Instant::now() + errand.within();
         let permit = pool.go_on(until).await.map_err(conn::crowded)?;
-        return Ok((resting.leased, Some(permit)));
+        return Ok((idle.leased, Some(permit)));
     }
     if *host.phase.borrow() == Phase::Closing {
         return Err(NotSent::Leaving);
@@ -153,7 +159,7 @@
     let permit = permit.map_err(conn::crowded)?;
     let leased = pool.lease(account, &errand.values, until).await;
     let leased = leased.map_err(conn::not_sent)?;
-    // It may have waited for its turn and its connection.
+    // The server may have been evacuated while the statement was queued.
     if placement::is_forbidden(host, &pool) {
         return Err(NotSent::Evacuated);
     }
@@ -175,7 +181,7 @@
     } else {
         backend.out.extend_from_slice(&errand.line);
     }
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let pool = leased.pool().clone();
     pool.exchanges.borrow_mut().begin(host.now());
     let answer = monoio::time::timeout(errand.within(), leased.backend().exchange()).await;
@@ -183,26 +189,27 @@
     match answer {
         Ok(Ok(answer)) => {
             if let Some(permit) = permit {
-                permit.took.set(Some(asked.elapsed()));
+                permit.took.set(Some(sent_at.elapsed()));
             }
-            keep(host, from, &errand, leased, &answer, watch);
+            release(host, from, &errand, leased, &answer, watch);
             Relayed::Answered(answer)
         }
         Ok(Err(error)) => {
             let error = format_args!("{error:#}");
-            info!(server = %errand.server, %from, %error, "relay: connection lost");
+            info!(server = %errand.server, %from, %error, "relay: connection to server lost");
             leased.pool().note_lost();
             Relayed::Lost
         }
         Err(_) => {
-            silent(leased.pool(), &errand);
+            record_timeout(leased.pool(), &errand);
             Relayed::Late
         }
     }
 }
 
-/// Keeps the connection after an answer: for the transaction, or for other statements.
-fn keep(
+/// Stores the connection if a transaction is open. Otherwise returns it to the pool, or closes it
+/// if it is not clean.
+fn release(
     host: &Host,
     from: HostId,
     errand: &Errand,
@@ -213,15 +220,16 @@
     let open = errand.work.filter(|_| answer.state != State::Idle);
     match open {
         Some(work) => {
-            let resting = Resting { leased, since: host.now(), watch };
-            host.works.keep((from, work), resting);
+            let transaction = IdleTransaction { leased, since: host.now(), watch };
+            host.works.store((from, work), transaction);
         }
         None if leased.backend().is_clean(answer) => leased.give_back(),
         None => {}
     }
 }
 
-fn silent(pool: &Pool, errand: &Errand) {
+/// Logs a timeout and closes the idle connections to the server.
+fn record_timeout(pool: &Pool, errand: &Errand) {
     info!(server = %errand.server, ms = errand.within_ms, "relay: the server did not answer in time");
     pool.drop_idle();
 }
