--- a/components/proxy/src/operation.rs
+++ b/components/proxy/src/operation.rs
@@ -28,8 +28,8 @@
 /// this long is waiting for a silent host.
 const FAILOVER_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Timeout of a read at one server while other targets remain. Longer than the slowest usual
-/// answer, so that slow reads do not run twice.
+/// Timeout of opening a transaction, and of a read at one server while other targets remain.
+/// Longer than the slowest usual answer, so that slow reads do not run twice.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Timeout of a rollback, after which the connection is closed instead.
@@ -121,7 +121,7 @@
     Answered(ServerAnswer),
     /// Nothing was kept; another server may be tried.
     Retryable(Refusal),
-    /// The statement was sent and no complete answer was received.
+    /// The statement was sent and no valid answer was received.
     Lost(&'static str),
 }
 
--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -32,7 +32,7 @@
 pub struct Target {
     /// Connections to the server.
     pub pool: Rc<Pool>,
-    /// Log position that the server must have reached.
+    /// Log position that the server must have reached; `None` at the leader.
     pub required_position: Option<Point>,
     /// Permission to use the server as leader, if it is the leader.
     pub usage: Option<Use>,
@@ -68,7 +68,7 @@
     pub conn: Conn,
     /// Permission to use the leader, if the server is the leader.
     pub usage: Option<Use>,
-    /// Log position that the server must have reached.
+    /// Log position that the server must have reached; `None` at the leader.
     pub required_position: Option<Point>,
     /// Whether the transaction has sent a write.
     pub wrote: bool,
@@ -143,8 +143,8 @@
         targets.push(Target { pool, required_position, usage });
     }
     // A leader whose failure domain is being evacuated is the last resort.
-    let last = leader.and_then(|usage| Some((host.server(&usage.server)?, usage)));
-    targets.extend(last.map(|(pool, usage)| Target {
+    let fallback = leader.and_then(|usage| Some((host.server(&usage.server)?, usage)));
+    targets.extend(fallback.map(|(pool, usage)| Target {
         pool,
         required_position: None,
         usage: Some(usage),
@@ -251,7 +251,7 @@
 pub enum ExchangeError {
     /// The statement was not sent to the server.
     NotSent(Refusal),
-    /// The statement was sent and no complete answer was received.
+    /// The statement was sent and no valid answer was received.
     Lost(&'static str),
 }
 
