--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -196,14 +196,14 @@
 }
 
 /// Records the failure of a server that did not receive a statement and returns the refusal for
-/// the caller. `sent_at` is the time at which the attempt began.
+/// the caller. `started` is the time at which the attempt began.
 fn record_not_sent(
     host: &Host,
     operation: &Operation,
     pool: &Pool,
     leads: bool,
     reason: NotSent,
-    sent_at: StdInstant,
+    started: StdInstant,
 ) -> Refusal {
     let mut health = pool.health.borrow_mut();
     match reason {
@@ -214,22 +214,22 @@
             return Refusal::overloaded(wait);
         }
         NotSent::Dead => {
-            health.fail(sent_at);
-            health.fail(sent_at);
+            health.fail(started);
+            health.fail(started);
             if leads {
                 operation.group.suspicion.borrow_mut().refused(host.now());
             }
         }
         NotSent::Silent => {
-            health.fail(sent_at);
+            health.fail(started);
             // Includes servers that accept connections and close them.
             if leads {
-                operation.group.suspicion.borrow_mut().silent(sent_at);
+                operation.group.suspicion.borrow_mut().silent(started);
             }
         }
         NotSent::Misdirected => {
-            health.fail(sent_at);
-            health.fail(sent_at);
+            health.fail(started);
+            health.fail(started);
         }
         _ => {}
     }
