--- a/components/proxy/src/lead.rs
+++ b/components/proxy/src/lead.rs
@@ -110,14 +110,14 @@
     }
     let mut others = placement::successors(host, &group.id);
     others.retain(|other| !Rc::ptr_eq(other, leader));
-    let most = others.iter().map(|other| placement::servable_databases(host, other)).max()?;
+    let most = others.iter().map(|other| placement::served(host, other)).max()?;
     if leaving {
         return Some("the leader is leaving");
     }
     if evacuated {
         return Some("the leader's failure domain is evacuated");
     }
-    let more = most > placement::servable_databases(host, leader);
+    let more = most > placement::served(host, leader);
     more.then_some("another server may serve more databases by their homes")
 }
 
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -54,7 +54,7 @@
 
 /// Returns the number of the group's databases whose homes include the server's region; 0 for
 /// all servers if no database or account has homes.
-pub fn servable_databases(host: &host::Host, pool: &pool::Pool) -> usize {
+pub fn served(host: &host::Host, pool: &pool::Pool) -> usize {
     let Some(plan) = host.plan().filter(|_| host.has_homes.get()) else { return 0 };
     let listed = pool.listed.borrow();
     let routes = plan.routes.values().filter(|route| route.group == listed.group);
