--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -229,9 +229,7 @@
             // fixed for the life of the process are only validated here.
             match reread() {
                 Ok(settings) => info!(host = %settings.host, "host: settings read again"),
-                Err(error) => {
-                    warn!(error = %format_args!("{error:#}"), "host: settings rejected")
-                }
+                Err(error) => warn!(error = %format_args!("{error:#}"), "host: settings rejected"),
             }
         }
         monoio::time::sleep(POLL_INTERVAL).await;
