--- a/components/contract/src/revision.rs
+++ b/components/contract/src/revision.rs
@@ -85,7 +85,7 @@
         if doc.number <= self.number() {
             return false;
         }
-        self.freshness.borrow_mut().learn(doc.number);
+        self.freshness.borrow_mut().raise(doc.number);
         *self.doc.borrow_mut() = Some(Rc::new(doc));
         self.changed.notify_waiters();
         true
@@ -93,12 +93,12 @@
 
     /// Notes that nothing newer than `newest` had been accepted at `asked`.
     pub fn show(&self, newest: Revision, asked: Instant) {
-        self.freshness.borrow_mut().show(newest, asked);
+        self.freshness.borrow_mut().confirm(newest, asked);
     }
 
     /// Whether this host may vouch for others.
     pub fn vouches(&self) -> bool {
-        self.freshness.borrow().vouches()
+        self.freshness.borrow().may_vote()
     }
 
     /// How long ago the revision in force here was the newest for certain.
--- a/components/coordination/src/ages.rs
+++ b/components/coordination/src/ages.rs
@@ -15,7 +15,7 @@
 
 /// The least time between two samples of one primary's traffic. Ages of a second
 /// and more are judged by them; 50 ms cost them a twentieth at most.
-const SAMPLE_EVERY: Duration = Duration::from_millis(50);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a server said, and the time since which it is known to hold.
 #[derive(Clone, Copy, Debug)]
@@ -28,13 +28,13 @@
 
 /// The primary's positions over time.
 #[derive(Clone, Debug, Default)]
-pub struct Ages {
+pub struct PositionHistory {
     /// Points of the primary, each with a time before which no write beyond it
     /// was acknowledged. Both never fall.
     samples: VecDeque<(Instant, Point)>,
 }
 
-impl Ages {
+impl PositionHistory {
     /// Notes the primary's point, if it can be shown that it led then: another
     /// server of the group, asked no earlier, had promised no later term.
     ///
@@ -60,17 +60,17 @@
     /// Notes the point of a primary that was asked at `asked` and is known to
     /// have led then, by a lease or otherwise.
     ///
-    /// Samples closer together than [`SAMPLE_EVERY`] are thinned out. Samples of other hosts
+    /// Samples closer together than [`SAMPLE_INTERVAL`] are thinned out. Samples of other hosts
     /// are received late, so one may belong between those that are known.
     pub fn note_point(&mut self, asked: Instant, point: Point) {
         let after = self.samples.partition_point(|(at, _)| *at < asked);
         let fits_former = after.checked_sub(1).is_none_or(|before| {
             let (at, last) = self.samples[before];
-            let apart = asked >= at + SAMPLE_EVERY || point.term > last.term;
+            let apart = asked >= at + SAMPLE_INTERVAL || point.term > last.term;
             apart && point >= last
         });
         let fits_next = self.samples.get(after).is_none_or(|(at, next)| {
-            let apart = *at >= asked + SAMPLE_EVERY || next.term > point.term;
+            let apart = *at >= asked + SAMPLE_INTERVAL || next.term > point.term;
             apart && point <= *next
         });
         if fits_former && fits_next && self.samples.len() < MAX_SAMPLES {
--- a/components/coordination/src/changes.rs
+++ b/components/coordination/src/changes.rs
@@ -20,7 +20,7 @@
 
 /// The hosts that are gone from a view, and since when.
 #[derive(Debug, Default)]
-pub struct Gone {
+pub struct RemovedHosts {
     hosts: VecDeque<(u64, HostId)>,
     /// All that went after this version is in `hosts`.
     complete: u64,
@@ -39,7 +39,7 @@
     pub gone: Vec<HostId>,
 }
 
-impl Gone {
+impl RemovedHosts {
     /// Notes which hosts of a view are not in the one that replaces it.
     pub fn note(&mut self, before: &View, after: &View) {
         if before.version == 0 {
@@ -86,7 +86,7 @@
     ///
     /// Guards against a host that acts on rows that the store no longer holds: the
     /// stamp covers the version of every row.
-    pub fn onto(self, base: &View) -> Option<View> {
+    pub fn apply_to(self, base: &View) -> Option<View> {
         let Self { since, view, stamp, gone } = self;
         if since == 0 {
             return Some(view);
--- a/components/coordination/src/choice.rs
+++ b/components/coordination/src/choice.rs
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug)]
 pub struct Health {
     mean: f64,
-    silence: silence::Watch,
+    silence: silence::AnswerTracker,
     failures: u32,
     ejected: Option<(Instant, Duration)>,
     /// A position that it lacked, until when it is passed over, and for how long.
@@ -57,7 +57,7 @@
     fn default() -> Self {
         Self {
             mean: FIRST_GUESS.as_secs_f64(),
-            silence: silence::Watch::default(),
+            silence: silence::AnswerTracker::default(),
             failures: 0,
             ejected: None,
             lacked: None,
@@ -109,7 +109,7 @@
     }
 
     /// It had the position that it was asked for.
-    pub fn caught_up(&mut self) {
+    pub fn clear_lag(&mut self) {
         self.lacked = None;
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// How long it has owed an answer without giving any.
-    pub fn silent_for(&self, now: Instant) -> Duration {
+    pub fn unanswered_for(&self, now: Instant) -> Duration {
         self.silence.lasts(now)
     }
 
@@ -141,9 +141,9 @@
     /// What is known of it.
     pub health: &'a Health,
     /// Whether it stands in the host's own failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Whether a connection waits.
-    pub warm: bool,
+    pub connected: bool,
     /// Whether it leads the group.
     pub leads: bool,
     /// Whether it may get only a few requests a second, having just started.
@@ -160,14 +160,14 @@
 /// server that has gone silent loses its reads within one mean answer.
 pub fn cost(candidate: &Candidate<'_>, now: Instant) -> Duration {
     let health = candidate.health;
-    let mean = health.mean.max(health.silent_for(now).as_secs_f64());
+    let mean = health.mean.max(health.unanswered_for(now).as_secs_f64());
     let share = 1.0 + health.running() as f64 / candidate.slots.max(1) as f64;
     let lead = if candidate.leads { LEADER } else { 1.0 };
     let mut cost = Duration::from_secs_f64(mean * share * lead) + candidate.wait;
-    if !candidate.near {
+    if !candidate.same_domain {
         cost += FAR;
     }
-    if !candidate.warm {
+    if !candidate.connected {
         cost += NEW_CONNECTION;
     }
     cost
--- a/components/coordination/src/cold.rs
+++ b/components/coordination/src/cold.rs
@@ -65,7 +65,7 @@
 
 /// What one host knows of a server's warmth, and what it has sent to it while cold.
 #[derive(Clone, Debug)]
-pub struct Warmth {
+pub struct WarmUp {
     /// Until when the server is cold, as it reported.
     reported: Option<Instant>,
     /// Until when it may be cold without having reported it.
@@ -76,7 +76,7 @@
     counts_from: Instant,
 }
 
-impl Warmth {
+impl WarmUp {
     /// A server that this process knows since `now`.
     pub fn new(now: Instant) -> Self {
         let counts_from = now + WINDOW;
--- a/components/coordination/src/confirm.rs
+++ b/components/coordination/src/confirm.rs
@@ -16,11 +16,11 @@
 /// How long a commit waits for a replica. A replica has it after some 2 ms and is
 /// asked within 3 ms; one whose slots are all taken answers after a usual statement
 /// of 50 ms, and twice that still fits.
-pub const CONFIRM_WITHIN: Duration = Duration::from_millis(400);
+pub const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long replicas must have received nothing before the leader is replaced: as
 /// long as a silent leader is given.
-pub const STUCK_FOR: Duration = Duration::from_millis(350);
+pub const STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// How old a replica's word may be that it receives nothing.
 const WORD_FOR: Duration = Duration::from_millis(600);
@@ -31,7 +31,7 @@
 
 /// What came of asking a replica how far it has received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Heard {
+pub enum ProbeResult {
     /// So far.
     Received(Point),
     /// It is alive, but has no capacity for the question.
@@ -46,27 +46,27 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// Nothing yet.
-    Wait,
+    Pending,
     /// A second server holds the commit.
-    Held,
+    Confirmed,
     /// It is acknowledged on the leader's word: no replica runs that could lead in
     /// its place, or those that run are alive and too busy to answer.
-    Alone,
+    LeaderOnly,
     /// A replica that could lead may lack it.
     Unknown,
 }
 
 /// What is known of the replicas of one leader.
 #[derive(Clone, Debug, Default)]
-pub struct Confirm {
+pub struct ReplicaProgress {
     /// The furthest point that a replica has received.
     newest: Option<Point>,
-    heard: BTreeMap<ServerId, (Heard, Instant)>,
+    heard: BTreeMap<ServerId, (ProbeResult, Instant)>,
     /// The commit that no replica had in time, and since when.
     stuck: Option<(Point, Instant)>,
 }
 
-impl Confirm {
+impl ReplicaProgress {
     /// Notes that a replica has received so far.
     pub fn note(&mut self, point: Point) {
         self.newest = self.newest.max(Some(point));
@@ -76,9 +76,9 @@
     }
 
     /// Notes what came of asking a replica.
-    pub fn hear(&mut self, server: &ServerId, heard: Heard, now: Instant) {
+    pub fn record(&mut self, server: &ServerId, heard: ProbeResult, now: Instant) {
         self.heard.insert(server.clone(), (heard, now));
-        if let Heard::Received(point) = heard {
+        if let ProbeResult::Received(point) = heard {
             self.note(point);
         }
     }
@@ -98,20 +98,20 @@
         now: Instant,
     ) -> Verdict {
         if self.covers(commit) {
-            return Verdict::Held;
+            return Verdict::Confirmed;
         }
         let heard = |id| self.heard.get(id).filter(|(_, at)| *at >= began).map(|(heard, _)| *heard);
-        let all = |wanted: &[Heard]| {
+        let all = |wanted: &[ProbeResult]| {
             replicas.iter().all(|id| heard(id).is_some_and(|heard| wanted.contains(&heard)))
         };
-        if all(&[Heard::Dead]) {
-            return Verdict::Alone;
+        if all(&[ProbeResult::Dead]) {
+            return Verdict::LeaderOnly;
         }
-        if now.saturating_duration_since(began) < CONFIRM_WITHIN {
-            return Verdict::Wait;
+        if now.saturating_duration_since(began) < CONFIRM_TIMEOUT {
+            return Verdict::Pending;
         }
-        if all(&[Heard::Dead, Heard::Busy]) {
-            return Verdict::Alone;
+        if all(&[ProbeResult::Dead, ProbeResult::Busy]) {
+            return Verdict::LeaderOnly;
         }
         self.stuck.get_or_insert((commit, began));
         Verdict::Unknown
@@ -119,18 +119,18 @@
 
     /// Whether replicas receive nothing, as far as is known: a write that is sent
     /// now would have to be called uncertain.
-    pub fn is_stuck(&self) -> bool {
+    pub fn is_stalled(&self) -> bool {
         self.stuck.is_some()
     }
 
     /// Whether the leader, which leads since `led`, is to be replaced: a replica
     /// that can be reached receives nothing from it.
-    pub fn is_cut(&self, led: Instant, now: Instant) -> bool {
+    pub fn is_partitioned(&self, led: Instant, now: Instant) -> bool {
         let for_long = |since: Instant, limit| now.saturating_duration_since(since) >= limit;
-        let lacks = |(heard, at): &(Heard, Instant)| {
-            matches!(heard, Heard::Received(_)) && !for_long(*at, WORD_FOR)
+        let lacks = |(heard, at): &(ProbeResult, Instant)| {
+            matches!(heard, ProbeResult::Received(_)) && !for_long(*at, WORD_FOR)
         };
-        self.stuck.is_some_and(|(_, since)| for_long(since, CONFIRM_WITHIN + STUCK_FOR))
+        self.stuck.is_some_and(|(_, since)| for_long(since, CONFIRM_TIMEOUT + STALL_TIMEOUT))
             && for_long(led, KEPT_FOR)
             && self.heard.values().any(lacks)
     }
--- a/components/coordination/src/duty.rs
+++ b/components/coordination/src/duty.rs
@@ -15,11 +15,11 @@
 use crate::HostId;
 
 /// How long the platform's call may take before it is given up.
-pub const CALL_WITHIN: Duration = Duration::from_millis(1500);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How long after it began to take the duty a holder may begin its call. Taking
 /// it is one call of the store, on its slowest days 300 ms.
-pub const CALL_BY: Duration = Duration::from_millis(1000);
+pub const CALL_DEADLINE: Duration = Duration::from_millis(1000);
 
 /// How long after a holder took the duty another host may take it without having
 /// been told that it is free: a call begun and given up as late as allowed, and
--- a/components/coordination/src/evacuation.rs
+++ b/components/coordination/src/evacuation.rs
@@ -25,7 +25,7 @@
     /// Everything.
     Allowed,
     /// Open transactions, and what only the leader can run; no new reads.
-    Ending,
+    Draining,
     /// Nothing.
     Forbidden,
 }
@@ -124,6 +124,6 @@
         let Some(evacuation) = self.domains.get(domain) else { return Placement::Allowed };
         let began = store.local(evacuation.after).filter(|_| !evacuation.after.is_zero());
         let ends = began.map(|began| began + bound.mul_f64(ENDING_PART));
-        if ends.is_some_and(|ends| now < ends) { Placement::Ending } else { Placement::Forbidden }
+        if ends.is_some_and(|ends| now < ends) { Placement::Draining } else { Placement::Forbidden }
     }
 }
--- a/components/coordination/src/freshness.rs
+++ b/components/coordination/src/freshness.rs
@@ -27,16 +27,19 @@
 
 /// What a host answers when another asks whether its revision is the newest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Vouch {
+pub struct FreshnessVote {
     /// The newest revision that it knows; 0 when it knows none.
     pub known: Revision,
     /// Whether it has shown freshness since it started. Before that its
     /// ignorance of a newer revision means nothing.
-    pub vouches: bool,
+    #[serde(rename = "vouches")]
+    pub confirmed: bool,
     /// The newest revision that it knows to have been told to majorities.
-    pub told: Revision,
+    #[serde(rename = "told")]
+    pub propagated: Revision,
     /// Hosts that it has not heard for long.
-    pub silent: Vec<HostId>,
+    #[serde(rename = "silent")]
+    pub unreachable: Vec<HostId>,
 }
 
 /// What a round of questions showed.
@@ -45,7 +48,7 @@
     /// No revision newer than the asker's was accepted before the round began.
     pub newest: bool,
     /// The asker's revision is known to majorities of its roster and of the one before.
-    pub told: bool,
+    pub propagated: bool,
     /// A host that knows a newer revision, and that revision.
     pub newer: Option<(HostId, Revision)>,
     /// Hosts of the roster that know the asker's revision or a newer one.
@@ -65,26 +68,26 @@
     roster: &[HostId],
     before: &[HostId],
     dead: &[HostId],
-    answers: &[(HostId, Vouch)],
+    answers: &[(HostId, FreshnessVote)],
 ) -> Tally {
-    let answer = |host: &HostId| answers.iter().find(|(id, _)| id == host).map(|(_, vouch)| vouch);
-    let knows = |host: &&HostId| answer(host).is_some_and(|vouch| vouch.known >= known);
-    let vouches = |host: &&HostId| answer(host).is_some_and(|vouch| vouch.vouches);
+    let answer = |host: &HostId| answers.iter().find(|(id, _)| id == host).map(|(_, vote)| vote);
+    let knows = |host: &&HostId| answer(host).is_some_and(|vote| vote.known >= known);
+    let confirmed = |host: &&HostId| answer(host).is_some_and(|vote| vote.confirmed);
     let alive = |hosts: &[HostId]| -> Vec<HostId> {
         hosts.iter().filter(|host| !dead.contains(host)).cloned().collect()
     };
-    let newer = answers.iter().filter(|(_, vouch)| vouch.known > known);
-    let newer = newer.max_by_key(|(_, vouch)| vouch.known);
+    let newer = answers.iter().filter(|(_, vote)| vote.known > known);
+    let newer = newer.max_by_key(|(_, vote)| vote.known);
     Tally {
-        newest: !roster.is_empty() && newer.is_none() && holds(roster, vouches),
-        told: holds(&alive(roster), knows) && holds(&alive(before), knows),
-        newer: newer.map(|(host, vouch)| (host.clone(), vouch.known)),
+        newest: !roster.is_empty() && newer.is_none() && has_majority(roster, confirmed),
+        propagated: has_majority(&alive(roster), knows) && has_majority(&alive(before), knows),
+        newer: newer.map(|(host, vote)| (host.clone(), vote.known)),
         in_force: roster.iter().filter(knows).cloned().collect(),
     }
 }
 
 /// Whether a majority of the hosts passes; of none, yes.
-pub fn holds<'a>(hosts: &'a [HostId], passes: impl Fn(&&'a HostId) -> bool) -> bool {
+pub fn has_majority<'a>(hosts: &'a [HostId], passes: impl Fn(&&'a HostId) -> bool) -> bool {
     hosts.is_empty() || hosts.iter().filter(passes).count() >= leadership::majority(hosts.len())
 }
 
@@ -103,21 +106,21 @@
     ///
     /// What was shown before stays shown: where nothing newer than the old
     /// revision had been accepted, nothing newer than the new one had.
-    pub fn learn(&mut self, revision: Revision) {
+    pub fn raise(&mut self, revision: Revision) {
         self.known = self.known.max(revision);
     }
 
     /// Notes that nothing newer than `newest` had been accepted at `asked`.
     ///
     /// Does nothing when a newer revision than the one known here may exist.
-    pub fn show(&mut self, newest: Revision, asked: Instant) {
+    pub fn confirm(&mut self, newest: Revision, asked: Instant) {
         if newest <= self.known {
             self.shown = self.shown.max(Some(asked));
         }
     }
 
     /// Whether this host may vouch for others.
-    pub fn vouches(&self) -> bool {
+    pub fn may_vote(&self) -> bool {
         self.shown.is_some()
     }
 
@@ -161,7 +164,7 @@
 
 /// What a host knows of its configuration.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
+pub struct ConfigState {
     /// How long ago it was the newest for certain; none before the first.
     pub age: Option<Duration>,
     /// Whether another host has a newer one.
@@ -170,7 +173,7 @@
     pub majority: bool,
 }
 
-impl Standing {
+impl ConfigState {
     /// Whether the host may serve by its configuration.
     ///
     /// Guards against a host that knows of a newer one and cannot get hold of it: it would
@@ -201,7 +204,7 @@
 
 /// How often a host looks for a new configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Pace {
+pub struct PollIntervals {
     /// How long the store is asked to wait for one.
     pub wait: Duration,
     /// How old the known one may be before other hosts are asked.
@@ -210,10 +213,10 @@
     pub read: Duration,
 }
 
-impl Pace {
+impl PollIntervals {
     /// The pace that has a configuration in force within `bound`: as seldom as
     /// that allows, since each call of the store is charged for.
-    pub fn within(bound: Duration) -> Self {
+    pub fn for_bound(bound: Duration) -> Self {
         let part = |part| bound.mul_f64(part);
         Self { wait: part(WAIT_PART), ask: part(ASK_PART), read: part(READ_PART) }
     }
--- a/components/coordination/src/holders.rs
+++ b/components/coordination/src/holders.rs
@@ -29,7 +29,7 @@
 const MOST: usize = 2;
 
 /// The hosts among which the holders of servers in `domain` are, strongest last.
-pub fn strongest(view: &View, domain: &FailureDomain) -> Vec<HostId> {
+pub fn eligible(view: &View, domain: &FailureDomain) -> Vec<HostId> {
     let there = || view.members.iter().filter(|(_, member)| member.value.left.is_none());
     let near = there().filter(|(_, member)| member.value.domain == *domain);
     let mut hosts: Vec<_> = near.map(|(id, member)| (member.value.power, id)).collect();
@@ -44,8 +44,8 @@
 }
 
 /// The hosts of these that hold the connections to a server, best first.
-pub fn order(strongest: &[HostId], server: &str) -> Vec<HostId> {
-    rendezvous::order(server, strongest).into_iter().take(MOST).cloned().collect()
+pub fn order(eligible: &[HostId], server: &str) -> Vec<HostId> {
+    rendezvous::order(server, eligible).into_iter().take(MOST).cloned().collect()
 }
 
 /// Tells views apart from which other holders may follow.
--- a/components/coordination/src/homes.rs
+++ b/components/coordination/src/homes.rs
@@ -19,7 +19,7 @@
     }
 
     /// Whether requests may run in any region.
-    pub fn is_anywhere(&self) -> bool {
+    pub fn is_unrestricted(&self) -> bool {
         self.0.is_none()
     }
 
--- a/components/coordination/src/hubs.rs
+++ b/components/coordination/src/hubs.rs
@@ -19,7 +19,7 @@
 
 /// Up to how many hosts all speak to each other. At this size that costs a host
 /// 40 short messages a second.
-pub const MESH_UP_TO: usize = 16;
+pub const MAX_MESH_SIZE: usize = 16;
 
 /// Hosts of a failure domain that may be its hub. With three of them up to two
 /// may be lost at once before its hosts stand alone for a moment.
@@ -37,7 +37,7 @@
     pub candidates: Vec<HostId>,
     /// Hosts that may be the hubs of other failure domains, for when no candidate of the
     /// own one is reached.
-    pub elsewhere: Vec<HostId>,
+    pub remote_hubs: Vec<HostId>,
     /// Whether all hosts speak to each other.
     pub mesh: bool,
 }
@@ -80,9 +80,9 @@
     let members = view.members.iter();
     let there = members.filter(|(_, member)| member.value.left.is_none());
     let mut candidates = order(view, domain);
-    if there.clone().count() <= MESH_UP_TO {
+    if there.clone().count() <= MAX_MESH_SIZE {
         let links = there.map(|(id, _)| id).filter(|id| *id != me).cloned().collect();
-        return Neighbours { links, candidates, elsewhere: Vec::new(), mesh: true };
+        return Neighbours { links, candidates, remote_hubs: Vec::new(), mesh: true };
     }
     candidates.truncate(CANDIDATES);
     let mut links = candidates.clone();
@@ -92,8 +92,8 @@
         }
     }
     links.retain(|id| id != me);
-    let elsewhere = hubs_elsewhere(view, domain);
-    Neighbours { links, candidates, elsewhere, mesh: false }
+    let remote_hubs = hubs_elsewhere(view, domain);
+    Neighbours { links, candidates, remote_hubs, mesh: false }
 }
 
 /// The failure domains of the fleet.
--- a/components/coordination/src/leadership.rs
+++ b/components/coordination/src/leadership.rs
@@ -123,7 +123,7 @@
 /// How long connections must have been refused before the server counts as gone.
 ///
 /// A process that ends refuses at once, so this is quicker evidence than silence.
-pub const REFUSED_FOR: Duration = Duration::from_millis(150);
+pub const REFUSAL_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// A look that comes later than this after the one before means that the
 /// observer itself stood still.
@@ -131,13 +131,13 @@
 
 /// What an observer has seen of one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sight {
+pub struct Observation {
     /// What the server last said, however long ago.
     pub status: Option<Status>,
     /// When it was last heard of.
-    pub heard: Option<Instant>,
+    pub last_seen: Option<Instant>,
     /// Since when it refuses connections.
-    pub refused: Option<Instant>,
+    pub refused_since: Option<Instant>,
 }
 
 /// Why a group needs another primary.
@@ -171,9 +171,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// A primary leads.
-    Led,
+    Healthy,
     /// Something is wrong, but not for long enough.
-    Doubted,
+    Suspected,
     /// Another primary is needed.
     Promote(Cause),
     /// Too few servers are reachable for a primary to be trusted.
@@ -185,9 +185,9 @@
 /// It only ever makes a promotion start early or late: whether one is safe is
 /// decided by the promises of the servers.
 #[derive(Clone, Debug)]
-pub struct Detector {
+pub struct FailureDetector {
     /// How long a silent server counts as there.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// When the observer last looked.
     looked: Instant,
     /// Silence is counted from here on: the observer itself stood still before.
@@ -199,14 +199,14 @@
     behind: Option<(Point, Instant)>,
 }
 
-impl Detector {
+impl FailureDetector {
     /// A detector that has seen nothing yet.
-    pub fn new(silence: Duration, now: Instant) -> Self {
-        Self { silence, looked: now, from: now, newest: (Term(0), now), behind: None }
+    pub fn new(silence_timeout: Duration, now: Instant) -> Self {
+        Self { silence_timeout, looked: now, from: now, newest: (Term(0), now), behind: None }
     }
 
     /// Judges what is seen now; to be called every few tens of milliseconds.
-    pub fn look(&mut self, now: Instant, sights: &[Sight]) -> Verdict {
+    pub fn observe(&mut self, now: Instant, sights: &[Observation]) -> Verdict {
         // Guards against the observer's own pause: after it every server seems
         // to have been silent, and a healthy primary would be replaced.
         if now.saturating_duration_since(self.looked) > PAUSE {
@@ -221,68 +221,80 @@
         let verdict = self.judge(now, newest, sights);
         let there = sights.iter().filter(|s| self.is_there(now, s)).count();
         match verdict {
-            Verdict::Doubted => verdict,
+            Verdict::Suspected => verdict,
             _ if there >= majority(sights.len()) => verdict,
-            _ if self.passed(now, None) <= self.silence => Verdict::Doubted,
+            _ if self.passed(now, None) <= self.silence_timeout => Verdict::Suspected,
             _ => Verdict::NoMajority,
         }
     }
 
     /// Since when the replicas have received none of what the primary holds more.
-    pub fn behind_since(&self) -> Option<Instant> {
+    pub fn stalled_since(&self) -> Option<Instant> {
         self.behind.map(|(_, since)| since)
     }
 
     /// Notes that the observer was at work until `now` and did not stand still.
-    pub fn worked(&mut self, now: Instant) {
+    pub fn mark_active(&mut self, now: Instant) {
         self.looked = now;
     }
 
-    fn judge(&mut self, now: Instant, newest: Term, sights: &[Sight]) -> Verdict {
-        let leads = |s: &&Sight| s.status.is_some_and(|s| s.leads() && s.term == newest);
+    fn judge(&mut self, now: Instant, newest: Term, sights: &[Observation]) -> Verdict {
+        let leads = |s: &&Observation| s.status.is_some_and(|s| s.leads() && s.term == newest);
         let Some(leader) = sights.iter().find(leads) else {
             // Another observer may be at it: a new term gets its time first.
-            return after(self.silence, self.passed(now, Some(self.newest.1)), Cause::Leaderless);
+            return after(
+                self.silence_timeout,
+                self.passed(now, Some(self.newest.1)),
+                Cause::Leaderless,
+            );
         };
-        if leader.refused.is_some_and(|since| now.saturating_duration_since(since) > REFUSED_FOR) {
+        if leader
+            .refused_since
+            .is_some_and(|since| now.saturating_duration_since(since) > REFUSAL_TIMEOUT)
+        {
             return Verdict::Promote(Cause::Refused);
         }
         if !self.is_there(now, leader) {
-            return after(self.silence, self.passed(now, leader.heard), Cause::Silent);
+            return after(self.silence_timeout, self.passed(now, leader.last_seen), Cause::Silent);
         }
         self.judge_replicas(now, leader, sights)
     }
 
     /// A primary that answers its observers but has lost its replicas can have
     /// no write confirmed: callers would wait in vain until the link is mended.
-    fn judge_replicas(&mut self, now: Instant, leader: &Sight, sights: &[Sight]) -> Verdict {
-        let Some(status) = leader.status else { return Verdict::Doubted };
+    fn judge_replicas(
+        &mut self,
+        now: Instant,
+        leader: &Observation,
+        sights: &[Observation],
+    ) -> Verdict {
+        let Some(status) = leader.status else { return Verdict::Suspected };
         let others = sights.iter().filter(|s| !std::ptr::eq(*s, leader) && self.is_there(now, s));
         let held: Vec<Point> = others.filter_map(|s| Some(s.status?.held)).collect();
         let best = held.iter().max().copied().unwrap_or_default();
         if best >= status.held || held.len() < majority(sights.len()) {
             self.behind = None;
-            return Verdict::Led;
+            return Verdict::Healthy;
         }
         match self.behind {
             Some((point, since)) if point == best => {
                 let passed = now.saturating_duration_since(since);
-                match after(self.silence, passed, Cause::Unconfirmed) {
-                    Verdict::Doubted => Verdict::Led,
+                match after(self.silence_timeout, passed, Cause::Unconfirmed) {
+                    Verdict::Suspected => Verdict::Healthy,
                     verdict => verdict,
                 }
             }
             _ => {
                 self.behind = Some((best, now));
-                Verdict::Led
+                Verdict::Healthy
             }
         }
     }
 
-    fn is_there(&self, now: Instant, sight: &Sight) -> bool {
-        sight.refused.is_none()
-            && sight.heard.is_some()
-            && self.passed(now, sight.heard) <= self.silence
+    fn is_there(&self, now: Instant, sight: &Observation) -> bool {
+        sight.refused_since.is_none()
+            && sight.last_seen.is_some()
+            && self.passed(now, sight.last_seen) <= self.silence_timeout
     }
 
     /// The time since `at`, without that in which the observer stood still.
@@ -292,12 +304,12 @@
 }
 
 fn after(limit: Duration, passed: Duration, cause: Cause) -> Verdict {
-    if passed > limit { Verdict::Promote(cause) } else { Verdict::Doubted }
+    if passed > limit { Verdict::Promote(cause) } else { Verdict::Suspected }
 }
 
 /// How long to wait after `failures` failed promotions in a row; `chance` is
 /// a random number from 0 to 1, so that two promoters do not meet again.
-pub fn back_off(failures: u32, chance: f64) -> Duration {
+pub fn backoff(failures: u32, chance: f64) -> Duration {
     const LEAST_MS: f64 = 40.0;
     const MOST_MS: f64 = 1_000.0;
     let most = (LEAST_MS * 2_f64.powi(failures.min(8) as i32)).min(MOST_MS);
--- a/components/coordination/src/process.rs
+++ b/components/coordination/src/process.rs
@@ -26,6 +26,6 @@
 }
 
 /// Whether a number may be one of the host's.
-pub fn is_of(number: i32, host: &HostId) -> bool {
+pub fn belongs_to(number: i32, host: &HostId) -> bool {
     number >= 0 && number as u32 >> COUNT_BITS == mark(host)
 }
--- a/components/coordination/src/retry.rs
+++ b/components/coordination/src/retry.rs
@@ -21,12 +21,12 @@
     }
 
     /// Notes a request.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.saved = (self.saved + self.share).min(self.reserve);
     }
 
     /// Takes one retry; false when the budget is used up.
-    pub fn spend(&mut self) -> bool {
+    pub fn withdraw(&mut self) -> bool {
         let allowed = self.saved >= 1.0;
         if allowed {
             self.saved -= 1.0;
--- a/components/coordination/src/silence.rs
+++ b/components/coordination/src/silence.rs
@@ -4,7 +4,7 @@
 
 /// The answers that a server owes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Watch {
+pub struct AnswerTracker {
     /// Requests sent and not answered.
     running: usize,
     /// When the server last answered while something ran there, or when the first of what
@@ -14,7 +14,7 @@
     answered: Option<Instant>,
 }
 
-impl Watch {
+impl AnswerTracker {
     /// A request is sent.
     pub fn begin(&mut self, now: Instant) {
         self.running += 1;
--- a/components/coordination/src/suspicion.rs
+++ b/components/coordination/src/suspicion.rs
@@ -12,11 +12,11 @@
 
 /// How long a leader with work to do may be silent before it is asked how it
 /// stands. Ten times the mean statement, and above stalls of 300 ms.
-pub const SILENT_AFTER: Duration = Duration::from_millis(400);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long a leader is left to the host that holds its connections, which asks it first
 /// and has it replaced.
-pub const LEFT_TO_HOLDER: Duration = Duration::from_millis(1200);
+pub const HOLDER_GRACE: Duration = Duration::from_millis(1200);
 
 /// Hosts that ask a silent leader at the same time.
 const PROBERS: usize = 5;
@@ -29,25 +29,25 @@
 ///
 /// Guards against hundreds of hosts that each open connections to all servers of a group at
 /// once, or write to the same row of the store.
-pub fn turn(rank: usize) -> Duration {
+pub fn stagger_delay(rank: usize) -> Duration {
     let (step, most) = PROBE_LATER;
     step.saturating_mul((rank / PROBERS) as u32).min(most)
 }
 
 /// How long a leader that does not answer that question either is given.
-pub const PROBE_WITHIN: Duration = Duration::from_millis(400);
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long the replicas of a silent leader must not receive anything. Groups
 /// commit every few tens of milliseconds; stalls of 300 ms must not count.
-pub const STILL_FOR: Duration = Duration::from_millis(350);
+pub const REPLICA_STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// How long a leader must be out of reach, though its replicas receive, before
 /// this host has it replaced. Cuts of some hosts last 5 to 7 s; a replacement
 /// costs all hosts a second.
-pub const CUT_FOR: Duration = Duration::from_secs(30);
+pub const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long refusals must last: a server that starts again at once is not replaced.
-pub const REFUSED_FOR: Duration = Duration::from_millis(60);
+pub const REFUSAL_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// What is known against a leader.
 #[derive(Clone, Debug, Default)]
@@ -78,7 +78,7 @@
     }
 
     /// Another host asks it: what this one knows of its silence grows old meanwhile.
-    pub fn left_to_another(&mut self) {
+    pub fn reset_silence(&mut self) {
         (self.dark, self.received) = (None, None);
     }
 
@@ -103,16 +103,18 @@
     /// What to do now.
     pub fn advice(&self, now: Instant) -> Advice {
         let for_long = |since: Instant, limit| now.saturating_duration_since(since) >= limit;
-        if self.refused.is_some_and(|since| for_long(since, REFUSED_FOR)) {
+        if self.refused.is_some_and(|since| for_long(since, REFUSAL_TIMEOUT)) {
             return Advice::Replace;
         }
         let Some(dark) = self.dark else { return Advice::Keep };
-        if for_long(dark, CUT_FOR) {
+        if for_long(dark, UNREACHABLE_TIMEOUT) {
             return Advice::Replace;
         }
         match self.received {
             // One answer alone does not show that nothing came after it.
-            Some((_, since, last)) if last.saturating_duration_since(since) >= STILL_FOR => {
+            Some((_, since, last))
+                if last.saturating_duration_since(since) >= REPLICA_STALL_TIMEOUT =>
+            {
                 Advice::Replace
             }
             _ => Advice::AskReplicas,
--- a/components/coordination/src/view.rs
+++ b/components/coordination/src/view.rs
@@ -1,11 +1,11 @@
 //! Who is of the fleet and who leads each group, as of one moment.
 //!
 //! The view is a table of the platform's store. A host uses the leader of a
-//! group only while it holds a *lease*: it can show that at most [`LEASE`] ago
+//! group only while it holds a *lease*: it can show that at most [`LEASE_TTL`] ago
 //! the view named that leader and counted the host in. A change of leader is
 //! written as an intent first; from then on no host can get a new lease on the
 //! old leader, and it is over when every host has given its lease back or
-//! [`LEASE`] has passed. Only then may another server be promoted.
+//! [`LEASE_TTL`] has passed. Only then may another server be promoted.
 //!
 //! Why this holds though clocks are only steady, not equal: a host counts its
 //! lease from a local time that lies *before* the store answered, and the one
@@ -23,7 +23,7 @@
 
 use crate::{
     FailureDomain, GroupId, HostId, ServerId, Term,
-    changes::{Changes, Gone},
+    changes::{Changes, RemovedHosts},
     duty::Duty,
     succession::Terms,
 };
@@ -33,9 +33,9 @@
 /// Long enough to bridge the store's usual outages of 4 to 6 s with a second to
 /// spare, so that callers do not notice them. The price is paid only when a
 /// host is silent while a leader is replaced: all wait this long for it.
-pub const LEASE: Duration = Duration::from_millis(7500);
+pub const LEASE_TTL: Duration = Duration::from_millis(7500);
 
-/// What is added to [`LEASE`] by the one who waits for it to end: drift of two
+/// What is added to [`LEASE_TTL`] by the one who waits for it to end: drift of two
 /// clocks over the lease and the time from a check to the send that it allows.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(250);
 
@@ -65,7 +65,7 @@
 impl Member {
     /// Whether no lease of it can be left at that time of the store's clock.
     pub fn is_over(&self, clock: Duration) -> bool {
-        self.left.is_some_and(|left| clock >= left + LEASE + LEASE_MARGIN)
+        self.left.is_some_and(|left| clock >= left + LEASE_TTL + LEASE_MARGIN)
     }
 }
 
@@ -87,7 +87,7 @@
         /// The host that makes the change.
         holder: HostId,
         /// The store's clock when it took up the change; its right to make it
-        /// ends [`TURN`] later.
+        /// ends [`FAILOVER_TTL`] later.
         since: Duration,
         /// Whether the leader leaves as planned and still serves.
         planned: bool,
@@ -99,10 +99,10 @@
 
 /// How long a host may make a change of leader before another may take it over.
 /// A change takes the lease, a promotion of a second and the waits between.
-pub const TURN: Duration = Duration::from_millis(11_500);
+pub const FAILOVER_TTL: Duration = Duration::from_millis(11_500);
 
-/// What is added to [`TURN`] by the one who takes over, for clocks that differ.
-pub const TURN_MARGIN: Duration = Duration::from_millis(1500);
+/// What is added to [`FAILOVER_TTL`] by the one who takes over, for clocks that differ.
+pub const FAILOVER_MARGIN: Duration = Duration::from_millis(1500);
 
 /// A row of the view.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -173,22 +173,29 @@
 
 /// The newest view that a host knows, and since when it may act on it.
 #[derive(Debug)]
-pub struct Held {
+pub struct LocalView {
     me: HostId,
     /// Where this host stands, as in its row.
     place: u64,
     view: View,
     /// The view's stamp.
     stamp: u64,
-    gone: Gone,
+    gone: RemovedHosts,
     /// A local time no later than the view's moment.
     shown: Option<Instant>,
 }
 
-impl Held {
+impl LocalView {
     /// Nothing is known yet.
     pub fn new(me: HostId, place: u64) -> Self {
-        Self { me, place, view: View::default(), stamp: 0, gone: Gone::default(), shown: None }
+        Self {
+            me,
+            place,
+            view: View::default(),
+            stamp: 0,
+            gone: RemovedHosts::default(),
+            shown: None,
+        }
     }
 
     /// The view.
@@ -199,7 +206,7 @@
     /// Takes a view that was the newest at the local time `asked` or later;
     /// false when a newer one is known.
     ///
-    /// Rows taken by [`Held::take`] that are newer than the view stay: a host that
+    /// Rows taken by [`LocalView::take`] that are newer than the view stay: a host that
     /// has given its lease on a leader back must not fall back to an older row.
     pub fn learn(&mut self, mut view: View, asked: Instant) -> bool {
         if view.version < self.view.version {
@@ -257,7 +264,7 @@
 
     /// A local time until which this host may use the leaders of the view.
     pub fn until(&self) -> Option<Instant> {
-        self.shown.map(|shown| shown + LEASE)
+        self.shown.map(|shown| shown + LEASE_TTL)
     }
 
     /// Whether this host is counted in.
@@ -276,7 +283,7 @@
     /// One that is not counted in may not: whoever changes a leader would not
     /// wait for it.
     pub fn leased(&self, now: Instant) -> bool {
-        self.is_member() && self.age(now).is_some_and(|age| age < LEASE)
+        self.is_member() && self.age(now).is_some_and(|age| age < LEASE_TTL)
     }
 
     /// Who leads a group, by the view.
@@ -287,13 +294,13 @@
 
 /// The wait for all leases on a former leader to end.
 #[derive(Debug)]
-pub struct Release {
+pub struct LeaseRelease {
     /// When the last lease has run out, whatever the hosts do.
     pub over: Instant,
     waiting: Vec<HostId>,
 }
 
-impl Release {
+impl LeaseRelease {
     /// Begins at `now`, after the store took the intent; waits for all members
     /// of a view that is as new as the intent.
     pub fn new(view: &View, me: &HostId, now: Instant) -> Self {
@@ -302,7 +309,7 @@
             .filter(|(host, member)| *host != me && !member.value.is_over(view.clock))
             .map(|(host, _)| host.clone())
             .collect();
-        Self { over: now + LEASE + LEASE_MARGIN, waiting }
+        Self { over: now + LEASE_TTL + LEASE_MARGIN, waiting }
     }
 
     /// Hosts that may still hold a lease.
@@ -311,7 +318,7 @@
     }
 
     /// Notes that a host holds none any more: it said so, or it runs no more.
-    pub fn gave_back(&mut self, host: &HostId) {
+    pub fn returned(&mut self, host: &HostId) {
         self.waiting.retain(|other| other != host);
     }
 
--- a/components/coordination/tests/ages.rs
+++ b/components/coordination/tests/ages.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     Point, Term,
-    ages::{Ages, Observed},
+    ages::{Observed, PositionHistory},
     leadership::{Role, Status},
 };
 
@@ -26,7 +26,7 @@
 #[test]
 fn the_age_is_that_of_the_newest_point_shown() {
     let start = Instant::now();
-    let mut ages = Ages::default();
+    let mut ages = PositionHistory::default();
     for i in 0..10 {
         let at = start + i * 100 * MS;
         ages.note(primary(1, u64::from(i) * 10, at), &[replica(1, 1, at)]);
@@ -44,7 +44,7 @@
 #[test]
 fn a_replaced_primary_proves_no_age() {
     let start = Instant::now();
-    let mut ages = Ages::default();
+    let mut ages = PositionHistory::default();
     ages.note(primary(1, 10, start), &[replica(1, 1, start)]);
     let later = start + 5000 * MS;
     ages.note(primary(1, 10, later), &[replica(1, 2, later)]);
@@ -55,7 +55,7 @@
 #[test]
 fn a_stale_log_that_runs_further_is_not_fresh() {
     let start = Instant::now();
-    let mut ages = Ages::default();
+    let mut ages = PositionHistory::default();
     ages.note(primary(1, 10, start), &[replica(1, 1, start)]);
     let later = start + 1000 * MS;
     ages.note(primary(2, 11, later), &[replica(2, 2, later)]);
@@ -68,7 +68,7 @@
 #[test]
 fn samples_of_other_hosts_are_put_in_order() {
     let start = Instant::now();
-    let mut ages = Ages::default();
+    let mut ages = PositionHistory::default();
     ages.note_point(start + 900 * MS, Point::new(1, 90));
     ages.note_point(start + 300 * MS, Point::new(1, 30));
     ages.note_point(start + 600 * MS, Point::new(1, 60));
--- a/components/coordination/tests/changes.rs
+++ b/components/coordination/tests/changes.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     GroupId, HostId, Term,
-    view::{Held, Leadership, Member, Versioned, View},
+    view::{Leadership, LocalView, Member, Versioned, View},
 };
 
 const HOSTS: u64 = 300;
@@ -56,8 +56,8 @@
     }
 }
 
-fn holding(view: View) -> Held {
-    let mut held = Held::new(host(1), 1);
+fn holding(view: View) -> LocalView {
+    let mut held = LocalView::new(host(1), 1);
     assert!(held.learn(view, Instant::now()));
     held
 }
@@ -73,7 +73,7 @@
     hub.learn(after.clone(), Instant::now());
     let changes = hub.changes(old.view().version);
     assert_eq!((changes.view.members.len(), changes.view.groups.len()), (0, 1));
-    let made = changes.onto(old.view()).unwrap();
+    let made = changes.apply_to(old.view()).unwrap();
     assert_eq!(made, after);
 }
 
@@ -87,7 +87,7 @@
     after.members.remove(&host(7));
     after.members.insert(host(400), member(after.version));
     hub.learn(after.clone(), Instant::now());
-    assert_eq!(hub.changes(old.view().version).onto(old.view()).unwrap(), after);
+    assert_eq!(hub.changes(old.view().version).apply_to(old.view()).unwrap(), after);
 }
 
 /// A hub has just started and does not know who went before. Who knows an older
@@ -101,7 +101,7 @@
     let hub = holding(newer.clone());
     let changes = hub.changes(old.version);
     assert_eq!(changes.view.members.len(), HOSTS as usize);
-    assert_eq!(changes.onto(&old).unwrap(), newer);
+    assert_eq!(changes.apply_to(&old).unwrap(), newer);
 }
 
 /// The asker's rows are not those that the teller thinks it has. Made from them the
@@ -115,7 +115,7 @@
     hub.learn(after, Instant::now());
     let mut other = whole();
     other.members.insert(host(900), member(3));
-    assert!(hub.changes(other.version).onto(&other).is_none());
+    assert!(hub.changes(other.version).apply_to(&other).is_none());
 }
 
 /// A host gave its lease back when it was told of an intent, and then heard an older
--- a/components/coordination/tests/choice.rs
+++ b/components/coordination/tests/choice.rs
@@ -12,8 +12,8 @@
 fn candidate(health: &Health) -> Candidate<'_> {
     Candidate {
         health,
-        near: true,
-        warm: true,
+        same_domain: true,
+        connected: true,
         leads: false,
         cold: false,
         slots: 5,
@@ -94,7 +94,7 @@
     assert!(!health.lacks(need, now + 1100 * MS));
     health.behind(need, Some(100 * MS), now);
     assert!(health.lacks(need, now + 90 * MS) && !health.lacks(need, now + 110 * MS));
-    health.caught_up();
+    health.clear_lag();
     assert!(!health.lacks(need, now));
 }
 
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -29,7 +29,7 @@
 #[test]
 fn a_window_holds_no_more_than_the_part() {
     let began = Instant::now();
-    let mut warmth = cold::Warmth::new(began);
+    let mut warmth = cold::WarmUp::new(began);
     assert_eq!(warmth.take(4, began), Err(cold::WINDOW));
     let mut taken = Vec::new();
     for ms in (0..5000).step_by(7) {
@@ -51,7 +51,7 @@
 fn a_server_that_may_have_started_again_counts_as_cold() {
     let now = Instant::now();
     let at = |secs| now + Duration::from_secs(secs);
-    let mut warmth = cold::Warmth::new(now);
+    let mut warmth = cold::WarmUp::new(now);
     warmth.refused(None, now);
     warmth.lost(None, now);
     assert!(!warmth.is_cold(now), "where no limit is stated none is cold");
--- a/components/coordination/tests/confirm.rs
+++ b/components/coordination/tests/confirm.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     Point, ServerId,
-    confirm::{CONFIRM_WITHIN, Confirm, Heard, STUCK_FOR, Verdict},
+    confirm::{CONFIRM_TIMEOUT, ProbeResult, ReplicaProgress, STALL_TIMEOUT, Verdict},
 };
 
 fn replicas() -> [ServerId; 2] {
@@ -24,14 +24,14 @@
 #[test]
 fn one_answer_confirms_all_that_it_covers() {
     let (now, [near, _]) = (Instant::now(), replicas());
-    let mut confirm = Confirm::default();
-    assert_eq!(confirm.verdict(point("3/7"), &replicas(), now, now), Verdict::Wait);
-    confirm.hear(&near, Heard::Received(point("3/9")), now + ms(3));
+    let mut confirm = ReplicaProgress::default();
+    assert_eq!(confirm.verdict(point("3/7"), &replicas(), now, now), Verdict::Pending);
+    confirm.record(&near, ProbeResult::Received(point("3/9")), now + ms(3));
     for commit in ["3/7", "3/8", "3/9"] {
         let verdict = confirm.verdict(point(commit), &replicas(), now, now + ms(3));
-        assert_eq!(verdict, Verdict::Held);
+        assert_eq!(verdict, Verdict::Confirmed);
     }
-    assert_eq!(confirm.verdict(point("3/10"), &replicas(), now, now + ms(3)), Verdict::Wait);
+    assert_eq!(confirm.verdict(point("3/10"), &replicas(), now, now + ms(3)), Verdict::Pending);
 }
 
 /// A leader is cut off from its replicas and acknowledges for 7 s. Callers were told
@@ -40,21 +40,22 @@
 #[test]
 fn a_leader_that_is_cut_off_from_its_replicas_acknowledges_nothing() {
     let (start, ids) = (Instant::now(), replicas());
-    let mut confirm = Confirm::default();
+    let mut confirm = ReplicaProgress::default();
     confirm.note(point("3/9"));
     let led = start - ms(60_000);
-    let late = start + CONFIRM_WITHIN;
-    ids.iter().for_each(|id| confirm.hear(id, Heard::Received(point("3/9")), start + ms(200)));
+    let late = start + CONFIRM_TIMEOUT;
+    ids.iter()
+        .for_each(|id| confirm.record(id, ProbeResult::Received(point("3/9")), start + ms(200)));
     assert_eq!(confirm.verdict(point("3/10"), &ids, start, late), Verdict::Unknown);
-    assert!(confirm.is_stuck());
-    assert!(!confirm.is_cut(led, late), "a stall of 300 ms replaces no leader");
-    let then = late + STUCK_FOR;
-    assert!(!confirm.is_cut(led, then + ms(500)), "nobody has asked the replicas since");
-    confirm.hear(&ids[0], Heard::Received(point("3/9")), then);
-    assert!(confirm.is_cut(led, then));
-    assert!(!confirm.is_cut(then - ms(5000), then), "another leader would do no better");
-    confirm.hear(&ids[0], Heard::Received(point("3/10")), then);
-    assert!(!confirm.is_stuck(), "they receive again");
+    assert!(confirm.is_stalled());
+    assert!(!confirm.is_partitioned(led, late), "a stall of 300 ms replaces no leader");
+    let then = late + STALL_TIMEOUT;
+    assert!(!confirm.is_partitioned(led, then + ms(500)), "nobody has asked the replicas since");
+    confirm.record(&ids[0], ProbeResult::Received(point("3/9")), then);
+    assert!(confirm.is_partitioned(led, then));
+    assert!(!confirm.is_partitioned(then - ms(5000), then), "another leader would do no better");
+    confirm.record(&ids[0], ProbeResult::Received(point("3/10")), then);
+    assert!(!confirm.is_stalled(), "they receive again");
 }
 
 /// Both replicas of a group crash. No other server could lead, so refusing all
@@ -62,13 +63,13 @@
 #[test]
 fn without_replicas_the_leaders_word_counts() {
     let (start, ids) = (Instant::now(), replicas());
-    let mut confirm = Confirm::default();
-    ids.iter().for_each(|id| confirm.hear(id, Heard::Dead, start));
-    assert_eq!(confirm.verdict(point("3/10"), &ids, start, start), Verdict::Alone);
-    assert_eq!(confirm.verdict(point("3/10"), &[], start, start), Verdict::Alone);
-    let one_dark = [Heard::Dead, Heard::Silent];
-    ids.iter().zip(one_dark).for_each(|(id, heard)| confirm.hear(id, heard, start));
-    let late = start + CONFIRM_WITHIN;
+    let mut confirm = ReplicaProgress::default();
+    ids.iter().for_each(|id| confirm.record(id, ProbeResult::Dead, start));
+    assert_eq!(confirm.verdict(point("3/10"), &ids, start, start), Verdict::LeaderOnly);
+    assert_eq!(confirm.verdict(point("3/10"), &[], start, start), Verdict::LeaderOnly);
+    let one_dark = [ProbeResult::Dead, ProbeResult::Silent];
+    ids.iter().zip(one_dark).for_each(|(id, heard)| confirm.record(id, heard, start));
+    let late = start + CONFIRM_TIMEOUT;
     assert_eq!(confirm.verdict(point("3/10"), &ids, start, late), Verdict::Unknown);
 }
 
@@ -77,19 +78,19 @@
 #[test]
 fn busy_replicas_do_not_make_a_commit_uncertain() {
     let (start, ids) = (Instant::now(), replicas());
-    let mut confirm = Confirm::default();
-    ids.iter().for_each(|id| confirm.hear(id, Heard::Busy, start + ms(50)));
-    assert_eq!(confirm.verdict(point("3/10"), &ids, start, start + ms(60)), Verdict::Wait);
-    let late = start + CONFIRM_WITHIN;
-    assert_eq!(confirm.verdict(point("3/10"), &ids, start, late), Verdict::Alone);
-    assert!(!confirm.is_stuck());
+    let mut confirm = ReplicaProgress::default();
+    ids.iter().for_each(|id| confirm.record(id, ProbeResult::Busy, start + ms(50)));
+    assert_eq!(confirm.verdict(point("3/10"), &ids, start, start + ms(60)), Verdict::Pending);
+    let late = start + CONFIRM_TIMEOUT;
+    assert_eq!(confirm.verdict(point("3/10"), &ids, start, late), Verdict::LeaderOnly);
+    assert!(!confirm.is_stalled());
 }
 
 /// A replica has promoted itself past the commit. Its position is further, but the
 /// commit may have been taken back on the way.
 #[test]
 fn a_later_term_confirms_nothing_of_an_earlier_one() {
-    let mut confirm = Confirm::default();
+    let mut confirm = ReplicaProgress::default();
     confirm.note(point("4/30"));
     assert!(!confirm.covers(point("3/10")));
 }
--- a/components/coordination/tests/duty.rs
+++ b/components/coordination/tests/duty.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamottrack_coordination::duty::{CALL_BY, CALL_WITHIN, Duty};
+use bergamottrack_coordination::duty::{CALL_DEADLINE, CALL_TIMEOUT, Duty};
 
 /// Two groups lose their leaders at the same moment, and two hosts replace one
 /// each. The first draws its token, is held up, and calls after the second: the
@@ -22,6 +22,6 @@
 fn a_duty_of_a_silent_holder_is_taken_when_its_call_is_over() {
     let since = Duration::from_secs(100);
     let duty = Duty { holder: "frozen".parse().unwrap(), since, free: false };
-    assert!(!duty.is_free(since + CALL_BY + CALL_WITHIN));
+    assert!(!duty.is_free(since + CALL_DEADLINE + CALL_TIMEOUT));
     assert!(duty.is_free(since + Duration::from_secs(6)));
 }
--- a/components/coordination/tests/evacuation.rs
+++ b/components/coordination/tests/evacuation.rs
@@ -36,7 +36,7 @@
     known.read(&[(domain("a"), Some(2))], false, 2, secs(102));
     let at = |ms| known.placement(&domain("a"), &store, BOUND, now + Duration::from_millis(ms));
     // It may have been evacuated just after the read before, at 100 s.
-    assert_eq!(at(2000), evacuation::Placement::Ending);
+    assert_eq!(at(2000), evacuation::Placement::Draining);
     assert_eq!(at(2600), evacuation::Placement::Forbidden);
     let other = known.placement(&domain("b"), &store, BOUND, now + secs(9));
     assert_eq!(other, evacuation::Placement::Allowed);
@@ -73,7 +73,7 @@
     assert!(names(&known).is_empty());
     known.read(&[(domain("b"), Some(11))], false, 11, secs(105));
     let placement = known.placement(&domain("b"), &store, BOUND, now + secs(5));
-    assert_eq!(placement, evacuation::Placement::Ending);
+    assert_eq!(placement, evacuation::Placement::Draining);
 }
 
 /// Guards against an answer that was under way for long and takes newer knowledge back.
@@ -110,5 +110,5 @@
     };
     assert_eq!((after(&reader), after(&near)), (Some(secs(104)), Some(secs(106))));
     let placement = near.placement(&domain("c"), &store, BOUND, now + secs(7));
-    assert_eq!(placement, evacuation::Placement::Ending);
+    assert_eq!(placement, evacuation::Placement::Draining);
 }
--- a/components/coordination/tests/freshness.rs
+++ b/components/coordination/tests/freshness.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     Clock, Freshness, HostId, ManualClock, Revision,
-    freshness::{self, Bounds, Standing, Vouch},
+    freshness::{self, Bounds, ConfigState, FreshnessVote},
 };
 
 const LIMIT: Duration = Duration::from_secs(3);
@@ -13,12 +13,19 @@
     names.iter().map(|name| name.parse().unwrap()).collect()
 }
 
-fn vouch(known: u64, vouches: bool) -> Vouch {
-    Vouch { known: Revision(known), vouches, told: Revision(0), silent: Vec::new() }
+fn vote(known: u64, confirmed: bool) -> FreshnessVote {
+    FreshnessVote {
+        known: Revision(known),
+        confirmed,
+        propagated: Revision(0),
+        unreachable: Vec::new(),
+    }
 }
 
-fn answers(list: &[(&str, u64, bool)]) -> Vec<(HostId, Vouch)> {
-    list.iter().map(|(id, known, vouches)| (id.parse().unwrap(), vouch(*known, *vouches))).collect()
+fn answers(list: &[(&str, u64, bool)]) -> Vec<(HostId, FreshnessVote)> {
+    list.iter()
+        .map(|(id, known, confirmed)| (id.parse().unwrap(), vote(*known, *confirmed)))
+        .collect()
 }
 
 #[test]
@@ -26,7 +33,7 @@
     let roster = hosts(&["h1", "h2", "h3"]);
     let told = answers(&[("h1", 7, true), ("h2", 7, true)]);
     let tally = freshness::tally(Revision(7), &roster, &roster, &[], &told);
-    assert!(tally.newest && tally.told);
+    assert!(tally.newest && tally.propagated);
     let alone = answers(&[("h1", 7, true)]);
     assert!(!freshness::tally(Revision(7), &roster, &roster, &[], &alone).newest);
 }
@@ -55,7 +62,7 @@
     let roster = hosts(&["h1", "h2", "h3"]);
     let told = answers(&[("h1", 7, true), ("h1", 7, true), ("h9", 7, true)]);
     let tally = freshness::tally(Revision(7), &roster, &roster, &[], &told);
-    assert!(!tally.newest && !tally.told);
+    assert!(!tally.newest && !tally.propagated);
 }
 
 /// The roster moves from h1-h3 to h3-h5. A host of the old one asks the old one
@@ -64,9 +71,9 @@
 fn a_roster_change_is_told_to_both_rosters() {
     let (before, after) = (hosts(&["h1", "h2", "h3"]), hosts(&["h3", "h4", "h5"]));
     let new_only = answers(&[("h3", 8, true), ("h4", 8, true), ("h5", 8, true)]);
-    assert!(!freshness::tally(Revision(8), &after, &before, &[], &new_only).told);
+    assert!(!freshness::tally(Revision(8), &after, &before, &[], &new_only).propagated);
     let both = answers(&[("h3", 8, true), ("h4", 8, true), ("h1", 8, true)]);
-    assert!(freshness::tally(Revision(8), &after, &before, &[], &both).told);
+    assert!(freshness::tally(Revision(8), &after, &before, &[], &both).propagated);
 }
 
 /// Two of three hosts die for good, and the platform says so. The third must be
@@ -77,8 +84,8 @@
     let dead = hosts(&["h2", "h3"]);
     let own = answers(&[("h1", 7, true)]);
     let tally = freshness::tally(Revision(7), &roster, &roster, &dead, &own);
-    assert!(tally.told && !tally.newest);
-    assert!(!freshness::tally(Revision(7), &roster, &roster, &[], &own).told);
+    assert!(tally.propagated && !tally.newest);
+    assert!(!freshness::tally(Revision(7), &roster, &roster, &[], &own).propagated);
 }
 
 #[test]
@@ -90,11 +97,11 @@
 fn freshness_counts_from_the_question_and_runs_out() {
     let clock = ManualClock::new();
     let mut freshness = Freshness::default();
-    freshness.learn(Revision(7));
+    freshness.raise(Revision(7));
     let asked = clock.now();
-    assert!(!freshness.is_fresh(asked, LIMIT) && !freshness.vouches());
+    assert!(!freshness.is_fresh(asked, LIMIT) && !freshness.may_vote());
     clock.advance(Duration::from_secs(2));
-    freshness.show(Revision(7), asked);
+    freshness.confirm(Revision(7), asked);
     assert!(freshness.is_fresh(clock.now(), LIMIT));
     clock.advance(Duration::from_secs(1));
     assert!(!freshness.is_fresh(clock.now(), LIMIT), "a late answer is no younger");
@@ -104,11 +111,11 @@
 fn what_shows_a_newer_revision_does_not_make_an_older_one_fresh() {
     let clock = ManualClock::new();
     let mut freshness = Freshness::default();
-    freshness.learn(Revision(7));
-    freshness.show(Revision(8), clock.now());
+    freshness.raise(Revision(7));
+    freshness.confirm(Revision(8), clock.now());
     assert!(!freshness.is_fresh(clock.now(), LIMIT));
-    freshness.learn(Revision(8));
-    freshness.show(Revision(8), clock.now());
+    freshness.raise(Revision(8));
+    freshness.confirm(Revision(8), clock.now());
     assert!(freshness.is_fresh(clock.now(), LIMIT));
 }
 
@@ -121,8 +128,8 @@
     assert!(aged(7).may_serve(loose));
     assert!(!aged(11).may_serve(loose));
     assert!(!aged(7).may_serve(strict));
-    assert!(Standing { majority: true, ..aged(7) }.may_serve(strict));
-    let nothing = Standing { age: None, majority: true, ..aged(0) };
+    assert!(ConfigState { majority: true, ..aged(7) }.may_serve(strict));
+    let nothing = ConfigState { age: None, majority: true, ..aged(0) };
     assert!(!nothing.may_serve(loose), "a host that knows nothing serves nobody");
 }
 
@@ -131,7 +138,7 @@
 #[test]
 fn a_host_that_knows_of_a_newer_configuration_stops_at_the_bound() {
     for majority in [true, false] {
-        let outdated = |age| Standing { outdated: true, majority, ..aged(age) };
+        let outdated = |age| ConfigState { outdated: true, majority, ..aged(age) };
         assert!(outdated(2).may_serve(bounds(None)));
         assert!(!outdated(3).may_serve(bounds(None)));
         assert!(outdated(1).may_serve(bounds(Some(2))));
@@ -144,8 +151,8 @@
 }
 
 /// A host whose configuration was the newest so many seconds ago.
-fn aged(secs: u64) -> Standing {
-    Standing { age: Some(Duration::from_secs(secs)), outdated: false, majority: false }
+fn aged(secs: u64) -> ConfigState {
+    ConfigState { age: Some(Duration::from_secs(secs)), outdated: false, majority: false }
 }
 
 /// An operator's change must be in force within the bound of the deployment. With
@@ -154,7 +161,7 @@
 #[test]
 fn a_change_is_looked_for_within_its_bound() {
     for bound in [1000, 2000, 3000, 5000].map(Duration::from_millis) {
-        let pace = freshness::Pace::within(bound);
+        let pace = freshness::PollIntervals::for_bound(bound);
         assert!(pace.wait < pace.ask && pace.ask < pace.read, "{pace:?}");
         assert!(bound - pace.read >= bound / 6, "time is left for the call: {pace:?}");
     }
--- a/components/coordination/tests/holders.rs
+++ b/components/coordination/tests/holders.rs
@@ -20,7 +20,7 @@
 
 /// The hosts that hold the connections to a server of that failure domain.
 fn order(view: &View, server: &str, domain: &FailureDomain) -> Vec<HostId> {
-    holders::order(&holders::strongest(view, domain), server)
+    holders::order(&holders::eligible(view, domain), server)
 }
 
 /// A fleet with hosts `(name, failure domain, power)`.
--- a/components/coordination/tests/homes.rs
+++ b/components/coordination/tests/homes.rs
@@ -19,14 +19,14 @@
     assert!(!both.allow(Some(&west)) && !both.allow(Some(&north)) && !both.allow(None));
     let nowhere = of(&["west"]).and(&of(&["east"]));
     assert!(!nowhere.allow(Some(&west)) && !nowhere.allow(Some(&east)));
-    assert!(!nowhere.is_anywhere());
+    assert!(!nowhere.is_unrestricted());
 }
 
 /// Guards against requests without homes that are refused in a region nobody names.
 #[test]
 fn without_homes_any_region_will_do() {
     let west = region("west");
-    assert!(of(&[]).is_anywhere() && of(&[]).allow(None));
+    assert!(of(&[]).is_unrestricted() && of(&[]).allow(None));
     assert_eq!(of(&[]).and(&of(&["west"])), of(&["west"]));
     assert_eq!(of(&["west"]).and(&of(&[])), of(&["west"]));
     assert!(of(&["west"]).allow(Some(&west)) && !of(&["west"]).allow(None));
--- a/components/coordination/tests/hubs.rs
+++ b/components/coordination/tests/hubs.rs
@@ -74,13 +74,13 @@
 fn hosts_know_hubs_of_other_failure_domains() {
     let view = fleet(90);
     for n in 0..90 {
-        let Neighbours { candidates, elsewhere, .. } = of(&view, n);
-        assert!(elsewhere.len() == 2 && elsewhere.iter().all(|hub| !candidates.contains(hub)));
-        for hub in elsewhere {
+        let Neighbours { candidates, remote_hubs, .. } = of(&view, n);
+        assert!(remote_hubs.len() == 2 && remote_hubs.iter().all(|hub| !candidates.contains(hub)));
+        for hub in remote_hubs {
             let domain = &view.members[&hub].value.domain;
             let hubs = hubs::neighbours(&view, &hub, domain).candidates;
             assert_eq!(hubs.first(), Some(&hub), "another host than the hub is asked");
         }
     }
-    assert!(of(&fleet(8), 3).elsewhere.is_empty());
+    assert!(of(&fleet(8), 3).remote_hubs.is_empty());
 }
--- a/components/coordination/tests/leadership.rs
+++ b/components/coordination/tests/leadership.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     Point, Term,
-    leadership::{self, Cause, Detector, Role, Sight, Status, Verdict},
+    leadership::{self, Cause, FailureDetector, Observation, Role, Status, Verdict},
 };
 
 const SILENCE: Duration = Duration::from_millis(450);
@@ -22,8 +22,8 @@
 /// Three servers of which the first leads term 1, and their observer.
 struct Group {
     now: Instant,
-    detector: Detector,
-    sights: [Sight; 3],
+    detector: FailureDetector,
+    sights: [Observation; 3],
     /// Which servers answer.
     answers: [bool; 3],
 }
@@ -31,11 +31,14 @@
 impl Group {
     fn new() -> Self {
         let now = Instant::now();
-        let sight =
-            |role| Sight { status: Some(status(role, 1, 10)), heard: Some(now), refused: None };
+        let sight = |role| Observation {
+            status: Some(status(role, 1, 10)),
+            last_seen: Some(now),
+            refused_since: None,
+        };
         Self {
             now,
-            detector: Detector::new(SILENCE, now),
+            detector: FailureDetector::new(SILENCE, now),
             sights: [sight(Role::Primary), sight(Role::Replica), sight(Role::Replica)],
             answers: [true; 3],
         }
@@ -44,13 +47,13 @@
     /// Looks every few milliseconds for a time; the last verdict.
     fn pass(&mut self, time: Duration) -> Verdict {
         let end = self.now + time;
-        let mut verdict = Verdict::Led;
+        let mut verdict = Verdict::Healthy;
         while self.now < end {
             self.now += STEP;
             for (sight, _) in self.sights.iter_mut().zip(self.answers).filter(|(_, a)| *a) {
-                sight.heard = Some(self.now);
+                sight.last_seen = Some(self.now);
             }
-            verdict = self.detector.look(self.now, &self.sights);
+            verdict = self.detector.observe(self.now, &self.sights);
         }
         verdict
     }
@@ -62,9 +65,9 @@
     let mut group = Group::new();
     for _ in 0..20 {
         group.answers[0] = false;
-        assert_eq!(group.pass(ms(300)), Verdict::Led);
+        assert_eq!(group.pass(ms(300)), Verdict::Healthy);
         group.answers[0] = true;
-        assert_eq!(group.pass(ms(60)), Verdict::Led);
+        assert_eq!(group.pass(ms(60)), Verdict::Healthy);
     }
 }
 
@@ -72,15 +75,15 @@
 fn silence_is_judged_in_the_end() {
     let mut group = Group::new();
     group.answers[0] = false;
-    assert_eq!(group.pass(ms(440)), Verdict::Led);
+    assert_eq!(group.pass(ms(440)), Verdict::Healthy);
     assert_eq!(group.pass(ms(60)), Verdict::Promote(Cause::Silent));
 }
 
 #[test]
 fn refusals_are_judged_sooner_than_silence() {
     let mut group = Group::new();
-    (group.answers[0], group.sights[0].refused) = (false, Some(group.now));
-    assert_eq!(group.pass(ms(140)), Verdict::Doubted);
+    (group.answers[0], group.sights[0].refused_since) = (false, Some(group.now));
+    assert_eq!(group.pass(ms(140)), Verdict::Suspected);
     assert_eq!(group.pass(ms(40)), Verdict::Promote(Cause::Refused));
 }
 
@@ -89,10 +92,10 @@
 #[test]
 fn the_observers_own_pause_is_no_silence() {
     let mut group = Group::new();
-    assert_eq!(group.pass(ms(100)), Verdict::Led);
+    assert_eq!(group.pass(ms(100)), Verdict::Healthy);
     group.now += Duration::from_secs(5);
-    assert_eq!(group.detector.look(group.now, &group.sights), Verdict::Led);
-    assert_eq!(group.pass(ms(100)), Verdict::Led);
+    assert_eq!(group.detector.observe(group.now, &group.sights), Verdict::Healthy);
+    assert_eq!(group.pass(ms(100)), Verdict::Healthy);
     group.answers[0] = false;
     assert_eq!(group.pass(ms(500)), Verdict::Promote(Cause::Silent));
 }
@@ -102,7 +105,7 @@
 fn a_primary_whose_replicas_receive_nothing_is_replaced() {
     let mut group = Group::new();
     group.sights[0].status = Some(status(Role::Primary, 1, 11));
-    assert_eq!(group.pass(ms(400)), Verdict::Led);
+    assert_eq!(group.pass(ms(400)), Verdict::Healthy);
     assert_eq!(group.pass(ms(100)), Verdict::Promote(Cause::Unconfirmed));
 }
 
@@ -112,7 +115,7 @@
     group.sights[0].status = Some(status(Role::Primary, 1, 1000));
     for held in 11..60 {
         group.sights[1].status = Some(status(Role::Replica, 1, held));
-        assert_eq!(group.pass(ms(300)), Verdict::Led);
+        assert_eq!(group.pass(ms(300)), Verdict::Healthy);
     }
 }
 
@@ -123,7 +126,7 @@
     let promised = Status { promised: Term(2), ..status(Role::Replica, 1, 10) };
     group.sights[1].status = Some(promised);
     group.sights[2].status = Some(promised);
-    assert_eq!(group.pass(ms(440)), Verdict::Doubted);
+    assert_eq!(group.pass(ms(440)), Verdict::Suspected);
     assert_eq!(group.pass(ms(60)), Verdict::Promote(Cause::Leaderless));
     assert_eq!(leadership::next_term(group.sights.iter().flat_map(|s| &s.status)), Term(3));
 }
@@ -146,7 +149,7 @@
 
 #[test]
 fn back_off_grows_and_spreads() {
-    assert!(leadership::back_off(1, 0.0) >= ms(40));
-    assert!(leadership::back_off(1, 1.0) > leadership::back_off(1, 0.0));
-    assert!(leadership::back_off(20, 1.0) <= ms(1000));
+    assert!(leadership::backoff(1, 0.0) >= ms(40));
+    assert!(leadership::backoff(1, 1.0) > leadership::backoff(1, 0.0));
+    assert!(leadership::backoff(20, 1.0) <= ms(1000));
 }
--- a/components/coordination/tests/process.rs
+++ b/components/coordination/tests/process.rs
@@ -7,9 +7,9 @@
     let hosts: Vec<HostId> = (0..1_800).map(|i| format!("h{i}").parse().unwrap()).collect();
     for (i, host) in hosts.iter().enumerate() {
         let number = process::number(host, i as u32 * 7_919);
-        assert!(number >= 0 && process::is_of(number, host));
-        let asked = hosts.iter().filter(|other| process::is_of(number, other)).count();
+        assert!(number >= 0 && process::belongs_to(number, host));
+        let asked = hosts.iter().filter(|other| process::belongs_to(number, other)).count();
         assert!(asked < 10, "{asked} hosts would be asked");
     }
-    assert!(!process::is_of(-1, &hosts[0]));
+    assert!(!process::belongs_to(-1, &hosts[0]));
 }
--- a/components/coordination/tests/retry.rs
+++ b/components/coordination/tests/retry.rs
@@ -8,8 +8,8 @@
     let mut budget = RetryBudget::new(0.1, 10.0);
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.earn();
-        while budget.spend() {
+        budget.deposit();
+        while budget.withdraw() {
             retries += 1;
         }
     }
--- a/components/coordination/tests/silence.rs
+++ b/components/coordination/tests/silence.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_server_that_takes_nothing_has_answered_nothing() {
     let start = Instant::now();
-    let mut watch = silence::Watch::default();
+    let mut watch = silence::AnswerTracker::default();
     assert_eq!(watch.answered(start), None);
     watch.begin(start);
     watch.end(true, start + 10 * MS);
@@ -23,7 +23,7 @@
 #[test]
 fn any_answer_ends_a_silence() {
     let start = Instant::now();
-    let mut watch = silence::Watch::default();
+    let mut watch = silence::AnswerTracker::default();
     watch.begin(start);
     watch.begin(start);
     assert_eq!(watch.lasts(start + 300 * MS), 300 * MS);
--- a/components/coordination/tests/suspicion.rs
+++ b/components/coordination/tests/suspicion.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     Point,
-    suspicion::{self, Advice, STILL_FOR, Suspicion},
+    suspicion::{self, Advice, REPLICA_STALL_TIMEOUT, Suspicion},
 };
 
 const MS: Duration = Duration::from_millis(1);
@@ -54,9 +54,13 @@
     suspicion.received(Point::new(1, 5), start);
     suspicion.received(Point::new(1, 5), start + 200 * MS);
     assert_eq!(suspicion.advice(start + 200 * MS), Advice::AskReplicas);
-    assert_eq!(suspicion.advice(start + STILL_FOR), Advice::AskReplicas, "nobody was asked since");
-    suspicion.received(Point::new(1, 5), start + STILL_FOR);
-    assert_eq!(suspicion.advice(start + STILL_FOR), Advice::Replace);
+    assert_eq!(
+        suspicion.advice(start + REPLICA_STALL_TIMEOUT),
+        Advice::AskReplicas,
+        "nobody was asked since"
+    );
+    suspicion.received(Point::new(1, 5), start + REPLICA_STALL_TIMEOUT);
+    assert_eq!(suspicion.advice(start + REPLICA_STALL_TIMEOUT), Advice::Replace);
 }
 
 /// Guards against a replacement by a single answer of the replicas, whatever came after it.
@@ -66,19 +70,19 @@
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
     suspicion.received(Point::new(1, 5), start);
-    assert_eq!(suspicion.advice(start + 3 * STILL_FOR), Advice::AskReplicas);
-    suspicion.received(Point::new(1, 6), start + 3 * STILL_FOR);
-    assert_eq!(suspicion.advice(start + 3 * STILL_FOR), Advice::AskReplicas);
+    assert_eq!(suspicion.advice(start + 3 * REPLICA_STALL_TIMEOUT), Advice::AskReplicas);
+    suspicion.received(Point::new(1, 6), start + 3 * REPLICA_STALL_TIMEOUT);
+    assert_eq!(suspicion.advice(start + 3 * REPLICA_STALL_TIMEOUT), Advice::AskReplicas);
 }
 
 /// Guards against a herd of questions to the servers of a silent leader, and against hosts
 /// that never act where the first ones are gone.
 #[test]
 fn hosts_act_on_a_leader_one_after_the_other() {
-    let turns: Vec<_> = (0..300).map(suspicion::turn).collect();
+    let turns: Vec<_> = (0..300).map(suspicion::stagger_delay).collect();
     assert!(turns.is_sorted());
     assert_eq!(turns[0], Duration::ZERO);
-    assert!(turns.iter().filter(|turn| turn.is_zero()).count() <= 8);
+    assert!(turns.iter().filter(|stagger_delay| stagger_delay.is_zero()).count() <= 8);
     assert!(turns[299] < Duration::from_secs(1));
 }
 
@@ -89,9 +93,9 @@
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
     suspicion.received(Point::new(1, 5), start);
-    suspicion.left_to_another();
-    assert_eq!(suspicion.advice(start + 2 * STILL_FOR), Advice::Keep);
+    suspicion.reset_silence();
+    assert_eq!(suspicion.advice(start + 2 * REPLICA_STALL_TIMEOUT), Advice::Keep);
     suspicion.refused(start);
-    suspicion.left_to_another();
+    suspicion.reset_silence();
     assert_eq!(suspicion.advice(start + 100 * MS), Advice::Replace, "refusals are no silence");
 }
--- a/components/coordination/tests/view.rs
+++ b/components/coordination/tests/view.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_coordination::{
     HostId, StoreClock,
-    view::{self, Held, LEASE, LEASE_MARGIN, Member, Release, Versioned, View},
+    view::{self, LEASE_MARGIN, LEASE_TTL, LeaseRelease, LocalView, Member, Versioned, View},
 };
 
 fn host(name: &str) -> HostId {
@@ -39,11 +39,11 @@
 #[test]
 fn a_lease_ends_by_itself() {
     let start = Instant::now();
-    let mut held = Held::new(host("a"), 1);
+    let mut held = LocalView::new(host("a"), 1);
     assert!(!held.leased(start));
     held.learn(view(5, &[("a", member(1))]), start);
-    assert!(held.leased(start + LEASE - Duration::from_millis(1)));
-    assert!(!held.leased(start + LEASE));
+    assert!(held.leased(start + LEASE_TTL - Duration::from_millis(1)));
+    assert!(!held.leased(start + LEASE_TTL));
 }
 
 /// Guards against a lease of a host that whoever replaces a leader does not wait for: it was
@@ -51,7 +51,7 @@
 #[test]
 fn who_is_not_counted_in_has_no_lease() {
     let start = Instant::now();
-    let mut held = Held::new(host("a"), 1);
+    let mut held = LocalView::new(host("a"), 1);
     held.learn(view(5, &[("a", member(2))]), start);
     assert!(!held.leased(start));
     let out = Member { left: Some(Duration::from_secs(5)), ..member(1) };
@@ -65,7 +65,7 @@
 fn the_row_of_an_earlier_process_counts() {
     let domain = "north".parse().unwrap();
     let at = |port: u16| view::place(([192, 0, 2, 1], port).into(), &domain, 250);
-    let mut held = Held::new(host("a"), at(7000));
+    let mut held = LocalView::new(host("a"), at(7000));
     let start = Instant::now();
     held.learn(view(5, &[("a", member(at(7000)))]), start);
     assert!(held.leased(start));
@@ -77,7 +77,7 @@
 #[test]
 fn views_never_go_back() {
     let start = Instant::now();
-    let mut held = Held::new(host("a"), 1);
+    let mut held = LocalView::new(host("a"), 1);
     assert!(held.learn(view(6, &[("a", member(1))]), start));
     assert!(!held.learn(view(5, &[]), start + Duration::from_secs(1)));
     assert_eq!(held.view().version, 6);
@@ -88,13 +88,13 @@
 #[test]
 fn only_the_same_view_is_renewed() {
     let start = Instant::now();
-    let mut held = Held::new(host("a"), 1);
+    let mut held = LocalView::new(host("a"), 1);
     held.learn(view(5, &[("a", member(1))]), start);
     let (stamp, later) = (held.stamp(), start + Duration::from_secs(3));
     held.renew(stamp ^ 1, Duration::from_secs(9), later);
-    assert!(!held.leased(start + LEASE));
+    assert!(!held.leased(start + LEASE_TTL));
     held.renew(stamp, Duration::from_secs(9), later);
-    assert!(held.leased(start + LEASE));
+    assert!(held.leased(start + LEASE_TTL));
 }
 
 /// A write is acknowledged by the old leader after the new one was promoted: the
@@ -104,11 +104,11 @@
 fn a_silent_host_is_waited_for() {
     let now = Instant::now();
     let view = view(7, &[("me", member(1)), ("b", member(1)), ("c", member(1))]);
-    let mut release = Release::new(&view, &host("me"), now);
-    release.gave_back(&host("b"));
-    assert!(!release.is_over(now + LEASE));
-    assert!(release.is_over(now + LEASE + LEASE_MARGIN));
-    release.gave_back(&host("c"));
+    let mut release = LeaseRelease::new(&view, &host("me"), now);
+    release.returned(&host("b"));
+    assert!(!release.is_over(now + LEASE_TTL));
+    assert!(release.is_over(now + LEASE_TTL + LEASE_MARGIN));
+    release.returned(&host("c"));
     assert!(release.is_over(now));
 }
 
@@ -118,7 +118,7 @@
 fn a_release_told_by_the_store_counts() {
     let now = Instant::now();
     let before = view(7, &[("me", member(1)), ("b", member(1))]);
-    let mut release = Release::new(&before, &host("me"), now);
+    let mut release = LeaseRelease::new(&before, &host("me"), now);
     let earlier = Member { released: 6, ..member(1) };
     release.note(&view(8, &[("b", earlier)]), 7);
     assert!(!release.is_over(now));
@@ -133,9 +133,9 @@
     let now = Instant::now();
     let gone = Member { left: Some(Duration::from_secs(2)), ..member(1) };
     let early = view(5, &[("me", member(1)), ("b", gone.clone())]);
-    assert!(!Release::new(&early, &host("me"), now).is_over(now));
+    assert!(!LeaseRelease::new(&early, &host("me"), now).is_over(now));
     let late = view(60, &[("me", member(1)), ("b", gone)]);
-    assert!(Release::new(&late, &host("me"), now).is_over(now));
+    assert!(LeaseRelease::new(&late, &host("me"), now).is_over(now));
 }
 
 /// A statement by another host was held back by a cut and arrives late. It counts
--- a/components/entry/src/caller.rs
+++ b/components/entry/src/caller.rs
@@ -178,7 +178,7 @@
     let (pid, secret) = (request.pid, request.secret_key.as_i32());
     let Some(secret) = secret.filter(|secret| !entry.cancel(pid, *secret)) else { return };
     for link in entry.mesh.links() {
-        if process::is_of(pid, &link.host) {
+        if process::belongs_to(pid, &link.host) {
             // A cancel is a wish: when it does not arrive, the statement runs on.
             let _ = link.ask(Question::Cancel { pid, secret }, CANCEL_WITHIN).await;
         }
--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -8,7 +8,7 @@
 };
 
 use bergamottrack_contract::{Config, Current, Host, RevisionDoc};
-use bergamottrack_coordination::{Clock, HostId, Revision, SubmitId, freshness::Vouch};
+use bergamottrack_coordination::{Clock, HostId, Revision, SubmitId, freshness::FreshnessVote};
 use bergamottrack_metrics::Metrics;
 use bergamottrack_peer::{Answer, Mesh, Question, message::Hello};
 use bergamottrack_platform::{Chain, chain};
@@ -176,12 +176,12 @@
         })
     }
 
-    pub(crate) fn vouch(&self) -> Vouch {
-        Vouch {
+    pub(crate) fn vouch(&self) -> FreshnessVote {
+        FreshnessVote {
             known: self.current.number(),
-            vouches: self.current.vouches(),
-            told: self.told.get(),
-            silent: self.silent(),
+            confirmed: self.current.vouches(),
+            propagated: self.told.get(),
+            unreachable: self.silent(),
         }
     }
 
--- a/components/fleet/src/roster.rs
+++ b/components/fleet/src/roster.rs
@@ -93,7 +93,7 @@
     /// roster of its own revision only, and must hear of the first step there.
     pub(crate) async fn check_told(&self) -> anyhow::Result<()> {
         let number = self.current.number();
-        if self.told.get() >= number || self.tell().await.told {
+        if self.told.get() >= number || self.tell().await.propagated {
             return Ok(());
         }
         None.with_context(|| format!("no majority of the hosts can be told of revision {number}"))
--- a/components/fleet/src/rounds.rs
+++ b/components/fleet/src/rounds.rs
@@ -14,7 +14,7 @@
 use bergamottrack_contract::RevisionDoc;
 use bergamottrack_coordination::{
     HostId, Revision,
-    freshness::{self, Tally, Vouch},
+    freshness::{self, FreshnessVote, Tally},
 };
 use bergamottrack_peer::{Answer, Question};
 use futures_util::future;
@@ -44,7 +44,7 @@
     pub(crate) async fn run_rounds(self: Rc<Self>) {
         loop {
             let tally = self.round().await;
-            let settled = tally.is_some_and(|tally| tally.newest && tally.told);
+            let settled = tally.is_some_and(|tally| tally.newest && tally.propagated);
             monoio::time::sleep(if settled { ROUND_EVERY } else { ROUND_AGAIN }).await;
         }
     }
@@ -58,10 +58,10 @@
         let others = voters(&doc).into_iter().filter(|host| *host != self.me.id);
         let questions = others.map(|host| self.question(host, &doc));
         let answers = future::join_all(questions).await;
-        let mut answers: Vec<(HostId, Vouch)> = answers.into_iter().flatten().collect();
+        let mut answers: Vec<(HostId, FreshnessVote)> = answers.into_iter().flatten().collect();
         self.note_heard(&doc, &answers);
         let dead = self.dead.borrow().clone();
-        answers.push((self.me.id.clone(), Vouch { known: doc.number, ..self.vouch() }));
+        answers.push((self.me.id.clone(), FreshnessVote { known: doc.number, ..self.vouch() }));
         let tally =
             freshness::tally(doc.number, &ids(&doc.roster), &ids(&doc.before), &dead, &answers);
         if tally.newest {
@@ -76,7 +76,7 @@
     }
 
     /// Asks one host; one that is behind is told the revision.
-    async fn question(&self, host: HostId, doc: &RevisionDoc) -> Option<(HostId, Vouch)> {
+    async fn question(&self, host: HostId, doc: &RevisionDoc) -> Option<(HostId, FreshnessVote)> {
         let link = self.mesh.link(&host)?;
         let Ok(Answer::Vouch(mut vouch)) = link.ask(Question::Vouch, ANSWER_WITHIN).await else {
             return None;
@@ -99,9 +99,9 @@
         }
     }
 
-    fn note_told(&self, doc: &RevisionDoc, tally: &Tally, answers: &[(HostId, Vouch)]) {
-        let others = answers.iter().map(|(_, vouch)| vouch.told).max().unwrap_or_default();
-        let own = if tally.told { doc.number } else { Revision::default() };
+    fn note_told(&self, doc: &RevisionDoc, tally: &Tally, answers: &[(HostId, FreshnessVote)]) {
+        let others = answers.iter().map(|(_, vouch)| vouch.propagated).max().unwrap_or_default();
+        let own = if tally.propagated { doc.number } else { Revision::default() };
         self.learn_told(others.max(own));
     }
 
@@ -127,7 +127,7 @@
         Ok(())
     }
 
-    fn note_heard(&self, doc: &RevisionDoc, answers: &[(HostId, Vouch)]) {
+    fn note_heard(&self, doc: &RevisionDoc, answers: &[(HostId, FreshnessVote)]) {
         let now = self.clock.now();
         let mut heard = self.heard.borrow_mut();
         let others: Vec<_> = voters(doc).into_iter().filter(|id| *id != self.me.id).collect();
@@ -152,14 +152,15 @@
 
     /// A host is gone when a majority of the roster has not heard it for long:
     /// a link that is broken between two hosts only takes out neither.
-    fn note_gone(&self, doc: &RevisionDoc, answers: &[(HostId, Vouch)]) {
+    fn note_gone(&self, doc: &RevisionDoc, answers: &[(HostId, FreshnessVote)]) {
         let dead = self.dead.borrow();
         let roster = ids(&doc.roster);
         let alive: Vec<_> = roster.iter().filter(|host| !dead.contains(host)).cloned().collect();
         let misses = |host: &HostId, by: &HostId| {
-            answers.iter().any(|(id, vouch)| id == by && vouch.silent.contains(host))
+            answers.iter().any(|(id, vouch)| id == by && vouch.unreachable.contains(host))
         };
-        let gone = roster.iter().filter(|host| freshness::holds(&alive, |by| misses(host, by)));
+        let gone =
+            roster.iter().filter(|host| freshness::has_majority(&alive, |by| misses(host, by)));
         *self.gone.borrow_mut() = gone.cloned().collect();
     }
 
@@ -172,7 +173,7 @@
             let tally = self.round().await.unwrap_or_default();
             let number = self.current.number();
             if self.told.get() >= number {
-                return Tally { told: true, ..tally };
+                return Tally { propagated: true, ..tally };
             }
             if self.clock.now() >= until {
                 warn!("fleet: revision {number} could not be told to a majority.");
--- a/components/fleet/src/submit.rs
+++ b/components/fleet/src/submit.rs
@@ -163,7 +163,7 @@
     /// Tells all hosts of an accepted revision; it is in force when majorities have it.
     async fn settle(&self, revision: Revision) -> Result<Accepted, SubmitError> {
         let mut tally = self.tell().await;
-        if !tally.told {
+        if !tally.propagated {
             return Err(SubmitError::NotTold { revision });
         }
         let mut roster = self.roster_ids();
--- a/components/home/src/group.rs
+++ b/components/home/src/group.rs
@@ -10,7 +10,7 @@
 use bergamottrack_contract::{Group, Policy};
 use bergamottrack_coordination::{
     Clock, GroupId, HostId, Point, Reason, Refusal, Term,
-    ages::{Ages, Observed},
+    ages::{Observed, PositionHistory},
     leadership::{Status, Verdict},
     retry::RetryBudget,
 };
@@ -49,7 +49,7 @@
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) retries: RefCell<RetryBudget>,
     /// Where the primary stood over time.
-    pub(crate) ages: RefCell<Ages>,
+    pub(crate) ages: RefCell<PositionHistory>,
     policy: RefCell<Policy>,
     verdict: Cell<Verdict>,
     /// Set while the primary hands over: new work waits for the next one.
@@ -94,7 +94,7 @@
             retries: RefCell::default(),
             ages: RefCell::default(),
             policy: RefCell::new(policy),
-            verdict: Cell::new(Verdict::Doubted),
+            verdict: Cell::new(Verdict::Suspected),
             handing: Cell::new(false),
             running: RefCell::default(),
             active: Cell::new(0),
--- a/components/home/src/promotion.rs
+++ b/components/home/src/promotion.rs
@@ -15,7 +15,7 @@
 use anyhow::{Context, bail};
 use bergamottrack_coordination::{
     ServerId, Term,
-    leadership::{self, Cause, Detector, Status, Verdict},
+    leadership::{self, Cause, FailureDetector, Status, Verdict},
 };
 use bergamottrack_metrics::Phase;
 use futures_util::{StreamExt, stream::FuturesUnordered};
@@ -39,7 +39,7 @@
 /// Looks after a group's leadership until its home is closed.
 pub async fn run(home: Rc<GroupHome>) {
     let mut now = home.clock.now();
-    let mut detector = Detector::new(home.silence(), now);
+    let mut detector = FailureDetector::new(home.silence(), now);
     let mut led_at = now;
     let mut handover = Handover::default();
     let mut failures = 0;
@@ -47,16 +47,16 @@
     while !home.closed.get() {
         monoio::time::sleep(LOOK_EVERY).await;
         now = home.clock.now();
-        detector.silence = home.silence();
+        detector.silence_timeout = home.silence();
         let sights: Vec<_> = home.servers.iter().map(|server| server.sight()).collect();
-        let verdict = detector.look(now, &sights);
+        let verdict = detector.observe(now, &sights);
         home.note_verdict(verdict);
-        if verdict == Verdict::Led {
+        if verdict == Verdict::Healthy {
             led_at = now;
             retire_replaced(&home);
             if home.first.get() {
                 handover.look(&home).await;
-                detector.worked(home.clock.now());
+                detector.mark_active(home.clock.now());
             }
         }
         let Verdict::Promote(cause) = verdict else { continue };
@@ -64,7 +64,7 @@
             continue;
         }
         let began = match cause {
-            Cause::Unconfirmed => detector.behind_since().unwrap_or(led_at),
+            Cause::Unconfirmed => detector.stalled_since().unwrap_or(led_at),
             _ => fault_began(&home, cause, led_at),
         };
         let detect = now.saturating_duration_since(began);
@@ -72,7 +72,7 @@
             Ok(()) => failures = 0,
             Err(error) => {
                 failures += 1;
-                let pause = leadership::back_off(failures, rand::random());
+                let pause = leadership::backoff(failures, rand::random());
                 warn!(
                     "home: group {}: the promotion failed, again in {} ms: {error:#}.",
                     home.id,
@@ -81,7 +81,7 @@
                 resume = home.clock.now() + pause;
             }
         }
-        detector.worked(home.clock.now());
+        detector.mark_active(home.clock.now());
     }
 }
 
--- a/components/home/src/serve.rs
+++ b/components/home/src/serve.rs
@@ -47,7 +47,7 @@
     side: &mut HomeSide,
 ) -> Result<(), Refusal> {
     let deadline = home.clock.now() + open.budget;
-    home.retries.borrow_mut().earn();
+    home.retries.borrow_mut().deposit();
     let ticket = Ticket { account: open.account.clone(), weight, deadline, urgent: false };
     loop {
         let Err(failure) = attempt(home, open, side, &ticket).await else { return Ok(()) };
@@ -55,7 +55,7 @@
             return Err(outcome::settle(home, &key, failure.refusal, deadline).await);
         }
         let in_time = home.clock.now() < deadline;
-        if !failure.again || !in_time || !home.retries.borrow_mut().spend() {
+        if !failure.again || !in_time || !home.retries.borrow_mut().withdraw() {
             return Err(failure.refusal);
         }
     }
--- a/components/home/src/server.rs
+++ b/components/home/src/server.rs
@@ -9,7 +9,7 @@
 use bergamottrack_contract::BackendServer;
 use bergamottrack_coordination::{
     Clock,
-    leadership::{Sight, Status},
+    leadership::{Observation, Status},
 };
 use tokio::sync::Notify;
 
@@ -71,8 +71,12 @@
     }
 
     /// What has been seen of it, however long ago.
-    pub fn sight(&self) -> Sight {
-        Sight { status: self.last.get(), heard: self.heard.get(), refused: self.refused.get() }
+    pub fn sight(&self) -> Observation {
+        Observation {
+            status: self.last.get(),
+            last_seen: self.heard.get(),
+            refused_since: self.refused.get(),
+        }
     }
 
     /// Notes that it refused a connection or closed one, as a process that has ended does.
--- a/components/model/src/plan.rs
+++ b/components/model/src/plan.rs
@@ -78,8 +78,8 @@
 impl Plan {
     /// Whether any database or account is bound to homes.
     pub fn has_homes(&self) -> bool {
-        let routes = self.routes.values().any(|route| !route.homes.is_anywhere());
-        routes || self.keys.values().any(|account| !account.homes.is_anywhere())
+        let routes = self.routes.values().any(|route| !route.homes.is_unrestricted());
+        routes || self.keys.values().any(|account| !account.homes.is_unrestricted())
     }
 
     /// Every account once.
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -10,7 +10,7 @@
     bucket::LoanNo,
     changes::Changes,
     demand, evacuation,
-    freshness::Vouch,
+    freshness::FreshnessVote,
     outcome::Outcome,
     pieces,
     token::Secret,
@@ -204,7 +204,7 @@
     /// The host is there, but being stopped: it is to get nothing new.
     Leaving,
     /// What the host can vouch for.
-    Vouch(Vouch),
+    Vouch(FreshnessVote),
     /// What the host reports of itself.
     Report(Box<HostReport>),
     /// The newest revision that the host knows.
--- a/components/proxy/src/change.rs
+++ b/components/proxy/src/change.rs
@@ -13,11 +13,11 @@
 };
 use bergamottrack_coordination::{
     GroupId, HostId, Point, ServerId, Term,
-    duty::{self, CALL_BY, CALL_WITHIN},
+    duty::{self, CALL_DEADLINE, CALL_TIMEOUT},
     evacuation,
     succession::{self, Next, Order, Standing, Terms},
     suspicion,
-    view::{Leadership, Release, TURN, Versioned, View},
+    view::{FAILOVER_TTL, Leadership, LeaseRelease, Versioned, View},
 };
 use bergamottrack_model::{Role, Status};
 use bergamottrack_peer::{Answer, Question};
@@ -94,7 +94,7 @@
                 row.filter(|row| row.value == moving).map(|row| row.version)
             }
         };
-        let until = now + TURN;
+        let until = now + FAILOVER_TTL;
         let terms = Terms { known: term, ..Terms::default() };
         Ok(intent.map(|intent| Self { client, from, planned, intent, terms, until }))
     }
@@ -161,7 +161,7 @@
             if placement::of(host, &pool) != evacuation::Placement::Allowed {
                 continue;
             }
-            if let Ok(status) = lead::status(host, &pool, suspicion::PROBE_WITHIN).await
+            if let Ok(status) = lead::status(host, &pool, suspicion::PROBE_TIMEOUT).await
                 && status.role == Role::Primary
                 && self.terms.allow(status.term)
             {
@@ -179,7 +179,7 @@
         view: View,
         asked: Instant,
     ) -> anyhow::Result<()> {
-        let release = Release::new(&view, &host.settings.host, host.now());
+        let release = LeaseRelease::new(&view, &host.settings.host, host.now());
         fleet::learn(host, view.clone(), asked);
         let release = Rc::new(RefCell::new(release));
         let others = release.borrow().waiting().to_vec();
@@ -245,7 +245,7 @@
         pools: &[Rc<Pool>],
         order: Order,
     ) -> Next {
-        let asks = pools.iter().map(|pool| lead::status(host, pool, suspicion::PROBE_WITHIN));
+        let asks = pools.iter().map(|pool| lead::status(host, pool, suspicion::PROBE_TIMEOUT));
         let statuses = future::join_all(asks).await;
         let told: Vec<Standing> = pools
             .iter()
@@ -271,7 +271,7 @@
         anyhow::ensure!(host.now() < by, "the time for the call is over");
         let duty = promotion::Duty { holder: &host.settings.host, token };
         let (address, id) = (host.settings.promoter, &group.id);
-        let said = promotion::promote(address, duty, id, &server, CALL_WITHIN).await;
+        let said = promotion::promote(address, duty, id, &server, CALL_TIMEOUT).await;
         let error = said.as_ref().err().map(tracing::field::display);
         let answer = said.as_ref().ok();
         info!(group = %id, %server, token, ?answer, error, "promotion: asked for");
@@ -285,7 +285,7 @@
         }
         let until = host.now() + LEADS_WITHIN;
         while host.now() < until {
-            if let Ok(status) = lead::status(host, pool, suspicion::PROBE_WITHIN).await
+            if let Ok(status) = lead::status(host, pool, suspicion::PROBE_TIMEOUT).await
                 && status.role == Role::Primary
                 && status.term > after
             {
@@ -329,7 +329,7 @@
         let verdict = store::change(&self.client, &change, STORE_WITHIN).await?;
         let Verdict::Applied(token) = verdict else { return Ok(None) };
         info!(group = %group.id, token, closed = %after, "duty: taken");
-        Ok(Some((token, began + CALL_BY)))
+        Ok(Some((token, began + CALL_DEADLINE)))
     }
 
     /// Gives the duty back; where nothing was done the terms are as open as before.
@@ -405,14 +405,14 @@
     let until = host.now() + CAUGHT_UP_WITHIN;
     let mut newest: Option<(Point, Instant)> = None;
     while host.now() < until {
-        match lead::status(host, pool, suspicion::PROBE_WITHIN).await {
+        match lead::status(host, pool, suspicion::PROBE_TIMEOUT).await {
             Ok(status) if status.received >= last => return true,
             Ok(status) if newest.is_none_or(|(point, _)| status.received > point) => {
                 newest = Some((status.received, host.now()));
             }
             _ => {}
         }
-        if newest.is_some_and(|(_, since)| host.now() - since > suspicion::STILL_FOR) {
+        if newest.is_some_and(|(_, since)| host.now() - since > suspicion::REPLICA_STALL_TIMEOUT) {
             break;
         }
         monoio::time::sleep(LEADS_EVERY).await;
@@ -440,12 +440,12 @@
     id: HostId,
     group: GroupId,
     row: Versioned<Leadership>,
-    release: Rc<RefCell<Release>>,
+    release: Rc<RefCell<LeaseRelease>>,
 ) {
     while !release.borrow().is_over(host.now()) {
         let link = host.reach(&id);
         let was_up = link.as_ref().is_some_and(|link| link.is_up());
-        let gave_back = match link.filter(|_| was_up) {
+        let returned = match link.filter(|_| was_up) {
             Some(link) => {
                 let act = Question::Act { group: group.clone(), row: row.clone() };
                 let answer = link.ask(act, ACT_WITHIN).await;
@@ -453,8 +453,8 @@
             }
             None => lead::is_dead(&host, &id).await,
         };
-        if gave_back {
-            release.borrow_mut().gave_back(&id);
+        if returned {
+            release.borrow_mut().returned(&id);
             return;
         }
         monoio::time::sleep(if was_up { lead::LOOK_EVERY } else { DIAL_EVERY }).await;
--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -10,7 +10,7 @@
 use bergamottrack_adapter::wire;
 use bergamottrack_coordination::{
     Point, ServerId,
-    confirm::{CONFIRM_WITHIN, Confirm, Heard, Verdict},
+    confirm::{CONFIRM_TIMEOUT, ProbeResult, ReplicaProgress, Verdict},
     evacuation,
 };
 use bergamottrack_model::{Role, ServerAnswer};
@@ -32,7 +32,7 @@
 /// How long one replica's answer is waited for. As long as a commit waits: giving the
 /// question up earlier closes its connection, and a new one takes a slot of a server
 /// that has none to spare for longer than the question does.
-const ASK_WITHIN: Duration = CONFIRM_WITHIN;
+const ASK_WITHIN: Duration = CONFIRM_TIMEOUT;
 
 /// How long the answer by way of another host is waited for: half of the time that a commit
 /// has, so that this host can still ask by itself.
@@ -53,7 +53,7 @@
 #[derive(Default)]
 pub struct Receipts {
     /// What is known.
-    pub state: RefCell<Confirm>,
+    pub state: RefCell<ReplicaProgress>,
     waiting: Cell<usize>,
     /// Replicas that are being asked.
     asking: RefCell<HashSet<ServerId>>,
@@ -63,7 +63,7 @@
 impl Receipts {
     /// Another server leads: what was known of the former one's replicas is void.
     pub fn reset(&self) {
-        *self.state.borrow_mut() = Confirm::default();
+        *self.state.borrow_mut() = ReplicaProgress::default();
         self.heard.notify_waiters();
     }
 }
@@ -72,14 +72,14 @@
 /// that cannot be shown in time.
 pub async fn wait(host: &Rc<Host>, group: &Rc<Group>, commit: Point) -> Result<(), &'static str> {
     let receipts = &group.receipts;
-    let (began, until) = (host.now(), Instant::now() + CONFIRM_WITHIN);
+    let (began, until) = (host.now(), Instant::now() + CONFIRM_TIMEOUT);
     receipts.waiting.set(receipts.waiting.get() + 1);
     let mut asked = 1;
     let verdict = loop {
         let replicas = replicas(host, group);
         let names: Vec<_> = replicas.iter().map(|(id, _)| id.clone()).collect();
         let verdict = receipts.state.borrow_mut().verdict(commit, &names, began, host.now());
-        if verdict != Verdict::Wait {
+        if verdict != Verdict::Pending {
             break verdict;
         }
         for (id, pool) in replicas.into_iter().take(asked) {
@@ -97,11 +97,11 @@
             info!(group = %group.id, %commit, "replicas: none shows that it holds a commit");
             Err("no replica shows that it holds the commit")
         }
-        Verdict::Alone => {
+        Verdict::LeaderOnly => {
             info!(group = %group.id, %commit, "replicas: none is there or free, the leader's word counts");
             Ok(())
         }
-        Verdict::Held | Verdict::Wait => Ok(()),
+        Verdict::Confirmed | Verdict::Pending => Ok(()),
     }
 }
 
@@ -125,16 +125,16 @@
     let receipts = &group.receipts;
     loop {
         let waiting = receipts.waiting.get() > 0;
-        let stuck = receipts.state.borrow().is_stuck();
+        let stuck = receipts.state.borrow().is_stalled();
         let replica = group.leader().is_some_and(|leader| leader != id);
         if !(waiting || stuck) || !replica || host.server(&id).is_none() {
             break;
         }
         let before = receipts.state.borrow().clone();
         let heard = received(&host, &pool).await;
-        receipts.state.borrow_mut().hear(&id, heard, host.now());
+        receipts.state.borrow_mut().record(&id, heard, host.now());
         receipts.heard.notify_waiters();
-        let news = matches!(heard, Heard::Received(point) if !before.covers(point));
+        let news = matches!(heard, ProbeResult::Received(point) if !before.covers(point));
         // Those that were waited for are told before it is known who still waits.
         let pause = match (news, waiting) {
             (true, _) => Duration::ZERO,
@@ -147,23 +147,23 @@
 }
 
 /// Asks a replica how far it has received.
-async fn received(host: &Host, pool: &Rc<Pool>) -> Heard {
+async fn received(host: &Host, pool: &Rc<Pool>) -> ProbeResult {
     let until = Instant::now() + ASK_WITHIN;
     let asked = async {
         let answer = match status_far(host, pool, until).await {
             Some(told) => told?,
             None => status_own(host, pool, until).await?,
         };
-        let status = wire::decode_status(&answer).ok_or(Heard::Busy)?;
+        let status = wire::decode_status(&answer).ok_or(ProbeResult::Busy)?;
         // One that says it leads is the new leader, or an old one: no replica.
         Ok(if status.role == Role::Replica {
-            Heard::Received(status.received)
+            ProbeResult::Received(status.received)
         } else {
-            Heard::Busy
+            ProbeResult::Busy
         })
     };
     let told = monoio::time::timeout_at(until, asked).await;
-    told.unwrap_or(Err(Heard::Silent)).unwrap_or_else(|heard| heard)
+    told.unwrap_or(Err(ProbeResult::Silent)).unwrap_or_else(|heard| heard)
 }
 
 /// Asks on a connection that another host holds; `None` where that host is out of reach.
@@ -174,32 +174,36 @@
     host: &Host,
     pool: &Rc<Pool>,
     until: Instant,
-) -> Option<Result<ServerAnswer, Heard>> {
+) -> Option<Result<ServerAnswer, ProbeResult>> {
     let link = host.settled_holder(pool).await?;
     let mut line = BytesMut::new();
     wire::put_status(&mut line);
     let within = until.saturating_duration_since(Instant::now()).min(HOLDER_WITHIN);
     match conn::ask_far(&link, pool, line.freeze(), within).await {
         Ok(answer) => Some(Ok(answer)),
-        Err(Broken::NotSent(NotSent::Dead)) => Some(Err(Heard::Dead)),
-        Err(Broken::NotSent(NotSent::Full | NotSent::Rejected)) => Some(Err(Heard::Busy)),
-        Err(Broken::NotSent(NotSent::Silent)) => Some(Err(Heard::Silent)),
+        Err(Broken::NotSent(NotSent::Dead)) => Some(Err(ProbeResult::Dead)),
+        Err(Broken::NotSent(NotSent::Full | NotSent::Rejected)) => Some(Err(ProbeResult::Busy)),
+        Err(Broken::NotSent(NotSent::Silent)) => Some(Err(ProbeResult::Silent)),
         Err(_) => None,
     }
 }
 
 /// Asks on a connection of this host's own.
-async fn status_own(host: &Host, pool: &Rc<Pool>, until: Instant) -> Result<ServerAnswer, Heard> {
+async fn status_own(
+    host: &Host,
+    pool: &Rc<Pool>,
+    until: Instant,
+) -> Result<ServerAnswer, ProbeResult> {
     let leased = pool.lease_any(&lead::any_account(host), until).await;
     let mut leased = leased.map_err(|error| match error {
-        NoConnection::Full => Heard::Busy,
-        NoConnection::Open(OpenError::Refused) => Heard::Dead,
-        NoConnection::Open(OpenError::Rejected(_)) => Heard::Busy,
-        NoConnection::Open(OpenError::Silent(_)) => Heard::Silent,
+        NoConnection::Full => ProbeResult::Busy,
+        NoConnection::Open(OpenError::Refused) => ProbeResult::Dead,
+        NoConnection::Open(OpenError::Rejected(_)) => ProbeResult::Busy,
+        NoConnection::Open(OpenError::Silent(_)) => ProbeResult::Silent,
     })?;
     let backend = leased.backend();
     wire::put_status(&mut backend.out);
-    let answer = backend.exchange().await.map_err(|_| Heard::Silent)?;
+    let answer = backend.exchange().await.map_err(|_| ProbeResult::Silent)?;
     if leased.backend().is_clean(&answer) {
         leased.give_back();
     }
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -121,7 +121,7 @@
             host.shelf.borrow_mut().confirm(rows.clock);
         }
     };
-    let pace = freshness::Pace::within(host.settings.apply.min(host.settings.evacuate));
+    let pace = freshness::PollIntervals::for_bound(host.settings.apply.min(host.settings.evacuate));
     let needed = || host.is_reader() || host.plan_age().is_none_or(|age| age > pace.read);
     follow(&host, Table::Configuration, pace.wait, needed, take).await
 }
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -241,7 +241,7 @@
 /// Asks other hosts for the newest view and configuration while the store does
 /// not tell them to this one, for ever.
 pub async fn ask_hosts(host: Rc<Host>) {
-    let pace = freshness::Pace::within(host.settings.apply.min(host.settings.evacuate));
+    let pace = freshness::PollIntervals::for_bound(host.settings.apply.min(host.settings.evacuate));
     let mut turn = 0;
     loop {
         monoio::time::sleep(ASK_EVERY).await;
@@ -291,7 +291,7 @@
 
 /// Takes what another host knows; false when its changes of the view do not fit.
 fn take_newest(host: &Rc<Host>, newest: Newest) -> bool {
-    let changed = newest.view.map(|changes| changes.onto(host.held.borrow().view()));
+    let changed = newest.view.map(|changes| changes.apply_to(host.held.borrow().view()));
     let fits = !matches!(changed, Some(None));
     if let Some(view) = changed.flatten() {
         let shown = host.store_clock.borrow().local(view.clock);
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -6,7 +6,9 @@
     time::{Duration, Instant},
 };
 
-use bergamottrack_coordination::{GroupId, Point, ServerId, ages::Ages, suspicion::Suspicion};
+use bergamottrack_coordination::{
+    GroupId, Point, ServerId, ages::PositionHistory, suspicion::Suspicion,
+};
 use bergamottrack_model::Currency;
 use tokio::sync::Notify;
 
@@ -24,7 +26,7 @@
     /// Its name.
     pub id: GroupId,
     /// The leader's positions over time.
-    pub ages: RefCell<Ages>,
+    pub ages: RefCell<PositionHistory>,
     /// The newest of them that this host saw itself and has not sent to others.
     pub seen: Cell<Option<(Instant, Point)>>,
     /// What speaks against the leader.
@@ -110,7 +112,7 @@
         if !gone {
             // Work of the former leader, and what was known of its log, end with it.
             self.give_up();
-            *self.ages.borrow_mut() = Ages::default();
+            *self.ages.borrow_mut() = PositionHistory::default();
             self.seen.set(None);
             self.suspicion.borrow_mut().answered();
             // The first leader that a host hears of has led before.
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -14,11 +14,11 @@
     AccountId, Clock, FailureDomain, GroupId, HostId, Revision, ServerId, StoreClock, connections,
     demand::Demand,
     evacuation,
-    freshness::{Bounds, Standing},
+    freshness::{Bounds, ConfigState},
     holders,
     hubs::Neighbours,
     pieces::{Fetch, Shelf},
-    view::{Held, Leadership},
+    view::{Leadership, LocalView},
 };
 use bergamottrack_model::{Account, Listed, Plan, Role, Route, Settings, settings::Mechanism};
 use bergamottrack_peer::{
@@ -123,7 +123,7 @@
     /// Groups by name.
     pub groups: RefCell<HashMap<GroupId, Rc<Group>>>,
     /// The fleet and who leads.
-    pub held: RefCell<Held>,
+    pub held: RefCell<LocalView>,
     /// Links to the other hosts.
     pub mesh: Rc<Mesh>,
     /// Transactions of other hosts on connections of this one.
@@ -213,7 +213,7 @@
 
     /// Whether callers may be served by what is known of the configuration.
     pub fn may_serve(&self) -> bool {
-        let standing = Standing {
+        let standing = ConfigState {
             age: self.plan_age(),
             outdated: self.newest.get() > self.version(),
             majority: self.hears_majority(),
@@ -384,15 +384,15 @@
         let held = self.held.borrow();
         let members = holders::stamp(held.view());
         let changed = self.holders_stamp.replace(members) != members;
-        let mut strongest: HashMap<FailureDomain, Vec<HostId>> = HashMap::new();
+        let mut eligible: HashMap<FailureDomain, Vec<HostId>> = HashMap::new();
         for pool in self.pools.borrow().values() {
             if !changed && !pool.holders.borrow().is_empty() {
                 continue;
             }
             let listed = pool.listed.borrow();
-            let strong = strongest
+            let strong = eligible
                 .entry(listed.domain.clone())
-                .or_insert_with(|| holders::strongest(held.view(), &listed.domain));
+                .or_insert_with(|| holders::eligible(held.view(), &listed.domain));
             *pool.holders.borrow_mut() = holders::order(strong, listed.id.as_str());
         }
     }
--- a/components/proxy/src/job.rs
+++ b/components/proxy/src/job.rs
@@ -122,7 +122,7 @@
 async fn find(host: &Host, job: &Job) -> Result<Vec<Place>, Refused> {
     let until = job.deadline.min(Instant::now() + LEADER_WITHIN);
     loop {
-        if job.access == Access::Write && job.group.receipts.state.borrow().is_stuck() {
+        if job.access == Access::Write && job.group.receipts.state.borrow().is_stalled() {
             return Err(Refused::busy("the leader's replicas receive nothing"));
         }
         let mut places = place::places(host, job);
@@ -188,7 +188,7 @@
     let Running { conn, usage, .. } = running;
     conn.give_back(&answer);
     if after.is_some() && answer.failure().is_none() {
-        pool.health.borrow_mut().caught_up();
+        pool.health.borrow_mut().clear_lag();
     }
     match elsewhere(host, job, &pool, after, &answer) {
         Some(refused) => Tried::Elsewhere(refused),
@@ -345,7 +345,7 @@
     })?;
     if answer.state == State::Open && answer.failure().is_none() {
         if after.is_some() {
-            pool.health.borrow_mut().caught_up();
+            pool.health.borrow_mut().clear_lag();
         }
         return Ok(running);
     }
--- a/components/proxy/src/lead.rs
+++ b/components/proxy/src/lead.rs
@@ -10,7 +10,7 @@
 use bergamottrack_coordination::{
     AccountId, HostId, ServerId, evacuation, rendezvous,
     suspicion::{self, Advice},
-    view::{Leadership, TURN, TURN_MARGIN},
+    view::{FAILOVER_MARGIN, FAILOVER_TTL, Leadership},
 };
 use bergamottrack_model::Status;
 use bergamottrack_peer::{Answer, Question};
@@ -86,14 +86,14 @@
     if placement::is_forbidden(host, &pool) {
         return;
     }
-    let silent = pool.health.borrow().silent_for(now).max(pool.exchanges.borrow().lasts(now));
-    let asks = silent > suspicion::SILENT_AFTER
+    let silent = pool.health.borrow().unanswered_for(now).max(pool.exchanges.borrow().lasts(now));
+    let asks = silent > suspicion::SILENCE_TIMEOUT
         || group.suspicion.borrow().advice(now) == Advice::AskReplicas;
     if asks && !group.probed.replace(true) {
         monoio::spawn(probe(host.clone(), group.clone(), pool, now));
     }
     let led = group.led();
-    if led.is_some_and(|led| group.receipts.state.borrow().is_cut(led, now)) {
+    if led.is_some_and(|led| group.receipts.state.borrow().is_partitioned(led, now)) {
         return start(host, group, Some(leader), true, "the leader's replicas receive nothing");
     }
     if group.suspicion.borrow().advice(now) == Advice::Replace {
@@ -126,18 +126,18 @@
 async fn probe(host: Rc<Host>, group: Rc<Group>, leader: Rc<Pool>, since: Instant) {
     let server = leader.listed.borrow().id.clone();
     match told_by_holder(&host, &leader).await {
-        Some(lasts) if lasts < suspicion::SILENT_AFTER => {
+        Some(lasts) if lasts < suspicion::SILENCE_TIMEOUT => {
             group.suspicion.borrow_mut().answered();
             group.probed.set(false);
             return;
         }
-        Some(lasts) if lasts < suspicion::LEFT_TO_HOLDER => {
+        Some(lasts) if lasts < suspicion::HOLDER_GRACE => {
             info!(group = %group.id, %server, silent_ms = lasts.as_millis() as u64, "leader: left to its holder");
-            group.suspicion.borrow_mut().left_to_another();
+            group.suspicion.borrow_mut().reset_silence();
             group.probed.set(false);
             return;
         }
-        _ => monoio::time::sleep(turn(&host, &group)).await,
+        _ => monoio::time::sleep(stagger_delay(&host, &group)).await,
     }
     if group.leader().as_ref() != Some(&server) {
         group.probed.set(false);
@@ -148,20 +148,20 @@
     let replicas = replicas.filter(|pool| !placement::is_forbidden(&host, pool));
     let replicas: Vec<_> = replicas.collect();
     let ask = async || {
-        let asks = replicas.iter().map(|pool| status(&host, pool, suspicion::PROBE_WITHIN));
+        let asks = replicas.iter().map(|pool| status(&host, pool, suspicion::PROBE_TIMEOUT));
         for status in future::join_all(asks).await.into_iter().flatten() {
             group.suspicion.borrow_mut().received(status.received, host.now());
         }
     };
     // Asked twice, so that the second answer shows whether they stand still.
     let asks = async {
-        let again = monoio::time::Instant::now() + suspicion::STILL_FOR;
+        let again = monoio::time::Instant::now() + suspicion::REPLICA_STALL_TIMEOUT;
         ask().await;
         monoio::time::sleep_until(again).await;
         ask().await;
     };
     // At the same time: how long replicas stand still counts from the first answer.
-    let (answer, ()) = monoio::join!(status(&host, &leader, suspicion::PROBE_WITHIN), asks);
+    let (answer, ()) = monoio::join!(status(&host, &leader, suspicion::PROBE_TIMEOUT), asks);
     let now = host.now();
     match answer {
         Ok(_) | Err(StatusError::Busy) => group.suspicion.borrow_mut().answered(),
@@ -190,12 +190,12 @@
 }
 
 /// How much later than the first hosts this one acts on a group's leader.
-fn turn(host: &Host, group: &Group) -> Duration {
+fn stagger_delay(host: &Host, group: &Group) -> Duration {
     let held = host.held.borrow();
     let hosts: Vec<_> = held.view().members.keys().cloned().collect();
     let order = rendezvous::order(group.id.as_str(), &hosts);
     let rank = order.iter().position(|id| **id == host.settings.host);
-    suspicion::turn(rank.unwrap_or(hosts.len()))
+    suspicion::stagger_delay(rank.unwrap_or(hosts.len()))
 }
 
 /// Why a server has not told how it stands.
@@ -251,7 +251,7 @@
     if dead {
         monoio::time::sleep(DEAD_FOR).await;
     }
-    let late = store_now(&host) > since + TURN + TURN_MARGIN;
+    let late = store_now(&host) > since + FAILOVER_TTL + FAILOVER_MARGIN;
     let still = host.held.borrow().leadership(&group.id).is_some_and(
         |row| matches!(&row.value, Leadership::Moving { since: now, .. } if *now == since),
     );
@@ -287,7 +287,7 @@
     let before = host.held.borrow().leadership(&group.id).cloned();
     monoio::spawn(async move {
         // Hosts notice together; the first to write the intent makes the change.
-        let pause = turn(&host, &group) + Duration::from_millis(rand::random_range(0..40));
+        let pause = stagger_delay(&host, &group) + Duration::from_millis(rand::random_range(0..40));
         monoio::time::sleep(pause).await;
         let version = host.held.borrow().leadership(&group.id).map(|row| row.version);
         if version != before.as_ref().map(|row| row.version) {
--- a/components/proxy/src/place.rs
+++ b/components/proxy/src/place.rs
@@ -106,8 +106,8 @@
             let listed = pool.listed.borrow();
             Candidate {
                 health,
-                near: listed.domain == host.settings.domain,
-                warm: host.holder(pool).is_some() || pool.is_warm(&job.account),
+                same_domain: listed.domain == host.settings.domain,
+                connected: host.holder(pool).is_some() || pool.is_warm(&job.account),
                 leads: leads.as_ref() == Some(&listed.id),
                 cold: pool.is_cold(now),
                 slots: listed.slots,
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -32,7 +32,7 @@
 
 /// Whether another host may be sent statements with these homes.
 pub fn may_carry(host: &host::Host, carrier: &ids::HostId, homes: &homes::Homes) -> bool {
-    if homes.is_anywhere() {
+    if homes.is_unrestricted() {
         return true;
     }
     let held = host.held.borrow();
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -53,11 +53,11 @@
     /// What its answers say of it.
     pub health: RefCell<Health>,
     /// What the server owes on connections of this host, other hosts' statements included.
-    pub exchanges: RefCell<silence::Watch>,
+    pub exchanges: RefCell<silence::AnswerTracker>,
     /// Whether the host that holds its connections has room for statements.
     pub congestion: RefCell<congestion::Memory>,
     /// Whether it has just started, and what it was sent since.
-    pub warmth: RefCell<cold::Warmth>,
+    pub warmth: RefCell<cold::WarmUp>,
     /// The limit while it is cold, and how far all hosts may exceed it.
     cold: Cell<(Option<cold::Limit>, cold::Tolerance)>,
     /// How many statements are under way, and who waits.
@@ -119,7 +119,7 @@
             health: RefCell::default(),
             exchanges: RefCell::default(),
             congestion: RefCell::default(),
-            warmth: RefCell::new(cold::Warmth::new(now)),
+            warmth: RefCell::new(cold::WarmUp::new(now)),
             cold: Cell::default(),
             gate: RefCell::new(Gate::new(1)),
             waiting: RefCell::default(),
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -13,7 +13,7 @@
 use anyhow::Context;
 use bergamottrack_adapter::probes;
 use bergamottrack_contract as contract;
-use bergamottrack_coordination::{Clock, demand::Demand, token::Secret, view::Held};
+use bergamottrack_coordination::{Clock, demand::Demand, token::Secret, view::LocalView};
 use bergamottrack_model::Settings;
 use bergamottrack_operator::serve::{self as http, Handler, Reply};
 use bergamottrack_peer::{
@@ -108,7 +108,7 @@
     let mesh = Mesh::with_pace(me, secret, clock.clone(), routes, fleet::PACE);
     let demand = Demand::new(settings.tolerance, run, began);
     Rc::new(Host {
-        held: RefCell::new(Held::new(settings.host.clone(), fleet::place(&settings))),
+        held: RefCell::new(LocalView::new(settings.host.clone(), fleet::place(&settings))),
         settings,
         clock,
         run,
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -36,8 +36,8 @@
             return Some(ruling);
         }
     }
-    let elsewhere = host.neighbours.borrow().elsewhere.clone();
-    for hub in &elsewhere {
+    let remote_hubs = host.neighbours.borrow().remote_hubs.clone();
+    for hub in &remote_hubs {
         let Some(link) = host.reach(hub) else { continue };
         if let Some(ruling) = ask(&link, id, account).await {
             return Some(ruling);
