--- a/components/coordination/src/view.rs
+++ b/components/coordination/src/view.rs
@@ -296,7 +296,7 @@
 #[derive(Debug)]
 pub struct LeaseRelease {
     /// When the last lease has run out, whatever the hosts do.
-    pub over: Instant,
+    pub deadline: Instant,
     waiting: Vec<HostId>,
 }
 
@@ -309,7 +309,7 @@
             .filter(|(host, member)| *host != me && !member.value.is_over(view.clock))
             .map(|(host, _)| host.clone())
             .collect();
-        Self { over: now + LEASE_TTL + LEASE_MARGIN, waiting }
+        Self { deadline: now + LEASE_TTL + LEASE_MARGIN, waiting }
     }
 
     /// Hosts that may still hold a lease.
@@ -333,6 +333,6 @@
 
     /// Whether no host holds one.
     pub fn is_over(&self, now: Instant) -> bool {
-        self.waiting.is_empty() || now >= self.over
+        self.waiting.is_empty() || now >= self.deadline
     }
 }
--- a/components/proxy/src/change.rs
+++ b/components/proxy/src/change.rs
@@ -193,7 +193,7 @@
             let now = host.now();
             let own = group.released.get() >= self.intent;
             let others = release.borrow().is_over(now);
-            if others && (own || now >= release.borrow().over) {
+            if others && (own || now >= release.borrow().deadline) {
                 return Ok(());
             }
             if now >= noted + NOTED_EVERY {
