--- a/components/coordination/src/view.rs
+++ b/components/coordination/src/view.rs
@@ -1,16 +1,15 @@
-//! Who is of the fleet and who leads each group, as of one moment.
+//! Members of the fleet and leaders of all groups at one version of the store.
 //!
-//! The view is a table of the platform's store. A host uses the leader of a
-//! group only while it holds a *lease*: it can show that at most [`LEASE_TTL`] ago
-//! the view named that leader and counted the host in. A change of leader is
-//! written as an intent first; from then on no host can get a new lease on the
-//! old leader, and it is over when every host has given its lease back or
-//! [`LEASE_TTL`] has passed. Only then may another server be promoted.
+//! The view is a table of the platform's store. A host uses the leader of a group only
+//! while it holds a *lease*: it can prove that at most [`LEASE_TTL`] ago the view named that
+//! leader and listed the host as a member. A failover first writes an intent to the store;
+//! from then on no host can get a new lease on the former leader. Another server may be
+//! promoted only after every host has released its lease or [`LEASE_TTL`] has passed.
 //!
-//! Why this holds though clocks are only steady, not equal: a host counts its
-//! lease from a local time that lies *before* the store answered, and the one
-//! who waits counts from a local time *after* the store took the intent. Both
-//! run at nearly the true rate, also while a machine is suspended.
+//! This is safe with clocks that are steady but not synchronized: a host counts its lease
+//! from a local time *before* the store answered, and the host that waits counts from a local
+//! time *after* the store accepted the intent. Both clocks run at nearly the true rate, also
+//! while a machine is suspended.
 
 use std::{
     collections::BTreeMap,
@@ -28,114 +27,114 @@
     succession::Terms,
 };
 
-/// How long a host may use a leader without showing again that it leads.
+/// How long a host may use a leader without a new proof that it leads.
 ///
-/// Long enough to bridge the store's usual outages of 4 to 6 s with a second to
-/// spare, so that callers do not notice them. The price is paid only when a
-/// host is silent while a leader is replaced: all wait this long for it.
+/// It covers typical store outages of 4 to 6 s with a second to spare, so that callers do
+/// not notice them. In return, a failover waits this long for a host that does not answer.
 pub const LEASE_TTL: Duration = Duration::from_millis(7500);
 
-/// What is added to [`LEASE_TTL`] by the one who waits for it to end: drift of two
-/// clocks over the lease and the time from a check to the send that it allows.
+/// Margin that the waiting host adds to [`LEASE_TTL`]: drift of two clocks over the lease,
+/// and the time between a lease check and the send that it allows.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(250);
 
 /// A host of the fleet.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// Where other hosts reach it.
+    /// Address at which other hosts reach this host.
     pub peer: SocketAddr,
-    /// The failure domain it stands in.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// Tells apart where the host stands: the same for all its processes that listen at one
-    /// address, in one failure domain.
+    /// Hash of the host's address, failure domain and power, see [`place`]; equal for all
+    /// processes of the host that are started with the same values.
     pub place: u64,
-    /// The store's clock when others took it out, since they did not hear it. It
-    /// may hold a lease for a while yet, and counts itself in again if it lives.
+    /// Time of the store's clock at which other hosts removed this host because they did not
+    /// receive its heartbeats. It may still hold a lease, and registers again if it runs.
     #[serde(default)]
     pub left: Option<Duration>,
-    /// The newest intent after which it used the old leader no more; written only
-    /// when it cannot tell the one who waits for it.
+    /// Version of the newest intent for which the host has released its lease; written only
+    /// when the host cannot reach the host that runs the failover.
     #[serde(default)]
     pub released: u64,
-    /// Thousandths of a processor core that it has.
+    /// Processor capacity of the host in thousandths of a core.
     #[serde(default)]
     pub power: u32,
 }
 
 impl Member {
-    /// Whether no lease of it can be left at that time of the store's clock.
+    /// Returns whether a removed host's lease has certainly expired at the store time `clock`.
     pub fn is_over(&self, clock: Duration) -> bool {
         self.left.is_some_and(|left| clock >= left + LEASE_TTL + LEASE_MARGIN)
     }
 }
 
-/// Who leads a group.
+/// Leadership of a group.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Leadership {
-    /// This server, until an intent says otherwise.
+    /// The group has a leader, and no intent to replace it is written.
     Steady {
-        /// The server.
+        /// Server that leads the group.
         leader: ServerId,
-        /// The term in which it leads; 0 while nobody has asked it.
+        /// Term in which the leader leads; 0 until its status has been read.
         #[serde(default)]
         term: Term,
     },
-    /// Nobody may be used: a change is on its way.
+    /// A failover is in progress; no server may be used as the leader.
     Moving {
-        /// The server that led; none when it was never known.
+        /// Former leader; none if it was never known.
         from: Option<ServerId>,
-        /// The host that makes the change.
+        /// Host that runs the failover.
         holder: HostId,
-        /// The store's clock when it took up the change; its right to make it
-        /// ends [`FAILOVER_TTL`] later.
+        /// Time of the store's clock at which the failover began; the holder's right to run
+        /// it expires [`FAILOVER_TTL`] later.
         since: Duration,
-        /// Whether the leader leaves as planned and still serves.
+        /// Whether the failover is planned, with a former leader that still serves.
         planned: bool,
-        /// The term in which `from` led; 0 while it is not known.
+        /// Term in which `from` led; 0 while it is unknown.
         #[serde(default)]
         term: Term,
     },
 }
 
-/// How long a host may make a change of leader before another may take it over.
-/// A change takes the lease, a promotion of a second and the waits between.
+/// How long a host may run a failover before another host may take it over. A failover takes
+/// the lease, a promotion of one second and the pauses between.
 pub const FAILOVER_TTL: Duration = Duration::from_millis(11_500);
 
-/// What is added to [`FAILOVER_TTL`] by the one who takes over, for clocks that differ.
+/// Margin that a host adds to [`FAILOVER_TTL`] before it takes over, for clock differences.
 pub const FAILOVER_MARGIN: Duration = Duration::from_millis(1500);
 
-/// A row of the view.
+/// A row of the view with its version.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Versioned<T> {
-    /// The change of the store that it comes from.
+    /// Version of the store change that wrote the row.
     pub version: u64,
-    /// What it says.
+    /// Content of the row.
     pub value: T,
 }
 
-/// The whole view as of one moment.
+/// All rows of the view at one version of the store.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct View {
-    /// The newest change of the store at that moment.
+    /// Version of the newest store change.
     pub version: u64,
-    /// The store's clock at that moment.
+    /// Time of the store's clock when the view was read.
     pub clock: Duration,
-    /// The secret that hosts of the fleet prove to each other.
+    /// Shared secret by which hosts of the fleet authenticate each other.
     pub secret: Option<Box<str>>,
-    /// Who calls for promotions.
+    /// Lock on promotion calls.
     pub duty: Option<Versioned<Duty>>,
-    /// The hosts.
+    /// Hosts of the fleet.
     pub members: BTreeMap<HostId, Versioned<Member>>,
-    /// Who leads; a group without an entry is led by the server that says so.
+    /// Leadership by group; a group without an entry is led by the server that reports that
+    /// it leads.
     pub groups: BTreeMap<GroupId, Versioned<Leadership>>,
-    /// Up to which term a group's terms may be over, since a promotion was asked for.
-    /// Only whoever changes a leader reads it, so it is not part of the stamp.
+    /// Term up to which a group's terms may have ended, because a promotion was requested.
+    /// Only the host that runs a failover reads it, so it is not part of the stamp.
     #[serde(default)]
     pub closed: BTreeMap<GroupId, Term>,
 }
 
 impl Leadership {
-    /// The term of the leader that is named last; 0 while it is not known.
+    /// Term of the current or former leader; 0 while it is unknown.
     pub fn term(&self) -> Term {
         match self {
             Self::Steady { term, .. } | Self::Moving { term, .. } => *term,
@@ -144,14 +143,15 @@
 }
 
 impl View {
-    /// What is known of a group's terms.
+    /// Returns the known and the closed term of a group; 0 where unknown.
     pub fn terms(&self, group: &GroupId) -> Terms {
         let known = self.groups.get(group).map(|row| row.value.term());
         let closed = self.closed.get(group).copied();
         Terms { known: known.unwrap_or_default(), closed: closed.unwrap_or_default() }
     }
 
-    /// Tells views with other rows apart, whenever they were read.
+    /// Returns a hash of the keys and versions of all members and groups. It does not depend
+    /// on when the view was read.
     pub fn stamp(&self) -> u64 {
         let mut hash = xxh3::Xxh3::new();
         for (id, row) in &self.members {
@@ -166,48 +166,49 @@
     }
 }
 
-/// The place of a host: where it listens for others, and what else its row says of it.
+/// Returns the hash of a host's address, failure domain and power, which identifies the
+/// content of its row.
 pub fn place(peer: SocketAddr, domain: &FailureDomain, power: u32) -> u64 {
     xxh3::xxh3_64(format!("{peer} {domain} {power}").as_bytes())
 }
 
-/// The newest view that a host knows, and since when it may act on it.
+/// The newest view that a host has, and the time up to which it is proven current.
 #[derive(Debug)]
 pub struct LocalView {
     me: HostId,
-    /// Where this host stands, as in its row.
+    /// Hash that this host's row must have, see [`Member::place`].
     place: u64,
     view: View,
-    /// The view's stamp.
+    /// Stamp of `view`.
     stamp: u64,
-    gone: RemovedHosts,
-    /// A local time no later than the view's moment.
-    shown: Option<Instant>,
+    removed: RemovedHosts,
+    /// Latest local time at which the view is proven to have been the newest.
+    confirmed_at: Option<Instant>,
 }
 
 impl LocalView {
-    /// Nothing is known yet.
+    /// Creates an empty view for the host `me`.
     pub fn new(me: HostId, place: u64) -> Self {
         Self {
             me,
             place,
             view: View::default(),
             stamp: 0,
-            gone: RemovedHosts::default(),
-            shown: None,
+            removed: RemovedHosts::default(),
+            confirmed_at: None,
         }
     }
 
-    /// The view.
+    /// The newest view.
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Takes a view that was the newest at the local time `asked` or later;
-    /// false when a newer one is known.
+    /// Replaces the view by one that was the newest at the local time `asked` or later.
+    /// Returns false, without any change, if the current one is newer.
     ///
-    /// Rows taken by [`LocalView::take`] that are newer than the view stay: a host that
-    /// has given its lease on a leader back must not fall back to an older row.
+    /// Rows from [`LocalView::take`] that are newer than the view are kept: a host that has
+    /// released its lease on a leader must not return to an older row.
     pub fn learn(&mut self, mut view: View, asked: Instant) -> bool {
         if view.version < self.view.version {
             return false;
@@ -217,17 +218,17 @@
                 view.groups.insert(id.clone(), row.clone());
             }
         }
-        self.gone.note(&self.view, &view);
+        self.removed.note(&self.view, &view);
         self.stamp = view.stamp();
         self.view = view;
-        self.shown = self.shown.max(Some(asked));
+        self.confirmed_at = self.confirmed_at.max(Some(asked));
         true
     }
 
-    /// Takes one group's row, if it is newer than the known one.
+    /// Replaces one group's row if the given one is newer, and returns whether it was.
     ///
-    /// The lease stays as it was: it began no later than the row was written, so
-    /// who changes that leader next waits for it.
+    /// The lease is unchanged: it began no later than the row was written, so the next
+    /// failover of the group waits for it.
     pub fn take(&mut self, group: &GroupId, row: Versioned<Leadership>) -> bool {
         if self.leadership(group).is_some_and(|known| known.version >= row.version) {
             return false;
@@ -237,72 +238,70 @@
         true
     }
 
-    /// What a host does not know that has the view of version `since`.
+    /// Returns the changes since the view of version `since`.
     pub fn changes(&self, since: u64) -> Changes {
-        self.gone.changes(&self.view, since)
+        self.removed.changes(&self.view, since)
     }
 
-    /// The view's stamp.
+    /// Stamp of the view, see [`View::stamp`].
     pub fn stamp(&self) -> u64 {
         self.stamp
     }
 
-    /// Notes that a view with that stamp was the newest when the store's clock
-    /// showed `clock`, which was at the local time `shown` or later. Says nothing
-    /// of a view with other rows.
-    pub fn renew(&mut self, stamp: u64, clock: Duration, shown: Instant) {
+    /// Renews the lease if this view has the given stamp. A view with that stamp was the
+    /// newest at the store time `clock`, which was at the local time `confirmed_at` or later.
+    pub fn renew(&mut self, stamp: u64, clock: Duration, confirmed_at: Instant) {
         if stamp == self.stamp && clock > self.view.clock {
             self.view.clock = clock;
-            self.shown = self.shown.max(Some(shown));
+            self.confirmed_at = self.confirmed_at.max(Some(confirmed_at));
         }
     }
 
-    /// How long ago the view was the newest for certain.
+    /// Time since the view was last proven to be the newest; none before the first proof.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.shown.map(|shown| now.saturating_duration_since(shown))
+        self.confirmed_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// A local time until which this host may use the leaders of the view.
+    /// Local time at which the lease on the leaders of the view expires.
     pub fn until(&self) -> Option<Instant> {
-        self.shown.map(|shown| shown + LEASE_TTL)
+        self.confirmed_at.map(|at| at + LEASE_TTL)
     }
 
-    /// Whether this host is counted in.
+    /// Returns whether the view lists this host as a member.
     ///
-    /// A row that an earlier process of the host wrote counts as well: whoever changes a leader
-    /// asks at the same address, and a process listens there before it reads the view. So a
-    /// connection that is refused after the intent was written proves that no process of the
-    /// host has read an older view.
+    /// A row written by an earlier process of the host counts as well: a failover contacts
+    /// the host at the same address, and a process listens there before it reads the view. So
+    /// a connection that is refused after the intent was written proves that no process of
+    /// the host has read an older view.
     pub fn is_member(&self) -> bool {
         let own = self.view.members.get(&self.me);
         own.is_some_and(|own| own.value.place == self.place && own.value.left.is_none())
     }
 
-    /// Whether this host may use leaders now.
+    /// Returns whether this host holds a lease and so may use the leaders of the view.
     ///
-    /// One that is not counted in may not: whoever changes a leader would not
-    /// wait for it.
+    /// A host that is not a member holds none, since a failover would not wait for it.
     pub fn leased(&self, now: Instant) -> bool {
         self.is_member() && self.age(now).is_some_and(|age| age < LEASE_TTL)
     }
 
-    /// Who leads a group, by the view.
+    /// Leadership of a group in the view.
     pub fn leadership(&self, group: &GroupId) -> Option<&Versioned<Leadership>> {
         self.view.groups.get(group)
     }
 }
 
-/// The wait for all leases on a former leader to end.
+/// Tracks the hosts that may still hold a lease on a former leader.
 #[derive(Debug)]
 pub struct LeaseRelease {
-    /// When the last lease has run out, whatever the hosts do.
+    /// Local time at which every lease has expired, whether released or not.
     pub deadline: Instant,
     waiting: Vec<HostId>,
 }
 
 impl LeaseRelease {
-    /// Begins at `now`, after the store took the intent; waits for all members
-    /// of a view that is as new as the intent.
+    /// Starts the wait at `now`, after the store accepted the intent, for all members of
+    /// `view` but `me`; `view` must be at least as new as the intent.
     pub fn new(view: &View, me: &HostId, now: Instant) -> Self {
         let members = view.members.iter();
         let waiting = members
@@ -317,21 +316,21 @@
         &self.waiting
     }
 
-    /// Notes that a host holds none any more: it said so, or it runs no more.
+    /// Records that a host holds no lease any more: it released it or its process has ended.
     pub fn returned(&mut self, host: &HostId) {
         self.waiting.retain(|other| other != host);
     }
 
-    /// Notes what the store says of hosts that could not be told.
+    /// Records releases that hosts wrote to the store, because they could not be reached.
     pub fn note(&mut self, view: &View, intent: u64) {
         self.waiting.retain(|host| match view.members.get(host) {
             Some(member) => member.value.released < intent && !member.value.is_over(view.clock),
-            // A host that left took itself out after its last use of a leader.
+            // A host that shuts down removes its row after its last use of a leader.
             None => false,
         });
     }
 
-    /// Whether no host holds one.
+    /// Returns whether no host can hold a lease any more.
     pub fn is_over(&self, now: Instant) -> bool {
         self.waiting.is_empty() || now >= self.deadline
     }
