--- a/components/coordination/src/leadership.rs
+++ b/components/coordination/src/leadership.rs
@@ -1,7 +1,8 @@
-//! Who leads a database group, what is confirmed, and whom to promote.
+//! Leadership of a database group: confirmed records, detection of a failed primary, and
+//! choice of the server to promote.
 //!
-//! No clock is trusted here and no safety rests on there being one promoter:
-//! a majority of the group's servers promises each term to one promoter only.
+//! Safety depends neither on clocks nor on a single promoter: a majority of the group's
+//! servers promises each term to one promoter only.
 
 use std::{
     fmt,
@@ -13,12 +14,12 @@
 
 use crate::{Point, Position, Term, UnitError};
 
-/// What a backend server does in its group.
+/// Role of a backend server in its group.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Role {
-    /// Takes writes in its term.
+    /// Accepts writes in its term.
     Primary,
-    /// Follows a primary.
+    /// Replicates from a primary.
     Replica,
 }
 
@@ -31,28 +32,28 @@
     }
 }
 
-/// What a backend server says of itself.
+/// State of a backend server as it reports it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Status {
-    /// What it does.
+    /// Role of the server.
     pub role: Role,
-    /// Term of the primary that it is or follows; at most `promised`.
+    /// Term of the primary that the server is or follows; at most `promised`.
     pub term: Term,
-    /// The greatest term promised; it takes no log of an earlier one.
+    /// Greatest term promised; the server accepts no log of an earlier term.
     pub promised: Term,
-    /// The last record in its log, held but perhaps not yet shown.
+    /// Last record in the log, possibly not applied yet.
     pub held: Point,
-    /// The last record that its reads show; at most `held.position`.
+    /// Last record that reads show; at most `held.position`.
     pub applied: Point,
 }
 
 impl Status {
-    /// Whether the server takes writes: a primary that has promised no later term.
+    /// Returns whether the server accepts writes: a primary that has promised no later term.
     pub fn leads(&self) -> bool {
         self.role == Role::Primary && self.promised == self.term
     }
 
-    /// Whether this server, not the primary, holds `point` in the point's own term.
+    /// Returns whether this replica confirms `point`, by holding it in the point's own term.
     ///
     /// A later promise by this server reports `held`, so the promoter sees the record.
     pub fn confirms(&self, point: Point) -> bool {
@@ -73,15 +74,18 @@
     type Err = UnitError;
 
     fn from_str(text: &str) -> Result<Self, UnitError> {
-        let bad = || UnitError { given: text.into(), wanted: "a server status" };
-        let mut words = text.split(' ');
-        let role = match words.next() {
+        let invalid = || UnitError { given: text.into(), wanted: "a server status" };
+        let mut fields = text.split(' ');
+        let role = match fields.next() {
             Some("primary") => Role::Primary,
             Some("replica") => Role::Replica,
-            _ => return Err(bad()),
+            _ => return Err(invalid()),
         };
         let mut value = |name: &str| {
-            words.next().and_then(|word| word.strip_prefix(name)?.strip_prefix('=')).ok_or_else(bad)
+            fields
+                .next()
+                .and_then(|field| field.strip_prefix(name)?.strip_prefix('='))
+                .ok_or_else(invalid)
         };
         Ok(Self {
             role,
@@ -93,16 +97,16 @@
     }
 }
 
-/// How many of `servers` make a majority.
+/// Returns the size of a majority of `servers`.
 pub fn majority(servers: usize) -> usize {
     servers / 2 + 1
 }
 
-/// Of the servers that promised a term, the one to promote: with the greatest
-/// log. `None` unless they are a majority of the group's `servers`.
+/// Selects the server to promote among those that promised a term: the one with the greatest
+/// log. Returns `None` unless they are a majority of the group's `servers`.
 ///
-/// An acknowledged record is held by two of three servers in its own term, so
-/// one of any majority holds it, and no greater log lacks it.
+/// An acknowledged record is held by two of three servers in its own term, so at least one
+/// server of any majority holds it, and no greater log lacks it.
 pub fn successor<K: Clone + Ord>(promises: &[(K, Point)], servers: usize) -> Option<K> {
     if promises.len() < majority(servers) {
         return None;
@@ -110,48 +114,49 @@
     promises.iter().max_by_key(|(key, held)| (*held, key.clone())).map(|(key, _)| key.clone())
 }
 
-/// The term to ask promises for: above all that was seen.
+/// Returns the term for which to request promises: greater than every term in `seen`.
 pub fn next_term<'a>(seen: impl IntoIterator<Item = &'a Status>) -> Term {
     seen.into_iter().map(|s| s.promised.max(s.term)).max().unwrap_or_default().next()
 }
 
-/// The position that a lagging server still lacks.
+/// Returns the number of positions by which `applied` trails the primary; 0 if it is ahead.
 pub fn lag(primary: Position, applied: Position) -> u64 {
     primary.0.saturating_sub(applied.0)
 }
 
-/// How long connections must have been refused before the server counts as gone.
+/// How long connections must have been refused before a server is considered down.
 ///
-/// A process that ends refuses at once, so this is quicker evidence than silence.
+/// After a process ends, connections are refused at once, so refusals detect a crash earlier
+/// than the silence timeout.
 pub const REFUSAL_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A look that comes later than this after the one before means that the
-/// observer itself stood still.
-const PAUSE: Duration = Duration::from_millis(150);
+/// Longest time between two observations; after a longer one the observer itself is assumed
+/// to have been paused.
+const MAX_OBSERVE_GAP: Duration = Duration::from_millis(150);
 
-/// What an observer has seen of one server.
+/// Last observed state of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Observation {
-    /// What the server last said, however long ago.
+    /// Last reported status, of any age.
     pub status: Option<Status>,
-    /// When it was last heard of.
+    /// Time of the last contact.
     pub last_seen: Option<Instant>,
-    /// Since when it refuses connections.
+    /// Time since which the server has refused connections; none while it does not.
     pub refused_since: Option<Instant>,
 }
 
-/// Why a group needs another primary.
+/// Reason for the replacement of a primary.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
     /// The primary's machine refuses connections.
     Refused,
-    /// The primary has not answered for too long.
+    /// The primary has not answered within the silence timeout.
     Silent,
     /// The primary answers, but its replicas no longer receive its log.
     Unconfirmed,
     /// No server leads in the greatest term promised.
     Leaderless,
-    /// The operator takes the primary out of work.
+    /// The operator is removing the primary.
     Leaving,
 }
 
@@ -167,84 +172,94 @@
     }
 }
 
-/// What is to be done about a group's leadership.
+/// Assessment of a group's leadership.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// A primary leads.
+    /// A primary leads the group.
     Healthy,
-    /// Something is wrong, but not for long enough.
+    /// A fault is observed, but has not lasted long enough for a failover.
     Suspected,
-    /// Another primary is needed.
+    /// Another server must be promoted.
     Promote(Cause),
-    /// Too few servers are reachable for a primary to be trusted.
+    /// Too few servers are reachable to rely on a primary.
     NoMajority,
 }
 
-/// Judges from what is seen of a group whether it needs another primary.
+/// Detects from observations of a group that its primary must be replaced.
 ///
-/// It only ever makes a promotion start early or late: whether one is safe is
-/// decided by the promises of the servers.
+/// It only affects when a promotion starts: its safety is decided by the promises of the
+/// servers.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
-    /// How long a silent server counts as there.
+    /// Time since the last contact after which a server is considered unreachable.
     pub silence_timeout: Duration,
-    /// When the observer last looked.
-    looked: Instant,
-    /// Silence is counted from here on: the observer itself stood still before.
-    from: Instant,
-    /// The greatest term promised, and since when it has been that.
+    /// Time of the last observation.
+    observed_at: Instant,
+    /// Start of the period over which silence is counted: the end of the observer's last
+    /// pause.
+    active_since: Instant,
+    /// Greatest term promised, and since when it has been the greatest.
     newest: (Term, Instant),
-    /// The most that replicas held of the primary's log while it held more,
-    /// and since when that has been so.
-    behind: Option<(Point, Instant)>,
+    /// Greatest point held by a replica while the primary held a greater one, and since when
+    /// it has not advanced.
+    stalled: Option<(Point, Instant)>,
 }
 
 impl FailureDetector {
-    /// A detector that has seen nothing yet.
+    /// Creates a detector without any observation.
     pub fn new(silence_timeout: Duration, now: Instant) -> Self {
-        Self { silence_timeout, looked: now, from: now, newest: (Term(0), now), behind: None }
+        Self {
+            silence_timeout,
+            observed_at: now,
+            active_since: now,
+            newest: (Term(0), now),
+            stalled: None,
+        }
     }
 
-    /// Judges what is seen now; to be called every few tens of milliseconds.
-    pub fn observe(&mut self, now: Instant, sights: &[Observation]) -> Verdict {
-        // Guards against the observer's own pause: after it every server seems
-        // to have been silent, and a healthy primary would be replaced.
-        if now.saturating_duration_since(self.looked) > PAUSE {
-            (self.from, self.behind) = (now, None);
+    /// Assesses the current observations; to be called every few tens of milliseconds.
+    pub fn observe(&mut self, now: Instant, observations: &[Observation]) -> Verdict {
+        // After a pause of the observer itself every server seems to have been silent, and a
+        // healthy primary would be replaced.
+        if now.saturating_duration_since(self.observed_at) > MAX_OBSERVE_GAP {
+            (self.active_since, self.stalled) = (now, None);
         }
-        self.looked = now;
-        let newest = sights.iter().filter_map(|s| s.status).map(|s| s.promised).max();
+        self.observed_at = now;
+        let newest = observations.iter().filter_map(|s| s.status).map(|s| s.promised).max();
         let newest = newest.unwrap_or_default();
         if newest != self.newest.0 {
             self.newest = (newest, now);
         }
-        let verdict = self.judge(now, newest, sights);
-        let there = sights.iter().filter(|s| self.is_there(now, s)).count();
+        let verdict = self.judge(now, newest, observations);
+        let reachable = observations.iter().filter(|s| self.is_reachable(now, s)).count();
         match verdict {
             Verdict::Suspected => verdict,
-            _ if there >= majority(sights.len()) => verdict,
-            _ if self.passed(now, None) <= self.silence_timeout => Verdict::Suspected,
+            _ if reachable >= majority(observations.len()) => verdict,
+            _ if self.elapsed(now, None) <= self.silence_timeout => Verdict::Suspected,
             _ => Verdict::NoMajority,
         }
     }
 
-    /// Since when the replicas have received none of what the primary holds more.
+    /// Time since which the replicas have received nothing although the primary's log is
+    /// ahead; none while they receive or have caught up.
     pub fn stalled_since(&self) -> Option<Instant> {
-        self.behind.map(|(_, since)| since)
+        self.stalled.map(|(_, since)| since)
     }
 
-    /// Notes that the observer was at work until `now` and did not stand still.
+    /// Records that the observer was active until `now`, so that the time since the last
+    /// observation does not count as a pause.
     pub fn mark_active(&mut self, now: Instant) {
-        self.looked = now;
+        self.observed_at = now;
     }
 
-    fn judge(&mut self, now: Instant, newest: Term, sights: &[Observation]) -> Verdict {
+    fn judge(&mut self, now: Instant, newest: Term, observations: &[Observation]) -> Verdict {
         let leads = |s: &&Observation| s.status.is_some_and(|s| s.leads() && s.term == newest);
-        let Some(leader) = sights.iter().find(leads) else {
-            // Another observer may be at it: a new term gets its time first.
-            return after(
+        let Some(leader) = observations.iter().find(leads) else {
+            // Another observer may be running a promotion: a new term gets the silence
+            // timeout to find a leader.
+            return promote_after(
                 self.silence_timeout,
-                self.passed(now, Some(self.newest.1)),
+                self.elapsed(now, Some(self.newest.1)),
                 Cause::Leaderless,
             );
         };
@@ -254,64 +269,72 @@
         {
             return Verdict::Promote(Cause::Refused);
         }
-        if !self.is_there(now, leader) {
-            return after(self.silence_timeout, self.passed(now, leader.last_seen), Cause::Silent);
+        if !self.is_reachable(now, leader) {
+            return promote_after(
+                self.silence_timeout,
+                self.elapsed(now, leader.last_seen),
+                Cause::Silent,
+            );
         }
-        self.judge_replicas(now, leader, sights)
+        self.judge_replicas(now, leader, observations)
     }
 
-    /// A primary that answers its observers but has lost its replicas can have
-    /// no write confirmed: callers would wait in vain until the link is mended.
+    /// Checks that the replicas receive the primary's log.
+    ///
+    /// A primary that answers its observers but is cut off from its replicas gets no write
+    /// confirmed, so callers would time out until the link is repaired.
     fn judge_replicas(
         &mut self,
         now: Instant,
         leader: &Observation,
-        sights: &[Observation],
+        observations: &[Observation],
     ) -> Verdict {
         let Some(status) = leader.status else { return Verdict::Suspected };
-        let others = sights.iter().filter(|s| !std::ptr::eq(*s, leader) && self.is_there(now, s));
+        let others =
+            observations.iter().filter(|s| !std::ptr::eq(*s, leader) && self.is_reachable(now, s));
         let held: Vec<Point> = others.filter_map(|s| Some(s.status?.held)).collect();
         let best = held.iter().max().copied().unwrap_or_default();
-        if best >= status.held || held.len() < majority(sights.len()) {
-            self.behind = None;
+        if best >= status.held || held.len() < majority(observations.len()) {
+            self.stalled = None;
             return Verdict::Healthy;
         }
-        match self.behind {
+        match self.stalled {
             Some((point, since)) if point == best => {
-                let passed = now.saturating_duration_since(since);
-                match after(self.silence_timeout, passed, Cause::Unconfirmed) {
+                let elapsed = now.saturating_duration_since(since);
+                match promote_after(self.silence_timeout, elapsed, Cause::Unconfirmed) {
                     Verdict::Suspected => Verdict::Healthy,
                     verdict => verdict,
                 }
             }
             _ => {
-                self.behind = Some((best, now));
+                self.stalled = Some((best, now));
                 Verdict::Healthy
             }
         }
     }
 
-    fn is_there(&self, now: Instant, sight: &Observation) -> bool {
-        sight.refused_since.is_none()
-            && sight.last_seen.is_some()
-            && self.passed(now, sight.last_seen) <= self.silence_timeout
+    fn is_reachable(&self, now: Instant, observation: &Observation) -> bool {
+        observation.refused_since.is_none()
+            && observation.last_seen.is_some()
+            && self.elapsed(now, observation.last_seen) <= self.silence_timeout
     }
 
-    /// The time since `at`, without that in which the observer stood still.
-    fn passed(&self, now: Instant, at: Option<Instant>) -> Duration {
-        now.saturating_duration_since(at.map_or(self.from, |at| at.max(self.from)))
+    /// Returns the time since `at`, or since the observer's last pause if that is shorter.
+    fn elapsed(&self, now: Instant, at: Option<Instant>) -> Duration {
+        now.saturating_duration_since(at.map_or(self.active_since, |at| at.max(self.active_since)))
     }
 }
 
-fn after(limit: Duration, passed: Duration, cause: Cause) -> Verdict {
-    if passed > limit { Verdict::Promote(cause) } else { Verdict::Suspected }
+fn promote_after(limit: Duration, elapsed: Duration, cause: Cause) -> Verdict {
+    if elapsed > limit { Verdict::Promote(cause) } else { Verdict::Suspected }
 }
 
-/// How long to wait after `failures` failed promotions in a row; `chance` is
-/// a random number from 0 to 1, so that two promoters do not meet again.
+/// Returns the delay before the next attempt after `failures` failed promotions in a row,
+/// between 40 ms and 1 s. `chance` is a random number from 0 to 1, which keeps two promoters
+/// from colliding again.
 pub fn backoff(failures: u32, chance: f64) -> Duration {
-    const LEAST_MS: f64 = 40.0;
-    const MOST_MS: f64 = 1_000.0;
-    let most = (LEAST_MS * 2_f64.powi(failures.min(8) as i32)).min(MOST_MS);
-    Duration::from_millis((LEAST_MS + chance * (most - LEAST_MS)) as u64)
+    const MIN_DELAY_MS: f64 = 40.0;
+    const MAX_DELAY_MS: f64 = 1_000.0;
+    let most = (MIN_DELAY_MS * 2_f64.powi(failures.min(8) as i32)).min(MAX_DELAY_MS);
+    Duration::from_millis((MIN_DELAY_MS + chance * (most - MIN_DELAY_MS)) as u64)
 }
