--- a/components/coordination/src/freshness.rs
+++ b/components/coordination/src/freshness.rs
@@ -1,23 +1,21 @@
-//! Whether a host may still act on the revision it knows.
+//! Proof that a host's revision of the configuration is recent enough to act on.
 //!
-//! A revision is *accepted* once the table service has it and it has been told
-//! to a majority of its own roster and to a majority of the roster before it;
-//! no step is made from a revision that was not told so. A host acts only while
-//! it can show that no newer revision was accepted within a few seconds of now.
-//! It shows so by reading the head of the chain, or by the answers of a majority
-//! of its own roster, none of which knows a newer revision. Times count from
-//! when the question was *sent*: an answer may have been long under way.
+//! A revision is *accepted* once the table service stores it and it has been propagated to a
+//! majority of its own roster and to a majority of the previous roster. No revision is built
+//! on one that was not propagated in this way. A host acts only while it can prove that no
+//! newer revision had been accepted a few seconds ago. The proof is a read of the head of the
+//! chain, or votes of a majority of its own roster, none of which has a newer revision. Its
+//! time is the time at which the request was *sent*, since an answer may be delayed.
 //!
-//! Why this holds. Say K+1 was accepted, and a host still at K asks the roster
-//! of K. Those told of K+1 are a majority of that roster, and so are those that
-//! answer: they meet in at least one host. It answers with K+1, unless it
-//! restarted since and forgot. But a restarted host vouches for nothing before
-//! it has itself shown freshness: by the platform, which names K+1, or by a
-//! majority of hosts that vouch, and fewer than a majority of them lack K+1.
-//! So the hosts that vouch and lack K+1 are never a majority, and the asker is
-//! not shown fresh after the acceptance. For a host further behind the same
-//! holds of the step after *its* revision, which was told before any later one
-//! could be made, whatever the roster became.
+//! Why this is safe: suppose that K+1 was accepted, and a host at K asks the roster of K. The
+//! hosts with K+1 are a majority of that roster, and so are the hosts that answer, so both
+//! majorities have at least one host in common. It answers with K+1, unless it restarted and
+//! lost it. But a restarted host has no vote before it has proven freshness itself: by the
+//! platform, which names K+1, or by a majority of voting hosts, of which fewer than a majority
+//! lack K+1. So the voting hosts that lack K+1 are never a majority, and the asking host gets
+//! no proof after the acceptance. For a host further behind, the same holds for the successor
+//! of *its* revision, which was propagated before any later one could be made, whatever the
+//! roster is by then.
 
 use std::time::{Duration, Instant};
 
@@ -25,199 +23,205 @@
 
 use crate::{HostId, Revision, leadership};
 
-/// What a host answers when another asks whether its revision is the newest.
+/// A host's answer to another host that asks whether its revision is the newest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FreshnessVote {
-    /// The newest revision that it knows; 0 when it knows none.
+    /// Newest revision that the host has; 0 if none.
     pub known: Revision,
-    /// Whether it has shown freshness since it started. Before that its
-    /// ignorance of a newer revision means nothing.
+    /// Whether the host has proven freshness since it started. Before that, it may lack a
+    /// revision that it had before its restart.
     #[serde(rename = "vouches")]
     pub confirmed: bool,
-    /// The newest revision that it knows to have been told to majorities.
+    /// Newest revision known to have been propagated to the majorities.
     #[serde(rename = "told")]
     pub propagated: Revision,
-    /// Hosts that it has not heard for long.
+    /// Hosts without recent contact.
     #[serde(rename = "silent")]
     pub unreachable: Vec<HostId>,
 }
 
-/// What a round of questions showed.
+/// Result of one round of votes.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Tally {
-    /// No revision newer than the asker's was accepted before the round began.
+    /// Whether no revision newer than the asking host's was accepted before the round began.
     pub newest: bool,
-    /// The asker's revision is known to majorities of its roster and of the one before.
+    /// Whether majorities of its roster and of the previous one have the revision.
     pub propagated: bool,
-    /// A host that knows a newer revision, and that revision.
+    /// Host with the newest revision, and that revision; none if no host has a newer one.
     pub newer: Option<(HostId, Revision)>,
-    /// Hosts of the roster that know the asker's revision or a newer one.
+    /// Hosts of the roster that have the revision or a newer one.
     pub in_force: Vec<HostId>,
 }
 
-/// Counts the answers of one round. The asker's own answer is one of them.
+/// Counts the votes of one round, which include the asking host's own.
 ///
-/// Answers of hosts outside both rosters, and second answers of a host, do not
-/// count. Hosts that are `dead` for certain need not be told: they act no more.
-/// Without that, the loss of a majority of the hosts for good would stop all
-/// changes for good. The caller must be sure of it: a majority that is called
-/// dead, but goes on vouching for each other where nobody reaches it, would act
-/// on an old revision.
+/// Votes of hosts outside both rosters and second votes of a host are ignored. Hosts that are
+/// certainly `dead` do not need the revision, as they act no more. Without this exception the
+/// permanent loss of a majority would block all changes for ever. The caller must be certain:
+/// a majority that is declared dead, but is running in a partition and voting for each other,
+/// would act on an old revision.
 pub fn tally(
     known: Revision,
     roster: &[HostId],
     before: &[HostId],
     dead: &[HostId],
-    answers: &[(HostId, FreshnessVote)],
+    votes: &[(HostId, FreshnessVote)],
 ) -> Tally {
-    let answer = |host: &HostId| answers.iter().find(|(id, _)| id == host).map(|(_, vote)| vote);
-    let knows = |host: &&HostId| answer(host).is_some_and(|vote| vote.known >= known);
-    let confirmed = |host: &&HostId| answer(host).is_some_and(|vote| vote.confirmed);
+    let vote = |host: &HostId| votes.iter().find(|(id, _)| id == host).map(|(_, vote)| vote);
+    let has_revision = |host: &&HostId| vote(host).is_some_and(|vote| vote.known >= known);
+    let confirmed = |host: &&HostId| vote(host).is_some_and(|vote| vote.confirmed);
     let alive = |hosts: &[HostId]| -> Vec<HostId> {
         hosts.iter().filter(|host| !dead.contains(host)).cloned().collect()
     };
-    let newer = answers.iter().filter(|(_, vote)| vote.known > known);
+    let newer = votes.iter().filter(|(_, vote)| vote.known > known);
     let newer = newer.max_by_key(|(_, vote)| vote.known);
     Tally {
         newest: !roster.is_empty() && newer.is_none() && has_majority(roster, confirmed),
-        propagated: has_majority(&alive(roster), knows) && has_majority(&alive(before), knows),
+        propagated: has_majority(&alive(roster), has_revision)
+            && has_majority(&alive(before), has_revision),
         newer: newer.map(|(host, vote)| (host.clone(), vote.known)),
-        in_force: roster.iter().filter(knows).cloned().collect(),
+        in_force: roster.iter().filter(has_revision).cloned().collect(),
     }
 }
 
-/// Whether a majority of the hosts passes; of none, yes.
+/// Returns whether a majority of the hosts passes; true for no hosts.
 pub fn has_majority<'a>(hosts: &'a [HostId], passes: impl Fn(&&'a HostId) -> bool) -> bool {
     hosts.is_empty() || hosts.iter().filter(passes).count() >= leadership::majority(hosts.len())
 }
 
-/// Since when, and of what, a host can show freshness.
+/// The newest revision of a host and the latest proof that no newer one was accepted.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
-    /// The latest time at which nothing newer than `known` had been accepted;
-    /// none until freshness was shown once since the start.
-    shown: Option<Instant>,
-    /// The revision known here; never goes down.
+    /// Latest time at which no revision newer than `known` had been accepted; none until the
+    /// first proof since the start.
+    confirmed_at: Option<Instant>,
+    /// Newest revision of this host; never decreases.
     known: Revision,
 }
 
 impl Freshness {
-    /// Notes that a revision is known now.
+    /// Raises the newest revision of this host.
     ///
-    /// What was shown before stays shown: where nothing newer than the old
-    /// revision had been accepted, nothing newer than the new one had.
+    /// An earlier proof remains valid: if no revision newer than the old one had been
+    /// accepted, none newer than the new one had.
     pub fn raise(&mut self, revision: Revision) {
         self.known = self.known.max(revision);
     }
 
-    /// Notes that nothing newer than `newest` had been accepted at `asked`.
+    /// Records a proof that no revision newer than `newest` had been accepted at `asked`.
     ///
-    /// Does nothing when a newer revision than the one known here may exist.
+    /// It is ignored if this host does not have `newest` yet.
     pub fn confirm(&mut self, newest: Revision, asked: Instant) {
         if newest <= self.known {
-            self.shown = self.shown.max(Some(asked));
+            self.confirmed_at = self.confirmed_at.max(Some(asked));
         }
     }
 
-    /// Whether this host may vouch for others.
+    /// Returns whether this host's vote counts: it has proven freshness since its start.
     pub fn may_vote(&self) -> bool {
-        self.shown.is_some()
+        self.confirmed_at.is_some()
     }
 
-    /// How long ago the revision was the newest for certain.
+    /// Time since the revision was last proven to be the newest; none before the first proof.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.shown.map(|shown| now.saturating_duration_since(shown))
+        self.confirmed_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Whether this host may act.
+    /// Returns whether the last proof is more recent than `limit`, so that this host may act.
     ///
-    /// A host that was frozen finds its time run out when it wakes, since the
-    /// clock went on; it must show freshness again before it serves.
+    /// The clock goes on while a host is suspended, so that after a long suspension it needs
+    /// a new proof before it serves.
     pub fn is_fresh(&self, now: Instant, limit: Duration) -> bool {
         self.age(now).is_some_and(|age| age < limit)
     }
 }
 
-/// How old a configuration may be while no majority of the hosts is heard and
-/// nothing strict is asked for.
+/// Maximum age of the configuration of an isolated host without a strict bound.
 ///
-/// A host that neither the store nor the other hosts reach cannot know of a key
-/// that was taken away. It goes on for a while, since most cuts last 5 to 9 s and
-/// all its callers would be refused; then it stops. While it hears most hosts, and
-/// none of them has anything newer, the store is away for all, and nobody can
-/// change anything.
-const PLAN_AGE: Duration = Duration::from_secs(10);
-
-/// The part of a strict bound after which such a host stops; the rest is for what
-/// is on its way then.
-const STRICT_PART: f64 = 0.6;
-
-/// What the settings promise of configurations.
+/// A host that reaches neither the store nor a majority of the hosts cannot learn of a revoked
+/// key. It continues for this time, since most partitions last 5 to 9 s and all its callers
+/// would be refused, and then stops. A host that has contact with a majority, none of which
+/// has a newer configuration, continues: the store is unavailable to all of them, so nobody
+/// can change anything.
+const MAX_ISOLATED_AGE: Duration = Duration::from_secs(10);
+
+/// Fraction of the strict bound after which an isolated host stops; the rest is for requests
+/// in flight.
+const STRICT_FRACTION: f64 = 0.6;
+
+/// Bounds from the settings on how long a new configuration takes to be in force.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// How soon a new one is in force.
+    /// Time within which a new configuration is in force.
     pub apply: Duration,
-    /// How soon a withdrawn key has stopped working also on hosts that are cut off; none
-    /// where such hosts may go on with what they know.
+    /// Time within which a revoked key stops working even on isolated hosts; none if isolated
+    /// hosts may continue with their configuration.
     pub strict: Option<Duration>,
 }
 
-/// What a host knows of its configuration.
+/// State of a host's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigState {
-    /// How long ago it was the newest for certain; none before the first.
+    /// Time since the configuration was last proven to be the newest; none before the first
+    /// one.
     pub age: Option<Duration>,
-    /// Whether another host has a newer one.
+    /// Whether another host has a newer configuration.
     pub outdated: bool,
-    /// Whether most hosts are heard.
+    /// Whether the host has contact with a majority of the hosts.
     pub majority: bool,
 }
 
 impl ConfigState {
-    /// Whether the host may serve by its configuration.
+    /// Returns whether the host may serve by its configuration.
     ///
-    /// Guards against a host that knows of a newer one and cannot get hold of it: it would
-    /// go on with a withdrawn key for as long as that lasts. The newer one was accepted
-    /// after its own was last the newest, so that it has been in force for `age` at most.
+    /// An outdated host stops within the bounds. If it could not fetch the newer configuration
+    /// it would accept a revoked key for as long as that lasts. The newer configuration was
+    /// accepted after the host's own was last the newest, so it has been in force for at most
+    /// `age`.
     pub fn may_serve(self, bounds: Bounds) -> bool {
         let Some(age) = self.age else { return false };
         if self.outdated {
             return age < bounds.strict.map_or(bounds.apply, |strict| strict.min(bounds.apply));
         }
-        let limit = bounds.strict.map_or(PLAN_AGE, |strict| strict.mul_f64(STRICT_PART));
+        let limit =
+            bounds.strict.map_or(MAX_ISOLATED_AGE, |strict| strict.mul_f64(STRICT_FRACTION));
         age < limit || self.majority
     }
 }
 
-/// How long the store is asked to wait for a new configuration, as a part of the
-/// time within which one must be in force. A connection that went silent is given
-/// up a second later, and the other hosts are asked meanwhile.
-const WAIT_PART: f64 = 0.43;
+/// Duration of a long poll of the store for a new configuration, as a fraction of the time
+/// within which one must be in force. A connection without an answer is closed a second after
+/// that, and the other hosts are asked in the meantime.
+const WAIT_FRACTION: f64 = 0.43;
 
-/// How old a configuration may be before other hosts are asked for a newer one: a
-/// little more than the store usually takes to say that there is none.
-const ASK_PART: f64 = 0.73;
+/// Age of the configuration at which other hosts are asked for a newer one, as a fraction of
+/// the bound: slightly more than the store usually takes to answer that there is none.
+const ASK_FRACTION: f64 = 0.73;
 
-/// How old it may be before a host reads it from the store that leaves this to
-/// its hub: the rest of the bound is for the call.
-const READ_PART: f64 = 0.8;
+/// Age of the configuration at which a host that normally gets it from its hub reads it from
+/// the store, as a fraction of the bound; the rest of the bound is for the call.
+const READ_FRACTION: f64 = 0.8;
 
-/// How often a host looks for a new configuration.
+/// Intervals at which a host polls for a new configuration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PollIntervals {
-    /// How long the store is asked to wait for one.
+    /// Duration of a long poll of the store.
     pub wait: Duration,
-    /// How old the known one may be before other hosts are asked.
+    /// Age of the configuration at which other hosts are asked.
     pub ask: Duration,
-    /// How old it may be before a host reads it that leaves this to its hub.
+    /// Age of the configuration at which a host with a hub reads it from the store itself.
     pub read: Duration,
 }
 
 impl PollIntervals {
-    /// The pace that has a configuration in force within `bound`: as seldom as
-    /// that allows, since each call of the store is charged for.
+    /// Returns the longest intervals by which a configuration is in force within `bound`;
+    /// each call of the store is charged.
     pub fn for_bound(bound: Duration) -> Self {
-        let part = |part| bound.mul_f64(part);
-        Self { wait: part(WAIT_PART), ask: part(ASK_PART), read: part(READ_PART) }
+        let fraction = |fraction| bound.mul_f64(fraction);
+        Self {
+            wait: fraction(WAIT_FRACTION),
+            ask: fraction(ASK_FRACTION),
+            read: fraction(READ_FRACTION),
+        }
     }
 }
