--- a/components/coordination/src/succession.rs
+++ b/components/coordination/src/succession.rs
@@ -1,87 +1,88 @@
-//! Which server of a group leads next, from what its servers say of themselves.
+//! Selection of the next leader of a group from the states that its servers report.
 //!
-//! The load it answers: a leader is replaced, and within a second its successor dies
-//! or goes silent too, while the other replicas have not heard of it yet. The first
-//! leader still runs, was never told that it is over, and says that it leads; each
-//! replica that can be asked confirms its term. Taken up again it would acknowledge
-//! writes that the next promotion takes back.
+//! Guards against the following fault: a leader is replaced, and within a second its
+//! successor crashes or stops answering before the other replicas have received its term. The
+//! first leader still runs, was not notified of the failover and reports that it leads, and
+//! every reachable replica confirms its term. If hosts used it again, it would acknowledge
+//! writes that the next promotion discards.
 //!
-//! So what the servers say is not enough. Two terms are kept in the store: the one in
-//! which the last known leader led, and the one up to which all terms are *closed*,
-//! since a promotion was asked for that may have taken effect. A closed term's leader
-//! is never taken up; the way on is a promotion.
+//! Reported states are therefore not sufficient, and the store keeps two terms: the term of
+//! the last known leader, and the term up to which all terms are *closed* because a promotion
+//! that may have taken effect was requested. The leader of a closed term is never adopted;
+//! another promotion is required.
 
 use crate::{Point, ServerId, Term};
 
-/// What a server says of itself.
+/// State of a server as it reports it, with what this host has configured for it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Standing {
-    /// The server.
+    /// Id of the server.
     pub id: ServerId,
-    /// Whether it leads, as it sees itself.
+    /// Whether the server reports that it leads.
     pub leads: bool,
-    /// Whether it is about to leave.
+    /// Whether the server is being removed.
     pub leaving: bool,
-    /// Whether its failure domain is evacuated.
+    /// Whether the server's failure domain is evacuated.
     pub evacuated: bool,
-    /// Databases of the group that it may serve by their homes.
+    /// Number of databases of the group whose region bindings allow the server.
     pub served: usize,
-    /// Whether it may get only a few requests a second, having just started.
+    /// Whether the server has just started and may get only a few requests a second.
     pub cold: bool,
-    /// The newest term that it has heard of.
+    /// Newest term that the server has received.
     pub term: Term,
-    /// The last log record that it received.
+    /// Last log record that the server has received.
     pub received: Point,
 }
 
-/// What the store says of the terms of a group.
+/// Terms of a group in the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Terms {
-    /// The term of the last known leader; 0 while it is not known.
+    /// Term of the last known leader; 0 while it is unknown.
     pub known: Term,
-    /// Terms up to this one are over, or may be.
+    /// Newest closed term: terms up to this one have ended or may have ended.
     pub closed: Term,
 }
 
 impl Terms {
-    /// Whether a server that says that it leads in `term` may be taken up.
+    /// Returns whether a server that reports that it leads in `term` may be adopted.
     pub fn allow(&self, term: Term) -> bool {
         term >= self.known && term > self.closed
     }
 }
 
-/// What is to be done so that a group has a leader.
+/// Next step to give a group a leader.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Next {
-    /// This server leads already, in that term.
+    /// Use a server that leads already, in the given term.
     Adopt(ServerId, Term),
-    /// This server is to be promoted.
+    /// Promote a server.
     Promote {
-        /// The server.
+        /// Server to promote.
         successor: ServerId,
-        /// The newest term known: the promotion closes it.
+        /// Newest known term, which the promotion closes.
         after: Term,
-        /// The former leader's last record, where that one can be asked.
+        /// Last record of the former leader, if it reported its state.
         last: Option<Point>,
     },
-    /// No server can lead now.
+    /// No server can lead at present.
     Nobody,
 }
 
-/// What goes first among servers that may lead next.
+/// Priority order of the candidates.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Order {
-    /// The databases that it may serve, then its warmth, then its log; for a change in which
-    /// the successor can still receive all of its leader's log.
+    /// By the number of databases that the server may serve, then warm before cold, then by
+    /// log. For a planned failover, in which the successor can still receive the whole log.
     Placement,
-    /// Its log: what it lacks may have been acknowledged.
+    /// By log, since records that the server lacks may have been acknowledged; then as above.
     Log,
 }
 
-/// Who leads next. `leaves` is a leader that is to be replaced though it is there.
-pub fn next(told: &[Standing], terms: Terms, leaves: Option<&ServerId>, order: Order) -> Next {
-    let newest = told.iter().map(|server| server.term).max().unwrap_or_default();
-    let leader = told.iter().find(|server| server.leads && server.term == newest);
+/// Returns the next step from the reported states. `leaves` is a reachable leader that is to
+/// be replaced.
+pub fn next(states: &[Standing], terms: Terms, leaves: Option<&ServerId>, order: Order) -> Next {
+    let newest = states.iter().map(|server| server.term).max().unwrap_or_default();
+    let leader = states.iter().find(|server| server.leads && server.term == newest);
     let leader = leader.filter(|leader| terms.allow(leader.term));
     let adopt = |leader: &Standing| Next::Adopt(leader.id.clone(), leader.term);
     if let Some(leader) = leader
@@ -90,8 +91,8 @@
     {
         return adopt(leader);
     }
-    let fit = |server: &&Standing| !server.leads && !server.leaving && !server.evacuated;
-    let replicas = told.iter().filter(fit);
+    let eligible = |server: &&Standing| !server.leads && !server.leaving && !server.evacuated;
+    let replicas = states.iter().filter(eligible);
     let successor = replicas.max_by_key(|server| {
         let placement = (server.served, !server.cold);
         match order {
@@ -100,10 +101,10 @@
         }
     });
     let Some(successor) = successor else {
-        // Better than nobody: it goes on with what it may still run.
+        // No successor: the leader stays, for the statements that it may still run.
         return leader.filter(|leader| !leader.leaving).map_or(Next::Nobody, adopt);
     };
-    // A leader of a closed term has records that nobody is to wait for.
+    // Not set for the leader of a closed term: its records must not be waited for.
     let last = leader.map(|leader| leader.received);
     Next::Promote { successor: successor.id.clone(), after: newest.max(terms.known), last }
 }
