--- a/components/coordination/src/suspicion.rs
+++ b/components/coordination/src/suspicion.rs
@@ -1,98 +1,100 @@
-//! Whether the leader of a group is to be replaced, from what one host sees.
+//! Failure detection for the leader of a group, from the observations of one host.
 //!
-//! The load it answers: a leader that dies at once (connections are refused), one
-//! that goes silent, and one that is only cut off from some hosts, all under
-//! constant traffic. A refusal proves a dead process. Silence proves nothing by
-//! itself: a leader that this host cannot reach may serve all others, and its
-//! replicas then go on receiving.
+//! It covers, under constant traffic, a leader that crashes (connections are refused), one
+//! that stops answering, and one that only some hosts cannot reach. A refused connection
+//! proves that the process has ended. A missing answer alone proves nothing: a leader that
+//! this host cannot reach may serve all other hosts, and its replicas then continue to
+//! receive its log.
 
 use std::time::{Duration, Instant};
 
 use crate::Point;
 
-/// How long a leader with work to do may be silent before it is asked how it
-/// stands. Ten times the mean statement, and above stalls of 300 ms.
+/// How long a leader may leave statements unanswered before it is probed: ten times the mean
+/// statement, and longer than stalls of 300 ms.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a leader is left to the host that holds its connections, which asks it first
-/// and has it replaced.
+/// How long after a leader's last answer to its holder other hosts do not probe it. The
+/// holder, which has its connections, probes first and starts the failover.
 pub const HOLDER_GRACE: Duration = Duration::from_millis(1200);
 
-/// Hosts that ask a silent leader at the same time.
-const PROBERS: usize = 5;
+/// Number of hosts that act on a silent leader at the same time.
+const BATCH_SIZE: usize = 5;
 
-/// How much later the next hosts ask, and the last ones at most.
-const PROBE_LATER: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(600));
+/// Delay between two batches of hosts, and maximum delay of the last one.
+const STAGGER_RANGE: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(600));
 
-/// How much later than the first hosts one asks a silent leader, or has it replaced, that
-/// comes `rank`-th among all.
+/// Returns the delay before the host of the given rank probes a silent leader or starts its
+/// failover; zero for the first batch.
 ///
-/// Guards against hundreds of hosts that each open connections to all servers of a group at
-/// once, or write to the same row of the store.
+/// Guards against hundreds of hosts that open connections to all servers of a group at once,
+/// or write to the same row of the store.
 pub fn stagger_delay(rank: usize) -> Duration {
-    let (step, most) = PROBE_LATER;
-    step.saturating_mul((rank / PROBERS) as u32).min(most)
+    let (step, most) = STAGGER_RANGE;
+    step.saturating_mul((rank / BATCH_SIZE) as u32).min(most)
 }
 
-/// How long a leader that does not answer that question either is given.
+/// Time allowed for the answer to a probe.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the replicas of a silent leader must not receive anything. Groups
-/// commit every few tens of milliseconds; stalls of 300 ms must not count.
+/// How long the replicas of a silent leader must have received nothing before it is replaced.
+/// Groups commit every few tens of milliseconds; stalls of 300 ms must not count.
 pub const REPLICA_STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long a leader must be out of reach, though its replicas receive, before
-/// this host has it replaced. Cuts of some hosts last 5 to 7 s; a replacement
-/// costs all hosts a second.
+/// How long a leader must be unreachable from this host before it is replaced although its
+/// replicas receive its log. Partitions of some hosts last 5 to 7 s; a failover interrupts
+/// all hosts for a second.
 pub const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long refusals must last: a server that starts again at once is not replaced.
+/// How long connections must have been refused before the leader is replaced. A server that
+/// restarts at once is not replaced.
 pub const REFUSAL_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// What is known against a leader.
+/// Evidence that a leader has failed.
 #[derive(Clone, Debug, Default)]
 pub struct Suspicion {
-    /// Since when connections are refused, without one that was not.
+    /// Time of the first refused connection since the last answer.
     refused: Option<Instant>,
-    /// Since when it has not answered though asked.
-    dark: Option<Instant>,
-    /// The furthest point a replica received, when it was told first and when last.
+    /// Time since which the leader has answered neither statements nor probes.
+    unanswered: Option<Instant>,
+    /// Greatest point received by a replica, with the times of its first and last report.
     received: Option<(Point, Instant, Instant)>,
 }
 
-/// What to do about a leader.
+/// Recommended action for a leader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Advice {
-    /// It is well, as far as is known.
+    /// Keep the leader: there is no sufficient evidence of a failure.
     Keep,
-    /// Ask its replicas how far they have received.
+    /// Query the replicas for the last log record that they have received.
     AskReplicas,
-    /// Have it replaced.
+    /// Replace the leader.
     Replace,
 }
 
 impl Suspicion {
-    /// The leader answered something.
+    /// Records an answer of the leader, which clears all evidence.
     pub fn answered(&mut self) {
         *self = Self::default();
     }
 
-    /// Another host asks it: what this one knows of its silence grows old meanwhile.
+    /// Discards the evidence of silence, which becomes outdated while another host probes the
+    /// leader. Refusals are kept.
     pub fn reset_silence(&mut self) {
-        (self.dark, self.received) = (None, None);
+        (self.unanswered, self.received) = (None, None);
     }
 
-    /// A connection to it was refused.
+    /// Records a refused connection.
     pub fn refused(&mut self, now: Instant) {
         self.refused.get_or_insert(now);
     }
 
-    /// It was asked how it stands and did not answer.
+    /// Records that a probe was not answered; `since` is the start of the silence.
     pub fn silent(&mut self, since: Instant) {
-        self.dark.get_or_insert(since);
+        self.unanswered.get_or_insert(since);
     }
 
-    /// A replica told how far it has received.
+    /// Records the last log record that a replica reports as received.
     pub fn received(&mut self, point: Point, now: Instant) {
         self.received = match self.received {
             Some((last, since, _)) if point <= last => Some((last, since, now)),
@@ -100,18 +102,18 @@
         };
     }
 
-    /// What to do now.
+    /// Returns the action that the evidence calls for.
     pub fn advice(&self, now: Instant) -> Advice {
-        let for_long = |since: Instant, limit| now.saturating_duration_since(since) >= limit;
-        if self.refused.is_some_and(|since| for_long(since, REFUSAL_TIMEOUT)) {
+        let has_lasted = |since: Instant, limit| now.saturating_duration_since(since) >= limit;
+        if self.refused.is_some_and(|since| has_lasted(since, REFUSAL_TIMEOUT)) {
             return Advice::Replace;
         }
-        let Some(dark) = self.dark else { return Advice::Keep };
-        if for_long(dark, UNREACHABLE_TIMEOUT) {
+        let Some(unanswered) = self.unanswered else { return Advice::Keep };
+        if has_lasted(unanswered, UNREACHABLE_TIMEOUT) {
             return Advice::Replace;
         }
         match self.received {
-            // One answer alone does not show that nothing came after it.
+            // A single report does not prove that nothing was received after it.
             Some((_, since, last))
                 if last.saturating_duration_since(since) >= REPLICA_STALL_TIMEOUT =>
             {
