--- a/components/coordination/src/silence.rs
+++ b/components/coordination/src/silence.rs
@@ -1,27 +1,27 @@
-//! How long a server has owed a host answers without giving any.
+//! How long a server has left a host's requests unanswered.
 
 use std::time::{Duration, Instant};
 
-/// The answers that a server owes.
+/// Tracks the pending requests of one host to one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerTracker {
     /// Requests sent and not answered.
     running: usize,
-    /// When the server last answered while something ran there, or when the first of what
-    /// runs began; none while nothing runs.
+    /// Time of the last answer while requests were pending, or of the first pending request;
+    /// none while nothing is pending.
     since: Option<Instant>,
-    /// When it last answered.
+    /// Time of the last answer.
     answered: Option<Instant>,
 }
 
 impl AnswerTracker {
-    /// A request is sent.
+    /// Records that a request was sent.
     pub fn begin(&mut self, now: Instant) {
         self.running += 1;
         self.since.get_or_insert(now);
     }
 
-    /// A request has ended, with an answer or without one.
+    /// Records the end of a request, with an answer or without one.
     pub fn end(&mut self, answered: bool, now: Instant) {
         self.running = self.running.saturating_sub(1);
         if answered {
@@ -33,17 +33,18 @@
         }
     }
 
-    /// Requests sent and not answered.
+    /// Number of requests sent and not answered.
     pub fn running(&self) -> usize {
         self.running
     }
 
-    /// How long ago it last answered; none if it never did.
+    /// Time since the last answer; none if the server never answered.
     pub fn answered(&self, now: Instant) -> Option<Duration> {
         self.answered.map(|at| now.saturating_duration_since(at))
     }
 
-    /// How long it has owed an answer without giving any.
+    /// Time for which requests have been pending without any answer; zero while none is
+    /// pending.
     pub fn lasts(&self, now: Instant) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
