--- a/components/coordination/src/confirm.rs
+++ b/components/coordination/src/confirm.rs
@@ -1,10 +1,10 @@
-//! Whether a commit that the leader has acknowledged is held by a second server.
+//! Confirmation that a commit acknowledged by the leader is held by a second server.
 //!
-//! The load it answers: a leader that is cut off from its replicas and goes on
-//! acknowledging for seconds. Its successor has received none of it, and each
-//! booking that a caller was told of in that time is taken back. Replication is
-//! asynchronous, so the acknowledgement itself proves nothing: a replica is asked
-//! how far it has received, once for all commits that wait.
+//! Guards against a leader that is partitioned from its replicas and continues to acknowledge
+//! commits for seconds. Its successor has received none of them, and every booking confirmed
+//! to a caller in that time is lost. Replication is asynchronous, so the acknowledgement
+//! itself proves nothing: a replica is probed for the last record that it has received, once
+//! for all pending commits.
 
 use std::{
     collections::BTreeMap,
@@ -13,83 +13,85 @@
 
 use crate::{Point, ServerId};
 
-/// How long a commit waits for a replica. A replica has it after some 2 ms and is
-/// asked within 3 ms; one whose slots are all taken answers after a usual statement
+/// Time within which a replica must confirm a commit. A replica receives it after about 2 ms
+/// and is probed within 3 ms; a replica with no free slot answers after a typical statement
 /// of 50 ms, and twice that still fits.
 pub const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long replicas must have received nothing before the leader is replaced: as
-/// long as a silent leader is given.
+/// How long after [`CONFIRM_TIMEOUT`] replicas must still have received nothing before the
+/// leader is replaced; the same time as for the replicas of a silent leader.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How old a replica's word may be that it receives nothing.
-const WORD_FOR: Duration = Duration::from_millis(600);
+/// How long a replica's report that it lacks a commit is valid.
+const REPORT_TTL: Duration = Duration::from_millis(600);
 
-/// How long a new leader is kept though its replicas receive nothing. Where they
-/// receive from nobody another leader would do no better.
-const KEPT_FOR: Duration = Duration::from_secs(10);
+/// Time for which a new leader is not replaced although its replicas receive nothing. If they
+/// receive from no server at all, another leader would be no better.
+const MIN_TENURE: Duration = Duration::from_secs(10);
 
-/// What came of asking a replica how far it has received.
+/// Result of probing a replica for the last record that it has received.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProbeResult {
-    /// So far.
+    /// The last record that the replica has received.
     Received(Point),
-    /// It is alive, but has no capacity for the question.
+    /// The replica is running but has no capacity for the probe.
     Busy,
-    /// Its process does not run.
+    /// The replica's process is not running.
     Dead,
-    /// Nothing came back.
+    /// The replica did not answer.
     Silent,
 }
 
-/// What a caller that waits for a commit can be told.
+/// Outcome of a commit for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// Nothing yet.
+    /// No outcome yet.
     Pending,
     /// A second server holds the commit.
     Confirmed,
-    /// It is acknowledged on the leader's word: no replica runs that could lead in
-    /// its place, or those that run are alive and too busy to answer.
+    /// The leader's acknowledgement is sufficient: no replica is running that could replace
+    /// it, or the running ones are too busy to answer.
     LeaderOnly,
-    /// A replica that could lead may lack it.
+    /// A replica that could become the leader may lack the commit.
     Unknown,
 }
 
-/// What is known of the replicas of one leader.
+/// Replication progress of the replicas of one leader.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaProgress {
-    /// The furthest point that a replica has received.
+    /// Greatest point that a replica has received.
     newest: Option<Point>,
-    heard: BTreeMap<ServerId, (ProbeResult, Instant)>,
-    /// The commit that no replica had in time, and since when.
-    stuck: Option<(Point, Instant)>,
+    /// Last probe of each replica and its time.
+    probes: BTreeMap<ServerId, (ProbeResult, Instant)>,
+    /// First commit that no replica confirmed in time, and the time at which it began to wait.
+    unconfirmed: Option<(Point, Instant)>,
 }
 
 impl ReplicaProgress {
-    /// Notes that a replica has received so far.
+    /// Records that a replica has received the log up to `point`.
     pub fn note(&mut self, point: Point) {
         self.newest = self.newest.max(Some(point));
-        if self.stuck.is_some_and(|(lacking, _)| self.covers(lacking)) {
-            self.stuck = None;
+        if self.unconfirmed.is_some_and(|(commit, _)| self.covers(commit)) {
+            self.unconfirmed = None;
         }
     }
 
-    /// Notes what came of asking a replica.
-    pub fn record(&mut self, server: &ServerId, heard: ProbeResult, now: Instant) {
-        self.heard.insert(server.clone(), (heard, now));
-        if let ProbeResult::Received(point) = heard {
+    /// Records the result of probing a replica.
+    pub fn record(&mut self, server: &ServerId, probe: ProbeResult, now: Instant) {
+        self.probes.insert(server.clone(), (probe, now));
+        if let ProbeResult::Received(point) = probe {
             self.note(point);
         }
     }
 
-    /// Whether a second server holds the commit. A point of a later term proves
-    /// nothing of it: it may have been taken back before that term began.
+    /// Returns whether a second server holds the commit. A point of a later term is no proof,
+    /// since the commit may have been discarded before that term began.
     pub fn covers(&self, commit: Point) -> bool {
         self.newest.is_some_and(|newest| newest.term == commit.term && newest >= commit)
     }
 
-    /// What can be told of a commit that waits since `began`, with these replicas.
+    /// Returns the outcome of a commit that has been pending since `began`, where `replicas`
+    /// are the servers that could replace the leader.
     pub fn verdict(
         &mut self,
         commit: Point,
@@ -100,9 +102,10 @@
         if self.covers(commit) {
             return Verdict::Confirmed;
         }
-        let heard = |id| self.heard.get(id).filter(|(_, at)| *at >= began).map(|(heard, _)| *heard);
+        let probe =
+            |id| self.probes.get(id).filter(|(_, at)| *at >= began).map(|(probe, _)| *probe);
         let all = |wanted: &[ProbeResult]| {
-            replicas.iter().all(|id| heard(id).is_some_and(|heard| wanted.contains(&heard)))
+            replicas.iter().all(|id| probe(id).is_some_and(|probe| wanted.contains(&probe)))
         };
         if all(&[ProbeResult::Dead]) {
             return Verdict::LeaderOnly;
@@ -113,25 +116,26 @@
         if all(&[ProbeResult::Dead, ProbeResult::Busy]) {
             return Verdict::LeaderOnly;
         }
-        self.stuck.get_or_insert((commit, began));
+        self.unconfirmed.get_or_insert((commit, began));
         Verdict::Unknown
     }
 
-    /// Whether replicas receive nothing, as far as is known: a write that is sent
-    /// now would have to be called uncertain.
+    /// Returns whether a commit was not confirmed in time and no replica has received it
+    /// since: the outcome of a write sent now would be unknown.
     pub fn is_stalled(&self) -> bool {
-        self.stuck.is_some()
+        self.unconfirmed.is_some()
     }
 
-    /// Whether the leader, which leads since `led`, is to be replaced: a replica
-    /// that can be reached receives nothing from it.
+    /// Returns whether a leader that has led since `led` must be replaced because a reachable
+    /// replica receives nothing from it.
     pub fn is_partitioned(&self, led: Instant, now: Instant) -> bool {
-        let for_long = |since: Instant, limit| now.saturating_duration_since(since) >= limit;
-        let lacks = |(heard, at): &(ProbeResult, Instant)| {
-            matches!(heard, ProbeResult::Received(_)) && !for_long(*at, WORD_FOR)
+        let has_lasted = |since: Instant, limit| now.saturating_duration_since(since) >= limit;
+        let lacks = |(probe, at): &(ProbeResult, Instant)| {
+            matches!(probe, ProbeResult::Received(_)) && !has_lasted(*at, REPORT_TTL)
         };
-        self.stuck.is_some_and(|(_, since)| for_long(since, CONFIRM_TIMEOUT + STALL_TIMEOUT))
-            && for_long(led, KEPT_FOR)
-            && self.heard.values().any(lacks)
+        self.unconfirmed
+            .is_some_and(|(_, since)| has_lasted(since, CONFIRM_TIMEOUT + STALL_TIMEOUT))
+            && has_lasted(led, MIN_TENURE)
+            && self.probes.values().any(lacks)
     }
 }
