--- a/components/coordination/src/evacuation.rs
+++ b/components/coordination/src/evacuation.rs
@@ -1,10 +1,10 @@
 //! Failure domains that the operator has evacuated.
 //!
-//! The load it answers: before work on a failure domain the operator evacuates it, and within
-//! a stated bound no statement may reach a backend server there, while hosts learn of it at
-//! different times, some from the store and some from other hosts. Every host keeps the whole
-//! set as of one version of the store, so that sets from several sources can be ordered, and
-//! works out by itself when the bound is near.
+//! The operator evacuates a failure domain before maintenance, and within a stated bound no
+//! statement may reach a backend server there. Hosts receive the evacuation at different
+//! times, from the store or from other hosts. Every host therefore keeps the whole set as of
+//! one version of the store, so that sets from several sources can be ordered, and computes
+//! the end of the bound by itself.
 
 use std::{
     collections::BTreeMap,
@@ -15,28 +15,29 @@
 
 use crate::{ids, store_clock};
 
-/// The part of the bound in which work that only an evacuated server can run goes on. The
-/// rest is for statements that are queued or sent then.
-const ENDING_PART: f64 = 0.5;
+/// Fraction of the bound during which work that only an evacuated server can run continues.
+/// The rest is for statements that are queued or sent at its end.
+const DRAIN_FRACTION: f64 = 0.5;
 
-/// What may run at the servers of a failure domain.
+/// Statements that may run on the servers of a failure domain.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Placement {
-    /// Everything.
+    /// All statements.
     Allowed,
-    /// Open transactions, and what only the leader can run; no new reads.
+    /// Open transactions and statements that only the leader can run; no new reads.
     Draining,
-    /// Nothing.
+    /// No statements.
     Forbidden,
 }
 
 /// An evacuated failure domain.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Evacuation {
-    /// The change of the store that evacuated it.
+    /// Version of the store change that evacuated the failure domain.
     #[serde(rename = "v")]
     pub version: u64,
-    /// The store's clock at a moment at which it was not evacuated yet; zero if unknown.
+    /// Time of the store's clock at which the failure domain was not evacuated yet; zero if
+    /// unknown.
     #[serde(rename = "a")]
     pub after: Duration,
 }
@@ -44,27 +45,27 @@
 /// All evacuated failure domains as of one version of the store.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Set {
-    /// The newest change of the store then; 0 before the first read.
+    /// Version of the newest store change; 0 before the first read.
     #[serde(rename = "v")]
     version: u64,
-    /// The store's clock at which they were the newest for certain.
+    /// Time of the store's clock at which the set is proven to have been the newest.
     #[serde(rename = "c")]
     clock: Duration,
     #[serde(rename = "d", default, skip_serializing_if = "BTreeMap::is_empty")]
     domains: BTreeMap<ids::FailureDomain, Evacuation>,
 }
 
-/// A row of the store: a failure domain and the change that evacuated it, or none where the
-/// evacuation was taken back.
+/// A row of the store: a failure domain and the version of the change that evacuated it, or
+/// none if the evacuation was cancelled.
 pub type Row = (ids::FailureDomain, Option<u64>);
 
 impl Set {
-    /// Whether they were read at least once.
+    /// Returns whether the set has been read at least once.
     pub fn is_known(&self) -> bool {
         self.version > 0
     }
 
-    /// The store's clock at which they were the newest for certain.
+    /// Time of the store's clock at which the set is proven to have been the newest.
     pub fn clock(&self) -> Duration {
         self.clock
     }
@@ -74,9 +75,9 @@
         self.domains.iter()
     }
 
-    /// Takes rows of the store as of `version`, read at `clock` of its clock: all of them if
-    /// `whole`, otherwise those that changed. An answer older than what is known changes
-    /// nothing, since what is known has its changes already.
+    /// Applies rows of the store at `version`, read at the store time `clock`: all rows if
+    /// `whole`, otherwise the changed ones. Rows older than the set are ignored, since the set
+    /// contains their changes already.
     pub fn read(&mut self, rows: &[Row], whole: bool, version: u64, clock: Duration) {
         if version < self.version {
             return;
@@ -97,14 +98,14 @@
         *self = Self { version, clock, domains };
     }
 
-    /// Takes what another host knows, if it is newer.
+    /// Replaces the set by that of another host if that one is newer.
     pub fn adopt(&mut self, other: &Self) {
         if (other.version, other.clock) <= (self.version, self.clock) {
             return;
         }
         let before = std::mem::replace(self, other.clone());
         for (domain, evacuation) in &mut self.domains {
-            // Either host's bound holds; the later one is closer.
+            // Both hosts' times precede the evacuation; the later one is more precise.
             let known = before.domains.get(domain);
             let after = known.filter(|known| known.version == evacuation.version);
             let own = after.map_or(before.clock, |known| known.after);
@@ -112,8 +113,8 @@
         }
     }
 
-    /// What may run at servers of the failure domain at `now`, where an evacuation has to be
-    /// complete within `bound`.
+    /// Returns which statements may run on servers of the failure domain at `now`, where an
+    /// evacuation must be complete within `bound`.
     pub fn placement(
         &self,
         domain: &ids::FailureDomain,
@@ -123,7 +124,11 @@
     ) -> Placement {
         let Some(evacuation) = self.domains.get(domain) else { return Placement::Allowed };
         let began = store.local(evacuation.after).filter(|_| !evacuation.after.is_zero());
-        let ends = began.map(|began| began + bound.mul_f64(ENDING_PART));
-        if ends.is_some_and(|ends| now < ends) { Placement::Draining } else { Placement::Forbidden }
+        let drain_end = began.map(|began| began + bound.mul_f64(DRAIN_FRACTION));
+        if drain_end.is_some_and(|drain_end| now < drain_end) {
+            Placement::Draining
+        } else {
+            Placement::Forbidden
+        }
     }
 }
