--- a/components/coordination/src/cold.rs
+++ b/components/coordination/src/cold.rs
@@ -1,11 +1,11 @@
-//! How many requests a cold backend server may get.
+//! Rate limit for cold backend servers.
 //!
-//! The load it answers: a server that has just started is slow for some seconds, and may get
-//! only a few requests a second from all hosts together. Normally one host holds a server's
-//! connections and could count them, but holders change, two may serve at once while views
-//! differ, and a host that restarts has forgotten what it sent. So the limit is divided into
-//! parts that hold by themselves: two holders and two standbys together stay within it, and
-//! other hosts send nothing.
+//! A server that has just started is slow for some seconds, and may get only a few requests a
+//! second from all hosts together. Normally a server has one holder, which could count its
+//! requests. But holders change, two of them may send at once while views differ, and a host
+//! that restarts has lost its count. The limit is therefore divided into shares that are
+//! enforced separately: two holders and two standbys together stay within it, and other hosts
+//! send nothing.
 
 use std::{
     collections::VecDeque,
@@ -14,35 +14,35 @@
 
 use crate::{connections, units};
 
-/// The window over which requests are counted; longer than the second for which the limit is
-/// stated by what a request's way to the server may vary.
+/// Window over which requests are counted. It exceeds the second for which the limit is
+/// stated by the variation of the time that a request takes to reach the server.
 pub const WINDOW: Duration = Duration::from_millis(1050);
 
-/// The part of the limit that a holder has. While views differ there may be two.
-const HOLDER_PART: f64 = 0.35;
+/// Holder's share of the limit. There may be two holders while views differ.
+const HOLDER_SHARE: f64 = 0.35;
 
-/// The part that a standby has.
-const STANDBY_PART: f64 = 0.15;
+/// Standby's share of the limit.
+const STANDBY_SHARE: f64 = 0.15;
 
-/// How long after a connection was lost a server may have started again without having said
-/// so: three of its reports.
-const UNREPORTED_FOR: Duration = Duration::from_millis(3600);
+/// How long after the loss of a connection a server may have restarted without having
+/// reported it: three report intervals.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(3600);
 
-/// The limit for the cold servers of a group.
+/// Rate limit for the cold servers of a group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Requests a second, over all hosts.
+    /// Requests per second, over all hosts.
     pub rate: units::Rate,
-    /// How long a server is cold after it started.
+    /// Time after its start during which a server is cold.
     pub lasts: Duration,
 }
 
-/// How far all hosts together may go beyond a limit's rate.
+/// Tolerance by which all hosts together may exceed the rate of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// A factor of the rate; at least 1.
+    /// Factor on the rate; at least 1.
     pub overage: f64,
-    /// Requests beyond it.
+    /// Additional requests.
     pub slack: f64,
 }
 
@@ -52,39 +52,40 @@
     }
 }
 
-/// How many requests one host may send within [`WINDOW`].
+/// Returns the maximum number of requests that one host may send within [`WINDOW`].
 pub fn part(limit: Limit, tolerance: Tolerance, role: connections::Role) -> usize {
     let all = limit.rate.0 * tolerance.overage + tolerance.slack;
-    let part = match role {
-        connections::Role::Holder => HOLDER_PART,
-        connections::Role::Standby => STANDBY_PART,
+    let share = match role {
+        connections::Role::Holder => HOLDER_SHARE,
+        connections::Role::Standby => STANDBY_SHARE,
         connections::Role::Other => 0.0,
     };
-    (all * part) as usize
+    (all * share) as usize
 }
 
-/// What one host knows of a server's warmth, and what it has sent to it while cold.
+/// A server's cold state as known to one host, and the requests that it has sent while cold.
 #[derive(Clone, Debug)]
 pub struct WarmUp {
-    /// Until when the server is cold, as it reported.
+    /// End of the cold period that the server reported.
     reported: Option<Instant>,
-    /// Until when it may be cold without having reported it.
+    /// End of the time for which the server may be cold without having reported it.
     suspected: Option<Instant>,
-    /// When requests were sent within the window, oldest first.
+    /// Times of the requests sent within the window, oldest first.
     sent: VecDeque<Instant>,
-    /// Before this an earlier process of the host may have used its part.
-    counts_from: Instant,
+    /// No request is sent before this time: an earlier process of the host may have used the
+    /// host's share.
+    active_from: Instant,
 }
 
 impl WarmUp {
-    /// A server that this process knows since `now`.
+    /// Starts tracking a server at `now`.
     pub fn new(now: Instant) -> Self {
-        let counts_from = now + WINDOW;
-        Self { reported: None, suspected: None, sent: VecDeque::new(), counts_from }
+        let active_from = now + WINDOW;
+        Self { reported: None, suspected: None, sent: VecDeque::new(), active_from }
     }
 
-    /// The server reported until when it is cold; `restarted` if in a new run of its process,
-    /// which ends any suspicion.
+    /// Records the end of the cold period that the server reported. `restarted` tells that the
+    /// report comes from a new process of the server, which ends any suspicion.
     pub fn report(&mut self, until: Option<Instant>, restarted: bool) {
         self.reported = until;
         if restarted {
@@ -92,16 +93,16 @@
         }
     }
 
-    /// The server's process does not run: it will be cold once it does.
+    /// Records that the server's process is not running: it will be cold after its start.
     pub fn refused(&mut self, limit: Option<Limit>, now: Instant) {
         let Some(limit) = limit else { return };
-        self.suspect(now + limit.lasts + UNREPORTED_FOR);
+        self.suspect(now + limit.lasts + REPORT_TIMEOUT);
     }
 
-    /// A connection to the server broke: its process may have ended.
+    /// Records that a connection to the server was lost: its process may have ended.
     pub fn lost(&mut self, limit: Option<Limit>, now: Instant) {
         if limit.is_some() {
-            self.suspect(now + UNREPORTED_FOR);
+            self.suspect(now + REPORT_TIMEOUT);
         }
     }
 
@@ -109,26 +110,26 @@
         self.suspected = self.suspected.max(Some(until));
     }
 
-    /// Whether the server is cold, or may be.
+    /// Returns whether the server is or may be cold.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.reported.max(self.suspected).is_some_and(|until| now < until)
     }
 
-    /// Takes one of `most` requests that may be sent within [`WINDOW`]; otherwise the time
-    /// after which one may be.
-    pub fn take(&mut self, most: usize, now: Instant) -> Result<(), Duration> {
+    /// Takes one of the `limit` requests that may be sent within [`WINDOW`]. Otherwise returns
+    /// the time until the next one may be sent.
+    pub fn take(&mut self, limit: usize, now: Instant) -> Result<(), Duration> {
         while self.sent.front().is_some_and(|sent| now.saturating_duration_since(*sent) >= WINDOW) {
             self.sent.pop_front();
         }
-        if now < self.counts_from {
-            return Err(self.counts_from - now);
+        if now < self.active_from {
+            return Err(self.active_from - now);
         }
-        if self.sent.len() < most {
+        if self.sent.len() < limit {
             self.sent.push_back(now);
             return Ok(());
         }
-        // With no part at all, the limit may be over after a window.
-        let first = self.sent.get(self.sent.len() - most.min(self.sent.len())).copied();
+        // With no share at all, the server may no longer be cold after a window.
+        let first = self.sent.get(self.sent.len() - limit.min(self.sent.len())).copied();
         Err(first.map_or(WINDOW, |first| (first + WINDOW).saturating_duration_since(now)))
     }
 }
