--- a/components/coordination/src/cold.rs
+++ b/components/coordination/src/cold.rs
@@ -34,7 +34,7 @@
     /// Requests per second, over all hosts.
     pub rate: units::Rate,
     /// Time after its start during which a server is cold.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// Tolerance by which all hosts together may exceed the rate of a limit.
@@ -53,7 +53,7 @@
 }
 
 /// Returns the maximum number of requests that one host may send within [`WINDOW`].
-pub fn part(limit: Limit, tolerance: Tolerance, role: connections::Role) -> usize {
+pub fn max_requests(limit: Limit, tolerance: Tolerance, role: connections::Role) -> usize {
     let all = limit.rate.0 * tolerance.overage + tolerance.slack;
     let share = match role {
         connections::Role::Holder => HOLDER_SHARE,
@@ -96,7 +96,7 @@
     /// Records that the server's process is not running: it will be cold after its start.
     pub fn refused(&mut self, limit: Option<Limit>, now: Instant) {
         let Some(limit) = limit else { return };
-        self.suspect(now + limit.lasts + REPORT_TIMEOUT);
+        self.suspect(now + limit.duration + REPORT_TIMEOUT);
     }
 
     /// Records that a connection to the server was lost: its process may have ended.
--- a/components/coordination/tests/cold.rs
+++ b/components/coordination/tests/cold.rs
@@ -7,7 +7,7 @@
 const TOLERANCE: cold::Tolerance = cold::Tolerance { overage: 1.5, slack: 5.0 };
 
 fn limit(per_sec: f64) -> cold::Limit {
-    cold::Limit { rate: units::Rate(per_sec), lasts: Duration::from_secs(6) }
+    cold::Limit { rate: units::Rate(per_sec), duration: Duration::from_secs(6) }
 }
 
 /// Guards against a sum over all hosts beyond the limit while two hosts hold a server's
@@ -15,13 +15,14 @@
 #[test]
 fn all_parts_together_stay_within_the_limit() {
     for per_sec in [0.0, 1.0, 2.0, 5.0, 20.0, 200.0] {
-        let part = |role| cold::part(limit(per_sec), TOLERANCE, role);
-        let all = 2 * part(connections::Role::Holder) + 2 * part(connections::Role::Standby);
-        let others = part(connections::Role::Other);
+        let max_requests = |role| cold::max_requests(limit(per_sec), TOLERANCE, role);
+        let all = 2 * max_requests(connections::Role::Holder)
+            + 2 * max_requests(connections::Role::Standby);
+        let others = max_requests(connections::Role::Other);
         assert!(all as f64 <= per_sec * 1.5 + 5.0, "{all} of {per_sec}");
         assert_eq!(others, 0);
     }
-    assert!(cold::part(limit(2.0), TOLERANCE, connections::Role::Holder) >= 2);
+    assert!(cold::max_requests(limit(2.0), TOLERANCE, connections::Role::Holder) >= 2);
 }
 
 /// Guards against more requests within any window than a host's part, and against a host
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -163,7 +163,7 @@
         if !warmth.is_cold(now) {
             return Ok(());
         }
-        warmth.take(cold::part(limit, tolerance, self.role.get()), now)
+        warmth.take(cold::max_requests(limit, tolerance, self.role.get()), now)
     }
 
     /// Notes that a connection in use broke.
