--- a/components/coordination/src/holders.rs
+++ b/components/coordination/src/holders.rs
@@ -1,17 +1,18 @@
-//! Which host holds the connections to a backend server, so that others share them.
+//! Assignment of a holder to each backend server: the host whose connections to the server
+//! are shared by all hosts.
 //!
-//! The load it answers: nine hosts and eight accounts before servers that take 23
-//! connections and run three statements at once. A connection belongs to an account, so
-//! hosts that each keep their own have about one for 72 pairs of host and account, and
-//! open another for two statements of three. An opening takes a slot as long as a short
-//! statement: a leader that has to run all reads of its group while its replicas are far
-//! behind spends a third of its slots on openings, and refuses what it could run. Nine
-//! queues that do not know of each other also keep three slots either idle or overfull.
+//! Designed for nine hosts and eight accounts with servers that accept 23 connections and run
+//! three statements concurrently. A connection belongs to an account. If every host kept its
+//! own connections, there would be about one for 72 pairs of host and account, and two of
+//! three statements would open another. Opening one takes a slot for as long as a short
+//! statement. A leader that runs all reads of its group while its replicas lag would spend a
+//! third of its slots on opening connections, and refuse statements that it could run. Nine
+//! independent queues would also leave three slots either idle or overloaded.
 //!
-//! With one holder a server's connections are used by all hosts; there is one queue for
-//! its slots, in one order. A holder stands in the server's failure domain, so the hop to
-//! it replaces the way to the server. Every host works the order out from the same view,
-//! without a message; two hosts that disagree for a moment only open connections twice.
+//! With one holder, all hosts use the same connections, and there is one queue for a server's
+//! slots with one order. The holder is in the server's failure domain, so the hop to it
+//! replaces the hop to the server. Every host computes the order from the same view without
+//! communication; hosts whose views differ briefly only open additional connections.
 
 use xxhash_rust::xxh3;
 
@@ -20,35 +21,36 @@
     view::{Member, View},
 };
 
-/// Hosts of a failure domain that may hold its servers' connections, as one part of so
-/// many: the strongest half, since a holder carries the statements of other hosts.
-const STRONGEST: usize = 2;
+/// Divisor for the number of hosts of a failure domain that are eligible as holders: the most
+/// powerful half, since a holder runs the statements of other hosts.
+const ELIGIBLE_DIVISOR: usize = 2;
 
-/// Hosts that are tried in turn while the first ones cannot be reached. Where none of
-/// them can, a host connects to the server itself.
-const MOST: usize = 2;
+/// Maximum number of holders tried in turn while the first ones are unreachable. If all are,
+/// a host connects to the server itself.
+const MAX_HOLDERS: usize = 2;
 
-/// The hosts among which the holders of servers in `domain` are, strongest last.
+/// Returns the hosts that are eligible as holders of servers in `domain`, most powerful last.
+/// If no host is in the failure domain, hosts of all failure domains are considered.
 pub fn eligible(view: &View, domain: &FailureDomain) -> Vec<HostId> {
-    let there = || view.members.iter().filter(|(_, member)| member.value.left.is_none());
-    let near = there().filter(|(_, member)| member.value.domain == *domain);
+    let members = || view.members.iter().filter(|(_, member)| member.value.left.is_none());
+    let near = members().filter(|(_, member)| member.value.domain == *domain);
     let mut hosts: Vec<_> = near.map(|(id, member)| (member.value.power, id)).collect();
     if hosts.is_empty() {
-        hosts = there().map(|(id, member)| (member.value.power, id)).collect();
+        hosts = members().map(|(id, member)| (member.value.power, id)).collect();
     }
     hosts.sort();
-    let enough = hosts.len().div_ceil(STRONGEST).max(MOST.min(hosts.len()));
-    let least = hosts.iter().rev().nth(enough.saturating_sub(1)).map(|(power, _)| *power);
-    let strong = hosts.into_iter().filter(|(power, _)| Some(*power) >= least);
-    strong.map(|(_, id)| id.clone()).collect()
+    let enough = hosts.len().div_ceil(ELIGIBLE_DIVISOR).max(MAX_HOLDERS.min(hosts.len()));
+    let min_power = hosts.iter().rev().nth(enough.saturating_sub(1)).map(|(power, _)| *power);
+    let eligible = hosts.into_iter().filter(|(power, _)| Some(*power) >= min_power);
+    eligible.map(|(_, id)| id.clone()).collect()
 }
 
-/// The hosts of these that hold the connections to a server, best first.
+/// Returns the holder of a server among the eligible hosts, followed by its standby.
 pub fn order(eligible: &[HostId], server: &str) -> Vec<HostId> {
-    rendezvous::order(server, eligible).into_iter().take(MOST).cloned().collect()
+    rendezvous::order(server, eligible).into_iter().take(MAX_HOLDERS).cloned().collect()
 }
 
-/// Tells views apart from which other holders may follow.
+/// Returns a hash of the parts of a view that the assignment of holders depends on.
 pub fn stamp(view: &View) -> u64 {
     let mut hash = xxh3::Xxh3::new();
     for (id, member) in &view.members {
