--- a/components/coordination/src/rendezvous.rs
+++ b/components/coordination/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: which host serves a group, agreed on without a message.
+//! Rendezvous hashing, by which hosts agree on the owner of a key without communication.
 
 use xxhash_rust::xxh3;
 
@@ -7,9 +7,9 @@
 /// A host that may serve a group.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// The host.
+    /// Id of the host.
     pub host: &'a HostId,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: &'a FailureDomain,
 }
 
@@ -23,9 +23,9 @@
 
 /// Orders the candidates for `group`, best first.
 ///
-/// Hosts of the `near` failure domain come first; within each part the order
-/// depends on the names only, so that hosts with the same view agree, and a
-/// host that leaves moves only the groups that it served.
+/// Hosts of the `near` failure domain come first. Otherwise the order depends on the names
+/// only, so that hosts with the same view agree, and the removal of a host moves only the
+/// groups that it served.
 pub fn rank<'a>(
     group: &GroupId,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
@@ -39,7 +39,7 @@
     ranked.into_iter().map(|(_, _, host)| host).collect()
 }
 
-/// Orders the hosts for `key`, best first; it depends on the names only.
+/// Orders the hosts for `key`, best first. The order depends on the names only.
 pub fn order<'a>(key: &str, hosts: &'a [HostId]) -> Vec<&'a HostId> {
     let mut ordered: Vec<_> = hosts.iter().map(|host| (weight(key, host), host)).collect();
     ordered.sort_by(|a, b| b.cmp(a));
