--- a/components/coordination/src/changes.rs
+++ b/components/coordination/src/changes.rs
@@ -1,9 +1,8 @@
-//! What changed between two views, so that hosts tell each other only that.
+//! Differences between two views, which hosts exchange instead of whole views.
 //!
-//! The load it answers: a leader is replaced, or a host joins, in a fleet of some
-//! hundred hosts. A whole view of 300 hosts is 45 KB; told to each host at each
-//! change it fills the links of small hosts (10 Mbit/s) for seconds, while a change
-//! of one row is 150 bytes.
+//! A whole view of 300 hosts is 45 KB. Sent to each host whenever a leader is replaced or a
+//! host joins, in a fleet of several hundred hosts, it would fill the links of small hosts
+//! (10 Mbit/s) for seconds, while a change of one row is 150 bytes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,60 +13,61 @@
     view::{Leadership, Member, Versioned, View},
 };
 
-/// Hosts that are gone are remembered up to this number; who is further behind is
-/// told the whole view. A few hundred hosts are replaced within minutes at most.
-const MOST_GONE: usize = 256;
+/// Maximum number of removed hosts to keep; a host with an older view gets the whole view. At
+/// most a few hundred hosts are replaced within minutes.
+const MAX_REMOVED: usize = 256;
 
-/// The hosts that are gone from a view, and since when.
+/// Hosts removed from a view, with the versions that removed them.
 #[derive(Debug, Default)]
 pub struct RemovedHosts {
     hosts: VecDeque<(u64, HostId)>,
-    /// All that went after this version is in `hosts`.
+    /// Version after which every removal is in `hosts`.
     complete: u64,
 }
 
-/// What a view has that an older one has not.
+/// Difference between a view and an older one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Changes {
-    /// The version of the older view; 0 when this is a whole view.
+    /// Version of the older view; 0 if this is a whole view.
     pub since: u64,
-    /// The view with the changes, without its rows.
+    /// The newer view, with only the rows of members and groups that changed.
     pub view: View,
-    /// The stamp of the view with all its rows.
+    /// Stamp of the newer view with all its rows.
     pub stamp: u64,
-    /// Hosts that are gone.
+    /// Hosts removed since the older view.
     pub gone: Vec<HostId>,
 }
 
 impl RemovedHosts {
-    /// Notes which hosts of a view are not in the one that replaces it.
+    /// Records the hosts of the view `before` that are not in `after`, which replaces it.
     pub fn note(&mut self, before: &View, after: &View) {
         if before.version == 0 {
             self.complete = after.version;
             return;
         }
-        let gone = before.members.keys().filter(|id| !after.members.contains_key(*id));
-        self.hosts.extend(gone.map(|id| (after.version, id.clone())));
-        while self.hosts.len() > MOST_GONE {
+        let removed = before.members.keys().filter(|id| !after.members.contains_key(*id));
+        self.hosts.extend(removed.map(|id| (after.version, id.clone())));
+        while self.hosts.len() > MAX_REMOVED {
             let oldest = self.hosts.pop_front();
             self.complete = oldest.map_or(self.complete, |(version, _)| version);
         }
     }
 
-    /// What a host does not know that has the view of version `since`.
+    /// Returns the changes of `view` since version `since`, or the whole view if that version
+    /// is too old.
     pub fn changes(&self, view: &View, since: u64) -> Changes {
         let since = if since < self.complete { 0 } else { since };
-        let gone = self.hosts.iter().filter(|(version, _)| since > 0 && *version > since);
-        let bare = View { members: BTreeMap::new(), groups: BTreeMap::new(), ..view.clone() };
+        let removed = self.hosts.iter().filter(|(version, _)| since > 0 && *version > since);
+        let header = View { members: BTreeMap::new(), groups: BTreeMap::new(), ..view.clone() };
         Changes {
             since,
             view: View {
                 members: newer::<HostId, Member>(&view.members, since),
                 groups: newer::<GroupId, Leadership>(&view.groups, since),
-                ..bare
+                ..header
             },
             stamp: view.stamp(),
-            gone: gone.map(|(_, id)| id.clone()).collect(),
+            gone: removed.map(|(_, id)| id.clone()).collect(),
         }
     }
 }
@@ -81,11 +81,11 @@
 }
 
 impl Changes {
-    /// The view that the teller has, made from an older one; `None` when the two do
-    /// not fit, and the whole has to be asked for.
+    /// Applies the changes to the older view `base` and returns the sender's view, or `None` if
+    /// they do not apply to `base`, so that the whole view must be requested.
     ///
-    /// Guards against a host that acts on rows that the store no longer holds: the
-    /// stamp covers the version of every row.
+    /// The stamp covers the version of every row, so that no host acts on rows that the store
+    /// no longer has.
     pub fn apply_to(self, base: &View) -> Option<View> {
         let Self { since, view, stamp, gone } = self;
         if since == 0 {
