--- a/components/coordination/src/clock.rs
+++ b/components/coordination/src/clock.rs
@@ -1,19 +1,19 @@
-//! The clock, passed in so that tests can move it.
+//! Clock interface, which lets tests control the time.
 
 use std::{
     cell::Cell,
     time::{Duration, Instant, SystemTime},
 };
 
-/// Tells the time.
+/// Source of the current time.
 pub trait Clock {
-    /// A time that never goes back.
+    /// Returns the monotonic time.
     fn now(&self) -> Instant;
-    /// The time of day; only for people to read.
+    /// Returns the time of day; for display only.
     fn wall(&self) -> SystemTime;
 }
 
-/// The machine's clock.
+/// Clock of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
@@ -27,22 +27,22 @@
     }
 }
 
-/// A clock that moves only when told to.
+/// Clock that advances only by [`ManualClock::advance`].
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
-    passed: Cell<Duration>,
+    elapsed: Cell<Duration>,
 }
 
 impl ManualClock {
-    /// A clock that stands still.
+    /// Creates a stopped clock.
     pub fn new() -> Self {
-        Self { start: Instant::now(), passed: Cell::new(Duration::ZERO) }
+        Self { start: Instant::now(), elapsed: Cell::new(Duration::ZERO) }
     }
 
-    /// Moves the clock on.
+    /// Advances the clock.
     pub fn advance(&self, by: Duration) {
-        self.passed.set(self.passed.get() + by);
+        self.elapsed.set(self.elapsed.get() + by);
     }
 }
 
@@ -54,10 +54,10 @@
 
 impl Clock for ManualClock {
     fn now(&self) -> Instant {
-        self.start + self.passed.get()
+        self.start + self.elapsed.get()
     }
 
     fn wall(&self) -> SystemTime {
-        SystemTime::UNIX_EPOCH + self.passed.get()
+        SystemTime::UNIX_EPOCH + self.elapsed.get()
     }
 }
