--- a/components/coordination/src/store_clock.rs
+++ b/components/coordination/src/store_clock.rs
@@ -1,28 +1,29 @@
-//! The store's steady clock, as a host's own clock shows it.
+//! Conversion of the store's steady clock to the clock of a host.
 //!
-//! Hosts tell each other "nothing newer existed at this time of the store's
-//! clock". Such a statement stays true however long it is under way, which one
-//! by age does not: a message held back by a cut would make old knowledge look new.
+//! Hosts send each other the time of the store's clock at which no newer version existed. That
+//! remains true however long the message is delayed. An age would not: a message delayed by a
+//! partition would make old data look recent.
 
 use std::time::{Duration, Instant};
 
-/// How far two clocks may drift apart, as a part of the time passed. Machine
-/// clocks keep within a tenth of this.
-const DRIFT: f64 = 0.001;
+/// Maximum drift between two clocks as a fraction of the elapsed time. The drift of machine
+/// clocks is less than a tenth of this.
+const MAX_DRIFT: f64 = 0.001;
 
-/// Maps times of the store's clock to the latest local time at which they cannot
-/// yet have been reached.
+/// Maps a time of the store's clock to the latest local time at which the store's clock cannot
+/// have reached it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreClock {
-    /// A local time, and a store time that was read at that local time or later.
+    /// Local time, and a store time that was read at that local time or later.
     best: Option<(Instant, Duration)>,
 }
 
 impl StoreClock {
-    /// Notes that a call which was sent at `asked` was answered with `store`.
+    /// Records that a call sent at the local time `asked` was answered with the store time
+    /// `store`.
     ///
-    /// Kept is what bounds the store's clock most tightly: of all calls the one
-    /// with the least way there.
+    /// The call with the tightest bound on the store's clock is kept: the one that took the
+    /// least time to reach the store.
     pub fn note(&mut self, asked: Instant, store: Duration) {
         let tighter = match self.local(store) {
             Some(bound) => asked >= bound,
@@ -33,13 +34,12 @@
         }
     }
 
-    /// A local time before which the store's clock did not show `store`.
-    ///
-    /// None until a call was answered: without that nothing is known.
+    /// Returns a local time before which the store's clock had not reached `store`, or `None`
+    /// before the first answered call.
     pub fn local(&self, store: Duration) -> Option<Instant> {
         let (at, then) = self.best?;
-        let apart = store.abs_diff(then);
-        let drift = apart.mul_f64(DRIFT);
-        if store >= then { Some(at + apart - drift) } else { at.checked_sub(apart + drift) }
+        let distance = store.abs_diff(then);
+        let drift = distance.mul_f64(MAX_DRIFT);
+        if store >= then { Some(at + distance - drift) } else { at.checked_sub(distance + drift) }
     }
 }
