--- a/components/coordination/src/duty.rs
+++ b/components/coordination/src/duty.rs
@@ -1,12 +1,12 @@
-//! Who may call for a promotion, one host at a time over all groups.
+//! Lock on promotion calls, held by one host at a time over all groups.
 //!
-//! The platform checks nothing, so two hosts that replace leaders of two groups
-//! at the same moment could send their tokens in the wrong order: a token drawn
-//! first is not a call sent first. So the duty is taken for one call and given
-//! back after its answer. Its token is the version of the store at which it was
-//! taken, which only grows. A holder that froze makes no call when it wakes,
-//! since its time is over by its own clock, and another host takes the duty only
-//! when that time and the call's own are over by the store's clock.
+//! The platform makes no check, so two hosts that replace the leaders of two groups at the same
+//! time could send their tokens in the wrong order: the token acquired first is not necessarily
+//! sent first. The lock, called the duty, is therefore acquired for one call and released after
+//! its answer. Its token is the version of the store at which it was acquired, which only
+//! grows. A holder that resumes after a suspension makes no call, because its deadline has
+//! passed by its own clock. Another host acquires the duty only when that deadline and the
+//! call's timeout have passed by the store's clock.
 
 use std::time::Duration;
 
@@ -14,32 +14,32 @@
 
 use crate::HostId;
 
-/// How long the platform's call may take before it is given up.
+/// Timeout of the call to the platform.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long after it began to take the duty a holder may begin its call. Taking
-/// it is one call of the store, on its slowest days 300 ms.
+/// Time after the start of the acquisition within which a holder may start its call. Acquiring
+/// the duty is one call of the store, which takes up to 300 ms when the store is slow.
 pub const CALL_DEADLINE: Duration = Duration::from_millis(1000);
 
-/// How long after a holder took the duty another host may take it without having
-/// been told that it is free: a call begun and given up as late as allowed, and
-/// again as long for what was still on its way.
-const FREE_AFTER: Duration = Duration::from_millis(4500);
+/// Time after its acquisition at which a duty that was not released expires. It covers a call
+/// that starts and times out as late as allowed, and the same time again for requests in
+/// flight.
+const DUTY_TTL: Duration = Duration::from_millis(4500);
 
-/// The duty as the store holds it.
+/// State of the duty in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Duty {
-    /// The host that took it last.
+    /// Host that acquired the duty last.
     pub holder: HostId,
-    /// The store's clock when it did, or later.
+    /// Time of the store's clock at the acquisition, or later.
     pub since: Duration,
-    /// Whether it was given back.
+    /// Whether the duty was released.
     pub free: bool,
 }
 
 impl Duty {
-    /// Whether another host may take it at that time of the store's clock.
+    /// Returns whether another host may acquire the duty at the store time `clock`.
     pub fn is_free(&self, clock: Duration) -> bool {
-        self.free || clock > self.since + FREE_AFTER
+        self.free || clock > self.since + DUTY_TTL
     }
 }
