--- a/components/coordination/src/retry.rs
+++ b/components/coordination/src/retry.rs
@@ -1,35 +1,35 @@
-//! A budget of retries, so that a fault does not multiply the work.
+//! Retry budget, which keeps retries from multiplying the load during a fault.
 
-/// Allows retries as a share of the requests.
+/// Budget that allows retries as a fraction of the requests.
 ///
-/// At most `reserve + share * requests` retries are ever allowed, so that in
-/// a fault the servers see little more work than the callers ask for.
+/// At most `reserve + share * requests` retries are allowed in total, so that during a fault
+/// the load on the servers is only slightly more than the requests of the callers.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Retries earned by each request.
+    /// Retries added per request.
     share: f64,
-    /// The most retries that can be saved up.
+    /// Maximum number of retries that can accumulate.
     reserve: f64,
-    /// Retries allowed now; at most `reserve`.
-    saved: f64,
+    /// Retries allowed at present; at most `reserve`.
+    balance: f64,
 }
 
 impl RetryBudget {
-    /// A budget with a full reserve.
+    /// Creates a budget with a full reserve.
     pub fn new(share: f64, reserve: f64) -> Self {
-        Self { share, reserve, saved: reserve }
+        Self { share, reserve, balance: reserve }
     }
 
-    /// Notes a request.
+    /// Adds the share of one request.
     pub fn deposit(&mut self) {
-        self.saved = (self.saved + self.share).min(self.reserve);
+        self.balance = (self.balance + self.share).min(self.reserve);
     }
 
-    /// Takes one retry; false when the budget is used up.
+    /// Withdraws one retry; returns false if the budget is exhausted.
     pub fn withdraw(&mut self) -> bool {
-        let allowed = self.saved >= 1.0;
+        let allowed = self.balance >= 1.0;
         if allowed {
-            self.saved -= 1.0;
+            self.balance -= 1.0;
         }
         allowed
     }
