--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -1,11 +1,10 @@
-//! Coordination parts for hosts that must act together without a consensus
-//! group of their own.
+//! Building blocks for the coordination of hosts without a consensus group of their own.
 //!
-//! Every part is a plain structure or function: it takes the time (and random
-//! numbers) as an argument, does no input or output and knows no runtime, so
-//! that a daemon, a test or another program can drive it.
+//! Every block is a plain structure or function. It takes the time and random numbers as
+//! arguments, does no input or output and does not depend on a runtime, so that a daemon, a
+//! test or another program can use it.
 //!
-//! A busy server shared between two accounts:
+//! A busy server shared by two accounts:
 //!
 //! ```
 //! use std::time::{Duration, Instant};
@@ -25,14 +24,14 @@
 //! }
 //! queue.push(&ticket("small"), now, 1000).unwrap();
 //!
-//! // The small account does not wait behind the large one's hundred.
+//! // The request of the small account is not queued behind the 100 of the large one.
 //! let first = queue.pop().unwrap();
 //! queue.release(&first.account, first.cost, Duration::from_millis(2));
 //! let second = queue.pop().unwrap();
 //! assert!(first.item == 1000 || second.item == 1000);
 //! ```
 //!
-//! A session that roams:
+//! A session that moves to another host:
 //!
 //! ```
 //! use bergamottrack_coordination::{
