--- a/components/coordination/src/ages.rs
+++ b/components/coordination/src/ages.rs
@@ -23,7 +23,7 @@
     /// Status in the answer.
     pub status: Status,
     /// Time of the request: the status held at that time or later.
-    pub asked: Instant,
+    pub sent: Instant,
 }
 
 /// History of the primary's positions.
@@ -40,44 +40,44 @@
     ///
     /// Otherwise the data of a primary that was partitioned and replaced would be considered
     /// current for ever, since its own position no longer advances. A majority of three that
-    /// promised a later term before `primary.asked` would include one of the two servers that
+    /// promised a later term before `primary.sent` would include one of the two servers that
     /// answered since.
     pub fn note(&mut self, primary: Observed, others: &[Observed]) {
         let status = primary.status;
         let led = status.leads()
             && others
                 .iter()
-                .any(|other| other.asked >= primary.asked && other.status.promised <= status.term);
+                .any(|other| other.sent >= primary.sent && other.status.promised <= status.term);
         let newer = self
             .samples
             .back()
-            .is_none_or(|(at, point)| primary.asked > *at && status.applied >= *point);
+            .is_none_or(|(at, point)| primary.sent > *at && status.applied >= *point);
         if led && newer {
-            self.push(primary.asked, status.applied);
+            self.push(primary.sent, status.applied);
         }
     }
 
-    /// Records the point of a primary that was asked at `asked` and is known to have led then,
+    /// Records the point of a primary that was queried at `sent` and is known to have led then,
     /// by a lease or otherwise.
     ///
     /// Samples less than [`SAMPLE_INTERVAL`] distinct are dropped. Samples from other hosts arrive
     /// late, so a sample may belong between existing ones.
-    pub fn note_point(&mut self, asked: Instant, point: Point) {
-        let after = self.samples.partition_point(|(at, _)| *at < asked);
+    pub fn note_point(&mut self, sent: Instant, point: Point) {
+        let after = self.samples.partition_point(|(at, _)| *at < sent);
         let fits_previous = after.checked_sub(1).is_none_or(|before| {
             let (at, last) = self.samples[before];
-            let distinct = asked >= at + SAMPLE_INTERVAL || point.term > last.term;
+            let distinct = sent >= at + SAMPLE_INTERVAL || point.term > last.term;
             distinct && point >= last
         });
         let fits_next = self.samples.get(after).is_none_or(|(at, next)| {
-            let distinct = *at >= asked + SAMPLE_INTERVAL || next.term > point.term;
+            let distinct = *at >= sent + SAMPLE_INTERVAL || next.term > point.term;
             distinct && point <= *next
         });
         if fits_previous && fits_next && self.samples.len() < MAX_SAMPLES {
-            self.samples.insert(after, (asked, point));
+            self.samples.insert(after, (sent, point));
         } else if fits_previous && fits_next && after > 0 {
             self.samples.pop_front();
-            self.samples.insert(after - 1, (asked, point));
+            self.samples.insert(after - 1, (sent, point));
         }
     }
 
--- a/components/coordination/src/choice.rs
+++ b/components/coordination/src/choice.rs
@@ -104,7 +104,7 @@
     ///
     /// The estimate limits the refusals of a replica that lags by seconds: retried every half
     /// second by each host for each read, it would refuse a hundred reads a second.
-    pub fn behind(&mut self, point: Point, missing: Option<Duration>, now: Instant) {
+    pub fn mark_lagging(&mut self, point: Point, missing: Option<Duration>, now: Instant) {
         let (first, most) = LAG_SKIP_RANGE;
         let doubled = self.lag.map_or(first, |(_, _, last)| (last * 2).min(most));
         let last = missing.map_or(doubled, |missing| missing.clamp(first, MAX_LAG_SKIP));
--- a/components/coordination/src/freshness.rs
+++ b/components/coordination/src/freshness.rs
@@ -108,12 +108,12 @@
         self.known = self.known.max(revision);
     }
 
-    /// Records a proof that no revision newer than `newest` had been accepted at `asked`.
+    /// Records a proof that no revision newer than `newest` had been accepted at `sent_at`.
     ///
     /// It is ignored if this host does not have `newest` yet.
-    pub fn confirm(&mut self, newest: Revision, asked: Instant) {
+    pub fn confirm(&mut self, newest: Revision, sent_at: Instant) {
         if newest <= self.known {
-            self.confirmed_at = self.confirmed_at.max(Some(asked));
+            self.confirmed_at = self.confirmed_at.max(Some(sent_at));
         }
     }
 
--- a/components/coordination/src/store_clock.rs
+++ b/components/coordination/src/store_clock.rs
@@ -19,18 +19,18 @@
 }
 
 impl StoreClock {
-    /// Records that a call sent at the local time `asked` was answered with the store time
+    /// Records that a call sent at the local time `sent_at` was answered with the store time
     /// `store`.
     ///
     /// The call with the tightest bound on the store's clock is kept: the one that took the
     /// least time to reach the store.
-    pub fn note(&mut self, asked: Instant, store: Duration) {
+    pub fn note(&mut self, sent_at: Instant, store: Duration) {
         let tighter = match self.local(store) {
-            Some(bound) => asked >= bound,
+            Some(bound) => sent_at >= bound,
             None => true,
         };
         if tighter {
-            self.best = Some((asked, store));
+            self.best = Some((sent_at, store));
         }
     }
 
--- a/components/coordination/src/view.rs
+++ b/components/coordination/src/view.rs
@@ -204,12 +204,12 @@
         &self.view
     }
 
-    /// Replaces the view by one that was the newest at the local time `asked` or later.
+    /// Replaces the view by one that was the newest at the local time `sent_at` or later.
     /// Returns false, without any change, if the current one is newer.
     ///
     /// Rows from [`LocalView::take`] that are newer than the view are kept: a host that has
     /// released its lease on a leader must not return to an older row.
-    pub fn learn(&mut self, mut view: View, asked: Instant) -> bool {
+    pub fn learn(&mut self, mut view: View, sent_at: Instant) -> bool {
         if view.version < self.view.version {
             return false;
         }
@@ -221,7 +221,7 @@
         self.removed.note(&self.view, &view);
         self.stamp = view.stamp();
         self.view = view;
-        self.confirmed_at = self.confirmed_at.max(Some(asked));
+        self.confirmed_at = self.confirmed_at.max(Some(sent_at));
         true
     }
 
--- a/components/coordination/tests/ages.rs
+++ b/components/coordination/tests/ages.rs
@@ -15,12 +15,12 @@
     Status { role, term: Term(term), promised: Term(promised), held: point, applied: point }
 }
 
-fn primary(term: u64, position: u64, asked: Instant) -> Observed {
-    Observed { status: status(Role::Primary, term, term, position), asked }
+fn primary(term: u64, position: u64, sent: Instant) -> Observed {
+    Observed { status: status(Role::Primary, term, term, position), sent }
 }
 
-fn replica(term: u64, promised: u64, asked: Instant) -> Observed {
-    Observed { status: status(Role::Replica, term, promised, 0), asked }
+fn replica(term: u64, promised: u64, sent: Instant) -> Observed {
+    Observed { status: status(Role::Replica, term, promised, 0), sent }
 }
 
 #[test]
--- a/components/coordination/tests/choice.rs
+++ b/components/coordination/tests/choice.rs
@@ -73,7 +73,7 @@
 fn a_replica_that_is_behind_is_passed_over() {
     let now = Instant::now();
     let (mut behind, other) = (answered(&[20; 12], now), answered(&[60; 12], now));
-    behind.behind(Point::new(1, 100), None, now);
+    behind.mark_lagging(Point::new(1, 100), None, now);
     let both = [candidate(&behind), candidate(&other)];
     assert_eq!(choice::order(&both, Some(Point::new(1, 120)), now), [1, 0]);
     assert_eq!(choice::order(&both, Some(Point::new(1, 90)), now), [0, 1]);
@@ -88,11 +88,11 @@
     let now = Instant::now();
     let mut health = answered(&[20; 12], now);
     let need = Point::new(1, 100);
-    health.behind(need, Some(Duration::from_secs(18)), now);
+    health.mark_lagging(need, Some(Duration::from_secs(18)), now);
     assert!(health.lacks(need, now + 900 * MS));
     assert!(!health.lacks(Point::new(1, 99), now));
     assert!(!health.lacks(need, now + 1100 * MS));
-    health.behind(need, Some(100 * MS), now);
+    health.mark_lagging(need, Some(100 * MS), now);
     assert!(health.lacks(need, now + 90 * MS) && !health.lacks(need, now + 110 * MS));
     health.clear_lag();
     assert!(!health.lacks(need, now));
--- a/components/home/src/group.rs
+++ b/components/home/src/group.rs
@@ -180,7 +180,7 @@
     /// Notes where the primary stands, from what the servers last said.
     pub(crate) fn note_ages(&self) {
         let seen = |server: &Rc<Server>| {
-            server.seen.get().map(|seen| Observed { status: seen.status, asked: seen.asked })
+            server.seen.get().map(|seen| Observed { status: seen.status, sent: seen.asked })
         };
         let Some((primary, _)) = self.primary() else { return };
         let Some(observed) = seen(&primary) else { return };
--- a/components/proxy/src/job.rs
+++ b/components/proxy/src/job.rs
@@ -236,7 +236,7 @@
                 let lag = answer.point.and_then(|shown| ages.age(shown, now));
                 let missing =
                     lag.zip(ages.age(after, now)).map(|(lag, due)| lag.saturating_sub(due));
-                pool.health.borrow_mut().behind(after, missing, now);
+                pool.health.borrow_mut().mark_lagging(after, missing, now);
             }
             "the replica is behind"
         }
