--- a/components/coordination/src/ages.rs
+++ b/components/coordination/src/ages.rs
@@ -60,7 +60,7 @@
     /// Records the point of a primary that was queried at `sent` and is known to have led then,
     /// by a lease or otherwise.
     ///
-    /// Samples less than [`SAMPLE_INTERVAL`] distinct are dropped. Samples from other hosts arrive
+    /// Samples less than `SAMPLE_INTERVAL` apart are dropped. Samples from other hosts arrive
     /// late, so a sample may belong between existing ones.
     pub fn note_point(&mut self, sent: Instant, point: Point) {
         let after = self.samples.partition_point(|(at, _)| *at < sent);
