--- a/components/proxy/src/operation.rs
+++ b/components/proxy/src/operation.rs
@@ -129,7 +129,8 @@
 async fn wait_for_targets(host: &Host, operation: &Operation) -> Result<Vec<Target>, Refusal> {
     let until = operation.deadline.min(Instant::now() + LEADER_TIMEOUT);
     loop {
-        if operation.access == Access::Write && operation.group.receipts.state.borrow().is_stuck() {
+        if operation.access == Access::Write && operation.group.receipts.state.borrow().is_stalled()
+        {
             return Err(Refusal::busy("the leader's replicas receive nothing"));
         }
         let mut targets = target::select(host, operation);
@@ -196,7 +197,7 @@
     let Execution { conn, usage, .. } = execution;
     conn.give_back(&answer);
     if required_position.is_some() && answer.failure().is_none() {
-        pool.health.borrow_mut().caught_up();
+        pool.health.borrow_mut().clear_lag();
     }
     match retryable(host, operation, &pool, required_position, &answer) {
         Some(refusal) => Attempt::Retryable(refusal),
@@ -245,7 +246,7 @@
                 let missing = lag
                     .zip(ages.age(required_position, now))
                     .map(|(lag, due)| lag.saturating_sub(due));
-                pool.health.borrow_mut().behind(required_position, missing, now);
+                pool.health.borrow_mut().mark_lagging(required_position, missing, now);
             }
             "the replica is behind"
         }
@@ -360,7 +361,7 @@
     })?;
     if answer.state == State::Open && answer.failure().is_none() {
         if required_position.is_some() {
-            pool.health.borrow_mut().caught_up();
+            pool.health.borrow_mut().clear_lag();
         }
         return Ok(execution);
     }
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -33,7 +33,7 @@
 
 /// Returns whether statements with these homes may be forwarded to another host.
 pub fn may_forward(host: &host::Host, holder: &ids::HostId, homes: &homes::Homes) -> bool {
-    if homes.is_anywhere() {
+    if homes.is_unrestricted() {
         return true;
     }
     let held = host.held.borrow();
--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -111,8 +111,8 @@
             let listed = pool.listed.borrow();
             Candidate {
                 health,
-                near: listed.domain == host.settings.domain,
-                warm: host.holder(pool).is_some() || pool.is_warm(&operation.account),
+                same_domain: listed.domain == host.settings.domain,
+                connected: host.holder(pool).is_some() || pool.is_warm(&operation.account),
                 leads: leader_id.as_ref() == Some(&listed.id),
                 cold: pool.is_cold(now),
                 slots: listed.slots,
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -36,7 +36,7 @@
             return Some(ruling);
         }
     }
-    let other_hubs = host.neighbours.borrow().elsewhere.clone();
+    let other_hubs = host.neighbours.borrow().remote_hubs.clone();
     for hub in &other_hubs {
         let Some(link) = host.reach(hub) else { continue };
         if let Some(ruling) = request_token(&link, id, account).await {
