--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -25,7 +25,7 @@
     conn::{self, Broken},
     group::Group,
     host::Host,
-    lead, placement,
+    monitor, placement,
     pool::{NoConnection, Pool},
 };
 
@@ -190,7 +190,7 @@
 
 /// Asks on a connection of this host's own.
 async fn status_own(host: &Host, pool: &Rc<Pool>, until: Instant) -> Result<ServerAnswer, Heard> {
-    let leased = pool.lease_any(&lead::any_account(host), until).await;
+    let leased = pool.lease_any(&monitor::any_account(host), until).await;
     let mut leased = leased.map_err(|error| match error {
         NoConnection::Full => Heard::Busy,
         NoConnection::Open(OpenError::Refused) => Heard::Dead,
--- a/components/proxy/src/change.rs
+++ b/components/proxy/src/failover.rs
@@ -25,7 +25,9 @@
 use futures_util::future;
 use tracing::{info, warn};
 
-use crate::{fleet, follow::STORE_WITHIN, group::Group, host::Host, lead, placement, pool::Pool};
+use crate::{
+    fleet, follow::STORE_WITHIN, group::Group, host::Host, monitor, placement, pool::Pool,
+};
 
 /// How long a promoted server may take to lead before it is asked for again.
 const LEADS_WITHIN: Duration = Duration::from_millis(3000);
@@ -74,7 +76,7 @@
         let client = Client::new(host.settings.store);
         let key = fleet::group_key(&group.id);
         let now = host.now();
-        let (holder, since) = (host.settings.host.clone(), lead::store_now(host));
+        let (holder, since) = (host.settings.host.clone(), monitor::store_now(host));
         let term = before.as_ref().map(|row| row.value.term()).unwrap_or_default();
         let moving = Leadership::Moving { from: from.clone(), holder, since, planned, term };
         let change = Change {
@@ -130,7 +132,7 @@
                     info!(group = %group.id, %error, "leader: no successor yet");
                 }
             }
-            monoio::time::sleep(lead::LOOK_EVERY).await;
+            monoio::time::sleep(monitor::LOOK_EVERY).await;
         }
         bail!("the turn is over")
     }
@@ -141,7 +143,7 @@
             match fleet::read(&self.client).await {
                 Ok(view) => break view,
                 Err(error) if host.now() > self.until => return Err(error),
-                Err(_) => monoio::time::sleep(lead::LOOK_EVERY).await,
+                Err(_) => monoio::time::sleep(monitor::LOOK_EVERY).await,
             }
         };
         anyhow::ensure!(view.version >= self.intent, "the store went back");
@@ -161,7 +163,7 @@
             if placement::of(host, &pool) != evacuation::Placement::Allowed {
                 continue;
             }
-            if let Ok(status) = lead::status(host, &pool, suspicion::PROBE_WITHIN).await
+            if let Ok(status) = monitor::status(host, &pool, suspicion::PROBE_WITHIN).await
                 && status.role == Role::Primary
                 && self.terms.allow(status.term)
             {
@@ -245,7 +247,7 @@
         pools: &[Rc<Pool>],
         order: Order,
     ) -> Next {
-        let asks = pools.iter().map(|pool| lead::status(host, pool, suspicion::PROBE_WITHIN));
+        let asks = pools.iter().map(|pool| monitor::status(host, pool, suspicion::PROBE_WITHIN));
         let statuses = future::join_all(asks).await;
         let told: Vec<Standing> = pools
             .iter()
@@ -285,7 +287,7 @@
         }
         let until = host.now() + LEADS_WITHIN;
         while host.now() < until {
-            if let Ok(status) = lead::status(host, pool, suspicion::PROBE_WITHIN).await
+            if let Ok(status) = monitor::status(host, pool, suspicion::PROBE_WITHIN).await
                 && status.role == Role::Primary
                 && status.term > after
             {
@@ -379,7 +381,7 @@
             if host.now() > self.until {
                 bail!("the new leader could not be written down: {verdict:?}");
             }
-            monoio::time::sleep(lead::LOOK_EVERY).await;
+            monoio::time::sleep(monitor::LOOK_EVERY).await;
         }
     }
 }
@@ -405,7 +407,7 @@
     let until = host.now() + CAUGHT_UP_WITHIN;
     let mut newest: Option<(Point, Instant)> = None;
     while host.now() < until {
-        match lead::status(host, pool, suspicion::PROBE_WITHIN).await {
+        match monitor::status(host, pool, suspicion::PROBE_WITHIN).await {
             Ok(status) if status.received >= last => return true,
             Ok(status) if newest.is_none_or(|(point, _)| status.received > point) => {
                 newest = Some((status.received, host.now()));
@@ -451,13 +453,13 @@
                 let answer = link.ask(act, ACT_WITHIN).await;
                 matches!(answer, Ok(Answer::Acting(version)) if version >= row.version)
             }
-            None => lead::is_dead(&host, &id).await,
+            None => monitor::is_dead(&host, &id).await,
         };
         if gave_back {
             release.borrow_mut().gave_back(&id);
             return;
         }
-        monoio::time::sleep(if was_up { lead::LOOK_EVERY } else { DIAL_EVERY }).await;
+        monoio::time::sleep(if was_up { monitor::LOOK_EVERY } else { DIAL_EVERY }).await;
     }
     if release.borrow().waiting().contains(&id) {
         info!(host = %id, "leader: a host did not give its lease back");
--- a/components/proxy/src/lib.rs
+++ b/components/proxy/src/lib.rs
@@ -2,10 +2,11 @@
 
 pub mod backend;
 pub mod caller;
-pub mod change;
 pub mod clock;
 pub mod confirm;
 pub mod conn;
+pub mod eviction;
+pub mod failover;
 pub mod fetch;
 pub mod fleet;
 pub mod follow;
@@ -13,8 +14,8 @@
 pub mod group;
 pub mod host;
 pub mod job;
-pub mod lead;
 pub mod measure;
+pub mod monitor;
 pub mod packed;
 pub mod place;
 pub mod placement;
@@ -22,7 +23,6 @@
 pub mod positions;
 pub mod relay;
 pub mod serve;
-pub mod silent;
 pub mod talk;
 pub mod tokens;
 
--- a/components/proxy/src/lead.rs
+++ b/components/proxy/src/monitor.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     backend::{Backend, OpenError},
-    change::Move,
+    failover::Move,
     group::Group,
     host::{Host, Phase},
     placement,
@@ -295,10 +295,10 @@
             group.moved.set(false);
             return;
         }
-        let change = Move::begin(&host, &group, before, from, planned).await;
-        match change {
-            Ok(Some(change)) => {
-                if let Err(error) = change.run(&host, &group).await {
+        let failover = Move::begin(&host, &group, before, from, planned).await;
+        match failover {
+            Ok(Some(failover)) => {
+                if let Err(error) = failover.run(&host, &group).await {
                     warn!(group = %group.id, error = %format_args!("{error:#}"), "leader: not replaced");
                 }
             }
--- a/components/proxy/src/relay.rs
+++ b/components/proxy/src/relay.rs
@@ -18,7 +18,7 @@
 use crate::{
     conn,
     host::{Host, Phase},
-    lead, placement,
+    monitor, placement,
     pool::{Leased, Permit, Pool},
 };
 
@@ -146,7 +146,7 @@
     }
     let until = monoio::time::Instant::now() + errand.within();
     let Some(account) = &errand.account else {
-        let leased = pool.lease_any(&lead::any_account(host), until).await;
+        let leased = pool.lease_any(&monitor::any_account(host), until).await;
         return Ok((leased.map_err(conn::not_sent)?, None));
     };
     let permit = pool.enter(errand.priority, errand.patience(), host.now()).await;
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -27,11 +27,10 @@
 use tracing::{info, warn};
 
 use crate::{
-    BootClock, caller, fleet, follow, gossip,
+    BootClock, caller, eviction, fleet, follow, gossip,
     host::{Host, Phase},
-    lead,
     measure::Measures,
-    silent,
+    monitor,
 };
 
 /// How often signals are looked at.
@@ -84,10 +83,10 @@
     monoio::spawn(fleet::follow(host.clone()));
     monoio::spawn(gossip::send_heartbeats(host.clone()));
     monoio::spawn(gossip::ask_hosts(host.clone()));
-    monoio::spawn(silent::take_out_silent(host.clone()));
+    monoio::spawn(eviction::take_out_silent(host.clone()));
     monoio::spawn(follow::configuration(host.clone()));
     monoio::spawn(follow::servers(host.clone()));
-    monoio::spawn(lead::watch(host.clone()));
+    monoio::spawn(monitor::watch(host.clone()));
     monoio::spawn(host.clone().trim());
     monoio::select! {
         _ = accept_callers(callers, host.clone()) => {}
