--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -22,7 +22,7 @@
 
 use crate::{
     backend::OpenError,
-    conn::{self, Broken},
+    conn::{self, ExchangeError},
     group::Group,
     host::Host,
     monitor, placement,
@@ -179,11 +179,11 @@
     let mut line = BytesMut::new();
     wire::put_status(&mut line);
     let within = until.saturating_duration_since(Instant::now()).min(HOLDER_WITHIN);
-    match conn::ask_far(&link, pool, line.freeze(), within).await {
+    match conn::forward_query(&link, pool, line.freeze(), within).await {
         Ok(answer) => Some(Ok(answer)),
-        Err(Broken::NotSent(NotSent::Dead)) => Some(Err(Heard::Dead)),
-        Err(Broken::NotSent(NotSent::Full | NotSent::Rejected)) => Some(Err(Heard::Busy)),
-        Err(Broken::NotSent(NotSent::Silent)) => Some(Err(Heard::Silent)),
+        Err(ExchangeError::NotSent(NotSent::Dead)) => Some(Err(Heard::Dead)),
+        Err(ExchangeError::NotSent(NotSent::Full | NotSent::Rejected)) => Some(Err(Heard::Busy)),
+        Err(ExchangeError::NotSent(NotSent::Silent)) => Some(Err(Heard::Silent)),
         Err(_) => None,
     }
 }
--- a/components/proxy/src/conn.rs
+++ b/components/proxy/src/conn.rs
@@ -27,7 +27,7 @@
 
 /// Who waits for a connection, and how long.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
+pub struct QueueParams {
     /// Who goes first where not all can be served; 0 is the most urgent.
     pub priority: u32,
     /// How long it may wait for its turn.
@@ -38,7 +38,7 @@
 
 /// Why there is no answer of the server.
 #[derive(Clone, Copy, Debug)]
-pub enum Broken {
+pub enum ExchangeError {
     /// The server did not get the statement.
     NotSent(NotSent),
     /// The connection was lost.
@@ -55,11 +55,11 @@
 }
 
 /// A connection that another host holds.
-pub struct Far {
+pub struct Remote {
     pool: Rc<Pool>,
     link: Rc<Link>,
     account: AccountId,
-    turn: Turn,
+    turn: QueueParams,
     line: BytesMut,
     values: BTreeMap<Box<str>, Box<str>>,
     shape: Option<Shape>,
@@ -76,7 +76,7 @@
     /// Of this host's own.
     Own(Box<Own>),
     /// Held by another host.
-    Far(Box<Far>),
+    Remote(Box<Remote>),
 }
 
 impl Conn {
@@ -85,18 +85,18 @@
         pool: &Rc<Pool>,
         account: &AccountId,
         session: &Session,
-        turn: Turn,
+        turn: QueueParams,
         now: StdInstant,
     ) -> Result<Self, NotSent> {
         let permit = pool.enter(turn.priority, turn.patience, now).await;
-        let permit = permit.map_err(crowded)?;
+        let permit = permit.map_err(queue_full)?;
         let leased = pool.lease(account, &session.values, turn.until).await.map_err(not_sent)?;
         Ok(Self::Own(Box::new(Own { leased, permit: Some(permit) })))
     }
 
     /// One that the host at the other end of the link holds; nothing is sent yet.
-    pub fn far(pool: Rc<Pool>, link: Rc<Link>, account: AccountId, turn: Turn) -> Self {
-        Self::Far(Box::new(Far {
+    pub fn remote(pool: Rc<Pool>, link: Rc<Link>, account: AccountId, turn: QueueParams) -> Self {
+        Self::Remote(Box::new(Remote {
             pool,
             link,
             account,
@@ -114,7 +114,7 @@
     pub fn pool(&self) -> &Rc<Pool> {
         match self {
             Self::Own(own) => own.leased.pool(),
-            Self::Far(far) => &far.pool,
+            Self::Remote(remote) => &remote.pool,
         }
     }
 
@@ -133,37 +133,37 @@
     ) {
         match self {
             Self::Own(own) => own.leased.backend().put(&session.values, shape, write),
-            Self::Far(far) => {
-                far.values = session.values.clone();
-                far.shape = shape.cloned();
-                write(&mut far.line);
+            Self::Remote(remote) => {
+                remote.values = session.values.clone();
+                remote.shape = shape.cloned();
+                write(&mut remote.line);
             }
         }
     }
 
     /// Puts a line that runs whatever the session's values are.
-    pub fn put_bare(&mut self, write: impl FnOnce(&mut BytesMut)) {
+    pub fn put_without_session(&mut self, write: impl FnOnce(&mut BytesMut)) {
         match self {
             Self::Own(own) => write(&mut own.leased.backend().out),
-            Self::Far(far) => {
-                far.bare = true;
-                write(&mut far.line);
+            Self::Remote(remote) => {
+                remote.bare = true;
+                write(&mut remote.line);
             }
         }
     }
 
     /// What is put next opens a transaction.
-    pub fn open_work(&mut self) {
-        if let Self::Far(far) = self {
-            far.work = Some(rand::random());
+    pub fn begin_transaction(&mut self) {
+        if let Self::Remote(remote) = self {
+            remote.work = Some(rand::random());
         }
     }
 
     /// Sends what was put and reads the answer.
-    pub async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, Broken> {
+    pub async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, ExchangeError> {
         match self {
             Self::Own(own) => own.exchange(within).await,
-            Self::Far(far) => far.exchange(within).await,
+            Self::Remote(remote) => remote.exchange(within).await,
         }
     }
 
@@ -180,20 +180,20 @@
                 clean
             }
             // Its holder has looked at the same answer.
-            Self::Far(far) => !far.kept,
+            Self::Remote(remote) => !remote.kept,
         }
     }
 }
 
 impl Own {
-    async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, Broken> {
+    async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, ExchangeError> {
         let pool = self.leased.pool().clone();
         let asked = Instant::now();
         let permit = match self.permit.take() {
             Some(permit) => permit,
             None => {
-                let permit = pool.go_on(asked + within).await;
-                permit.map_err(|wait| Broken::NotSent(crowded(wait)))?
+                let permit = pool.enter_in_transaction(asked + within).await;
+                permit.map_err(|wait| ExchangeError::NotSent(queue_full(wait)))?
             }
         };
         pool.exchanges.borrow_mut().begin(StdInstant::now());
@@ -201,25 +201,25 @@
         pool.exchanges.borrow_mut().end(matches!(answer, Ok(Ok(_))), StdInstant::now());
         match answer {
             Ok(Ok(answer)) => {
-                permit.took.set(Some(asked.elapsed()));
+                permit.latency.set(Some(asked.elapsed()));
                 Ok(answer)
             }
             Ok(Err(_)) => {
-                pool.note_lost();
-                Err(Broken::Lost)
+                pool.record_disconnect();
+                Err(ExchangeError::Lost)
             }
             Err(_) => {
                 pool.drop_idle();
-                Err(Broken::Late)
+                Err(ExchangeError::Late)
             }
         }
     }
 }
 
-impl Far {
-    async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, Broken> {
+impl Remote {
+    async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, ExchangeError> {
         if !self.link.is_up() {
-            return Err(Broken::NotSent(NotSent::Unreachable));
+            return Err(ExchangeError::NotSent(NotSent::Unreachable));
         }
         let errand = Errand {
             server: self.pool.listed.borrow().id.clone(),
@@ -242,7 +242,7 @@
     }
 }
 
-impl Drop for Far {
+impl Drop for Remote {
     fn drop(&mut self) {
         let Some(work) = self.work.filter(|_| self.kept) else { return };
         let link = self.link.clone();
@@ -254,23 +254,23 @@
 }
 
 /// Has the host at the other end of the link run an errand.
-async fn run(link: &Link, errand: Errand) -> Result<ServerAnswer, Broken> {
+async fn run(link: &Link, errand: Errand) -> Result<ServerAnswer, ExchangeError> {
     let within = errand.within() + WORD_WITHIN;
     match link.ask(Question::Relay(Box::new(errand)), within).await {
         Ok(Answer::Relayed(Relayed::Answered(answer))) => Ok(answer),
-        Ok(Answer::Relayed(Relayed::NotSent(why))) => Err(Broken::NotSent(why)),
-        Ok(Answer::Relayed(Relayed::Late)) => Err(Broken::Late),
-        _ => Err(Broken::Lost),
+        Ok(Answer::Relayed(Relayed::NotSent(why))) => Err(ExchangeError::NotSent(why)),
+        Ok(Answer::Relayed(Relayed::Late)) => Err(ExchangeError::Late),
+        _ => Err(ExchangeError::Lost),
     }
 }
 
 /// Asks a server a question of the host's own by the host that holds its connections.
-pub async fn ask_far(
+pub async fn forward_query(
     link: &Link,
     pool: &Pool,
     line: Bytes,
     within: Duration,
-) -> Result<ServerAnswer, Broken> {
+) -> Result<ServerAnswer, ExchangeError> {
     let errand = Errand {
         server: pool.listed.borrow().id.clone(),
         account: None,
@@ -287,7 +287,7 @@
 }
 
 /// What is told of a server that has no room for so long.
-pub fn crowded(wait: Duration) -> NotSent {
+pub fn queue_full(wait: Duration) -> NotSent {
     NotSent::Crowded(wait.as_millis() as u32)
 }
 
--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -10,7 +10,7 @@
 use bergamottrack_platform::http::Client;
 use tracing::info;
 
-use crate::{fleet, follow::STORE_WITHIN, host::Host};
+use crate::{fleet, follow::STORE_TIMEOUT, host::Host};
 
 /// How long a host must be silent to the one who takes it out. A host that was
 /// removed for good delays a change of leader by a whole lease, unless it was
@@ -19,7 +19,7 @@
 
 /// Takes out hosts that have been silent for long, and removes what is left of
 /// hosts taken out before, for ever.
-pub async fn take_out_silent(host: Rc<Host>) {
+pub async fn evict_silent(host: Rc<Host>) {
     let client = Client::new(host.settings.store);
     let mut alone = false;
     loop {
@@ -36,7 +36,7 @@
             continue;
         }
         let Some(change) = silent_member(&host, now) else { continue };
-        match store::change(&client, &change, STORE_WITHIN).await {
+        match store::change(&client, &change, STORE_TIMEOUT).await {
             Ok(verdict) => info!(?change.expect, ?verdict, "fleet: a silent host is taken out"),
             Err(error) => info!(error = %format_args!("{error:#}"), "fleet: not taken out"),
         }
--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -26,7 +26,7 @@
 use tracing::{info, warn};
 
 use crate::{
-    fleet, follow::STORE_WITHIN, group::Group, host::Host, monitor, placement, pool::Pool,
+    fleet, follow::STORE_TIMEOUT, group::Group, host::Host, monitor, placement, pool::Pool,
 };
 
 /// How long a promoted server may take to lead before it is asked for again.
@@ -51,7 +51,7 @@
 const DIAL_EVERY: Duration = Duration::from_millis(20);
 
 /// A change of leader that this host makes.
-pub struct Move {
+pub struct Failover {
     client: Client,
     from: Option<ServerId>,
     planned: bool,
@@ -64,7 +64,7 @@
     until: Instant,
 }
 
-impl Move {
+impl Failover {
     /// Writes the intent; `None` when another host was first.
     pub async fn begin(
         host: &Rc<Host>,
@@ -84,7 +84,7 @@
             put: vec![(key, serde_json::to_vec(&moving)?)],
             remove: Vec::new(),
         };
-        let verdict = store::change(&client, &change, STORE_WITHIN).await;
+        let verdict = store::change(&client, &change, STORE_TIMEOUT).await;
         let intent = match verdict {
             Ok(Verdict::Applied(version)) => Some(version),
             Ok(Verdict::Conflict) => None,
@@ -132,7 +132,7 @@
                     info!(group = %group.id, %error, "leader: no successor yet");
                 }
             }
-            monoio::time::sleep(monitor::LOOK_EVERY).await;
+            monoio::time::sleep(monitor::CHECK_INTERVAL).await;
         }
         bail!("the turn is over")
     }
@@ -143,7 +143,7 @@
             match fleet::read(&self.client).await {
                 Ok(view) => break view,
                 Err(error) if host.now() > self.until => return Err(error),
-                Err(_) => monoio::time::sleep(monitor::LOOK_EVERY).await,
+                Err(_) => monoio::time::sleep(monitor::CHECK_INTERVAL).await,
             }
         };
         anyhow::ensure!(view.version >= self.intent, "the store went back");
@@ -328,7 +328,7 @@
             ],
             remove: Vec::new(),
         };
-        let verdict = store::change(&self.client, &change, STORE_WITHIN).await?;
+        let verdict = store::change(&self.client, &change, STORE_TIMEOUT).await?;
         let Verdict::Applied(token) = verdict else { return Ok(None) };
         info!(group = %group.id, token, closed = %after, "duty: taken");
         Ok(Some((token, began + CALL_BY)))
@@ -345,7 +345,7 @@
             put.push((fleet::closed_key(&group.id), closed));
         }
         let change = Change { expect: vec![(fleet::DUTY.into(), token)], put, remove: Vec::new() };
-        if let Err(error) = store::change(&self.client, &change, STORE_WITHIN).await {
+        if let Err(error) = store::change(&self.client, &change, STORE_TIMEOUT).await {
             // It is free by itself after a few seconds.
             info!(token, error = %format_args!("{error:#}"), "duty: not given back");
         }
@@ -367,7 +367,7 @@
             remove: Vec::new(),
         };
         loop {
-            let verdict = store::change(&self.client, &change, STORE_WITHIN).await;
+            let verdict = store::change(&self.client, &change, STORE_TIMEOUT).await;
             let asked = host.now();
             if let Ok(view) = fleet::read(&self.client).await {
                 let row = view.groups.get(&group.id);
@@ -381,7 +381,7 @@
             if host.now() > self.until {
                 bail!("the new leader could not be written down: {verdict:?}");
             }
-            monoio::time::sleep(monitor::LOOK_EVERY).await;
+            monoio::time::sleep(monitor::CHECK_INTERVAL).await;
         }
     }
 }
@@ -459,7 +459,7 @@
             release.borrow_mut().gave_back(&id);
             return;
         }
-        monoio::time::sleep(if was_up { monitor::LOOK_EVERY } else { DIAL_EVERY }).await;
+        monoio::time::sleep(if was_up { monitor::CHECK_INTERVAL } else { DIAL_EVERY }).await;
     }
     if release.borrow().waiting().contains(&id) {
         info!(host = %id, "leader: a host did not give its lease back");
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -18,7 +18,7 @@
 use tracing::{info, warn};
 
 use crate::{
-    follow::STORE_WITHIN,
+    follow::STORE_TIMEOUT,
     group::Group,
     host::{Host, Phase},
 };
@@ -90,7 +90,7 @@
 
 /// Reads the view.
 pub async fn read(client: &Client) -> anyhow::Result<View> {
-    let rows = store::read(client, Table::Fleet, STORE_WITHIN).await?;
+    let rows = store::read(client, Table::Fleet, STORE_TIMEOUT).await?;
     decode(&rows)
 }
 
@@ -191,7 +191,7 @@
         put: vec![(SECRET.into(), drawn.into_bytes())],
         remove: Vec::new(),
     };
-    store::change(client, &change, STORE_WITHIN).await
+    store::change(client, &change, STORE_TIMEOUT).await
 }
 
 /// Whether this host has to read the view itself now.
@@ -263,7 +263,8 @@
     };
     let value = serde_json::to_vec(&member)?;
     let put = vec![(member_key(&settings.host), value)];
-    let verdict = store::change(client, &Change { put, ..Change::default() }, STORE_WITHIN).await?;
+    let verdict =
+        store::change(client, &Change { put, ..Change::default() }, STORE_TIMEOUT).await?;
     anyhow::ensure!(matches!(verdict, Verdict::Applied(_)), "the store said {verdict:?}");
     info!(place = member.place, "fleet: joined");
     Ok(())
@@ -273,7 +274,7 @@
 pub async fn leave(settings: &Settings) -> anyhow::Result<()> {
     let client = Client::new(settings.store);
     let remove = vec![member_key(&settings.host)];
-    store::change(&client, &Change { remove, ..Change::default() }, STORE_WITHIN).await?;
+    store::change(&client, &Change { remove, ..Change::default() }, STORE_TIMEOUT).await?;
     Ok(())
 }
 
@@ -362,7 +363,7 @@
         remove: Vec::new(),
     };
     let client = Client::new(host.settings.store);
-    let verdict = store::change(&client, &change, STORE_WITHIN).await?;
+    let verdict = store::change(&client, &change, STORE_TIMEOUT).await?;
     info!(%holder, version, ?verdict, "fleet: release told by the store");
     Ok(())
 }
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -16,7 +16,7 @@
 
 /// How long an answer of the store may take to begin, beside what it was asked to wait.
 /// Sixty times the usual one, as on its slowest days, is 250 ms.
-pub const STORE_WITHIN: Duration = Duration::from_millis(1000);
+pub const STORE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How long the store is asked to wait for a change of the list of servers: one
 /// that leaves still serves for seconds.
@@ -68,9 +68,9 @@
         }
         let asked = host.now();
         let read = match after {
-            None => store::read(&client, table, STORE_WITHIN).await.map(|rows| (rows, true)),
+            None => store::read(&client, table, STORE_TIMEOUT).await.map(|rows| (rows, true)),
             Some(version) => {
-                let feed = store::follow(&client, table, version, wait, STORE_WITHIN).await;
+                let feed = store::follow(&client, table, version, wait, STORE_TIMEOUT).await;
                 match feed {
                     Ok(Feed::Changed(rows)) => Ok((rows, false)),
                     Ok(Feed::Forgotten) => {
@@ -147,7 +147,7 @@
     let take = |rows: &Rows, whole: bool| {
         let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
         let expected = if whole { known } else { Vec::new() };
-        let (listed, missing) = left(&rows.rows, expected, rows.clock);
+        let (listed, missing) = resolve_entries(&rows.rows, expected, rows.clock);
         listed.into_iter().for_each(|listed| host.list(listed));
         missing.into_iter().for_each(|id| miss(&host, id));
         host.servers_clock.set(host.servers_clock.get().max(rows.clock));
@@ -180,7 +180,7 @@
 ///
 /// Rows come in the order of their changes, and a server may have several: one that
 /// lapsed in an outage of the store and came back is there.
-pub fn left(
+pub fn resolve_entries(
     rows: &[Row],
     expected: Vec<ServerId>,
     clock: Duration,
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -478,7 +478,7 @@
     /// Closes connections that are not used and opens some ahead, for ever.
     pub async fn trim(self: Rc<Self>) {
         loop {
-            monoio::time::sleep(pool::TRIM_EVERY).await;
+            monoio::time::sleep(pool::TRIM_INTERVAL).await;
             let accounts = self.by_rate.borrow().clone();
             let serving = *self.phase.borrow() == Phase::Serving;
             for pool in self.pools.borrow().values() {
--- a/components/proxy/src/job.rs
+++ b/components/proxy/src/job.rs
@@ -334,7 +334,7 @@
     let mut running = place::connect(host, job, session, place).await?;
     let pool = running.conn.pool().clone();
     let after = running.after;
-    running.conn.open_work();
+    running.conn.begin_transaction();
     running.conn.put(session, None, |out| wire::put_begin(job.access, after, out));
     let left = job.deadline.saturating_duration_since(Instant::now());
     let answer = place::exchange(host, job, &mut running, left.min(TRY_WITHIN)).await;
@@ -404,7 +404,7 @@
         return;
     }
     monoio::spawn(async move {
-        conn.put_bare(wire::put_rollback);
+        conn.put_without_session(wire::put_rollback);
         // Without an answer the connection is closed, which rolls back too.
         if let Ok(answer) = conn.exchange(ROLL_BACK_WITHIN).await {
             conn.give_back(&answer);
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     backend::{Backend, OpenError},
-    failover::Move,
+    failover::Failover,
     group::Group,
     host::{Host, Phase},
     placement,
@@ -28,7 +28,7 @@
 };
 
 /// How often leaders are looked at.
-pub const LOOK_EVERY: Duration = Duration::from_millis(100);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long the dial to a host that may be dead may take.
 const DIAL_WITHIN: Duration = Duration::from_millis(300);
@@ -47,7 +47,7 @@
 /// Watches all groups for ever.
 pub async fn watch(host: Rc<Host>) {
     loop {
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(CHECK_INTERVAL).await;
         if !host.leased() || *host.phase.borrow() == Phase::Closing {
             continue;
         }
@@ -295,7 +295,7 @@
             group.moved.set(false);
             return;
         }
-        let failover = Move::begin(&host, &group, before, from, planned).await;
+        let failover = Failover::begin(&host, &group, before, from, planned).await;
         match failover {
             Ok(Some(failover)) => {
                 if let Err(error) = failover.run(&host, &group).await {
@@ -309,7 +309,7 @@
             }
         }
         host.look.notify_one();
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(CHECK_INTERVAL).await;
         group.moved.set(false);
     });
 }
--- a/components/proxy/src/place.rs
+++ b/components/proxy/src/place.rs
@@ -17,7 +17,7 @@
 use tracing::info;
 
 use crate::{
-    conn::{Broken, Conn, Turn},
+    conn::{Conn, ExchangeError, QueueParams},
     group::{Need, Use},
     host::Host,
     job::{Job, Refused},
@@ -107,7 +107,7 @@
             Candidate {
                 health,
                 near: listed.domain == host.settings.domain,
-                warm: host.holder(pool).is_some() || pool.is_warm(&job.account),
+                warm: host.holder(pool).is_some() || pool.has_idle(&job.account),
                 leads: leads.as_ref() == Some(&listed.id),
                 cold: pool.is_cold(now),
                 slots: listed.slots,
@@ -168,10 +168,10 @@
 ) -> Result<Running, Refused> {
     let Place { pool, after, usage } = place;
     let until = job.deadline.min(Instant::now() + CONNECTION_WITHIN);
-    let turn = Turn { priority: job.priority, patience: job.patience, until };
+    let turn = QueueParams { priority: job.priority, patience: job.patience, until };
     let now = host.now();
     let conn = match placement::carrier(host, &pool, &job.homes).await {
-        Some(link) => Conn::far(pool, link, job.account.clone(), turn),
+        Some(link) => Conn::remote(pool, link, job.account.clone(), turn),
         None => Conn::own(&pool, &job.account, session, turn, now)
             .await
             .map_err(|why| refused(host, job, &pool, usage.is_some(), why, now))?,
@@ -275,7 +275,7 @@
             note(host, job, running, &pool, &answer, asked);
             Ok(answer)
         }
-        Err(Broken::NotSent(why)) => {
+        Err(ExchangeError::NotSent(why)) => {
             pool.health.borrow_mut().end(None, now);
             let leads = running.usage.is_some();
             Err(NoAnswer::NotSent(refused(host, job, &pool, leads, why, asked)))
@@ -285,7 +285,7 @@
             health.end(None, now);
             health.fail(now);
             Err(NoAnswer::Lost(match broken {
-                Broken::Late => "the server did not answer in time",
+                ExchangeError::Late => "the server did not answer in time",
                 _ => "the connection was lost",
             }))
         }
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -41,7 +41,7 @@
 const AHEAD_AGAIN_AFTER: Duration = Duration::from_secs(1);
 
 /// How often unused connections are looked for.
-pub const TRIM_EVERY: Duration = Duration::from_millis(100);
+pub const TRIM_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Values of a session, by name.
 type Values = BTreeMap<Box<str>, Box<str>>;
@@ -101,12 +101,12 @@
 pub struct Permit {
     pool: Rc<Pool>,
     /// How long the server took to answer; none if it did not.
-    pub took: Cell<Option<Duration>>,
+    pub latency: Cell<Option<Duration>>,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.pool.gate.borrow_mut().end(self.took.get());
+        self.pool.gate.borrow_mut().end(self.latency.get());
         self.pool.wake(StdInstant::now());
     }
 }
@@ -167,7 +167,7 @@
     }
 
     /// Notes that a connection in use broke.
-    pub fn note_lost(&self) {
+    pub fn record_disconnect(&self) {
         let (limit, _) = self.cold.get();
         self.warmth.borrow_mut().lost(limit, StdInstant::now());
     }
@@ -192,14 +192,14 @@
         self.take_cold(now)?;
         let entry = self.gate.borrow_mut().enter(priority, patience, now);
         let place = match entry {
-            Entry::Go => return Ok(Permit { pool: self.clone(), took: Cell::default() }),
+            Entry::Go => return Ok(Permit { pool: self.clone(), latency: Cell::default() }),
             Entry::Refused(wait) => return Err(wait),
             Entry::Wait(place) => place,
         };
         let (go, going) = oneshot::channel();
         self.waiting.borrow_mut().insert(place, go);
         if let Ok(Ok(())) = monoio::time::timeout(patience, going).await {
-            return Ok(Permit { pool: self.clone(), took: Cell::default() });
+            return Ok(Permit { pool: self.clone(), latency: Cell::default() });
         }
         self.gate.borrow_mut().leave(place);
         // Told just now, but too late to be heard: its turn goes to the next one.
@@ -212,7 +212,7 @@
 
     /// A statement of an open transaction goes on without waiting, unless the server is cold;
     /// the time after which it may where that is beyond `until`.
-    pub async fn go_on(self: &Rc<Self>, until: Instant) -> Result<Permit, Duration> {
+    pub async fn enter_in_transaction(self: &Rc<Self>, until: Instant) -> Result<Permit, Duration> {
         while let Err(wait) = self.take_cold(StdInstant::now()) {
             if Instant::now() + wait >= until {
                 return Err(wait);
@@ -220,7 +220,7 @@
             monoio::time::sleep(wait).await;
         }
         self.gate.borrow_mut().go_on();
-        Ok(Permit { pool: self.clone(), took: Cell::default() })
+        Ok(Permit { pool: self.clone(), latency: Cell::default() })
     }
 
     fn wake(&self, now: StdInstant) {
@@ -234,7 +234,7 @@
     }
 
     /// Whether a connection of the account waits.
-    pub fn is_warm(&self, account: &AccountId) -> bool {
+    pub fn has_idle(&self, account: &AccountId) -> bool {
         self.idle.borrow().has(account)
     }
 
@@ -344,7 +344,7 @@
         let gate = self.gate.borrow();
         let (running, waiting) = (gate.running(), gate.waiting());
         let usage = Usage { open: self.open.get(), running, waiting };
-        let has_connection = |account: &AccountId| self.is_warm(account);
+        let has_connection = |account: &AccountId| self.has_idle(account);
         let bounds = self.bounds.get();
         connections::next_to_open(accounts, has_connection, usage, listed.slots, bounds)
     }
--- a/components/proxy/src/relay.rs
+++ b/components/proxy/src/relay.rs
@@ -138,7 +138,7 @@
         let resting = host.works.resting.borrow_mut().remove(&(from.clone(), work));
         let resting = resting.ok_or(NotSent::Closed)?;
         let until = monoio::time::Instant::now() + errand.within();
-        let permit = pool.go_on(until).await.map_err(conn::crowded)?;
+        let permit = pool.enter_in_transaction(until).await.map_err(conn::queue_full)?;
         return Ok((resting.leased, Some(permit)));
     }
     if *host.phase.borrow() == Phase::Closing {
@@ -150,7 +150,7 @@
         return Ok((leased.map_err(conn::not_sent)?, None));
     };
     let permit = pool.enter(errand.priority, errand.patience(), host.now()).await;
-    let permit = permit.map_err(conn::crowded)?;
+    let permit = permit.map_err(conn::queue_full)?;
     let leased = pool.lease(account, &errand.values, until).await;
     let leased = leased.map_err(conn::not_sent)?;
     // It may have waited for its turn and its connection.
@@ -183,7 +183,7 @@
     match answer {
         Ok(Ok(answer)) => {
             if let Some(permit) = permit {
-                permit.took.set(Some(asked.elapsed()));
+                permit.latency.set(Some(asked.elapsed()));
             }
             keep(host, from, &errand, leased, &answer, watch);
             Relayed::Answered(answer)
@@ -191,7 +191,7 @@
         Ok(Err(error)) => {
             let error = format_args!("{error:#}");
             info!(server = %errand.server, %from, %error, "relay: connection lost");
-            leased.pool().note_lost();
+            leased.pool().record_disconnect();
             Relayed::Lost
         }
         Err(_) => {
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -83,7 +83,7 @@
     monoio::spawn(fleet::follow(host.clone()));
     monoio::spawn(gossip::send_heartbeats(host.clone()));
     monoio::spawn(gossip::ask_hosts(host.clone()));
-    monoio::spawn(eviction::take_out_silent(host.clone()));
+    monoio::spawn(eviction::evict_silent(host.clone()));
     monoio::spawn(follow::configuration(host.clone()));
     monoio::spawn(follow::servers(host.clone()));
     monoio::spawn(monitor::watch(host.clone()));
--- a/components/proxy/tests/follow.rs
+++ b/components/proxy/tests/follow.rs
@@ -31,10 +31,11 @@
 #[test]
 fn an_entry_that_lapsed_and_is_back_is_there() {
     let rows = [removed("s1", 10), removed("s2", 11), there("s1", 12)];
-    let (listed, missing) = follow::left(&rows, Vec::new(), CLOCK);
+    let (listed, missing) = follow::resolve_entries(&rows, Vec::new(), CLOCK);
     assert_eq!(listed.iter().map(|listed| &listed.id).collect::<Vec<_>>(), [&id("s1")]);
     assert_eq!(missing, [id("s2")]);
-    let (listed, missing) = follow::left(&[there("s1", 12), removed("s1", 13)], Vec::new(), CLOCK);
+    let (listed, missing) =
+        follow::resolve_entries(&[there("s1", 12), removed("s1", 13)], Vec::new(), CLOCK);
     assert!(listed.is_empty(), "the last change counts, whichever it is");
     assert_eq!(missing, [id("s1")]);
 }
@@ -42,7 +43,8 @@
 /// The whole list is read anew. Servers that are not in it must not stay for ever.
 #[test]
 fn servers_without_a_row_are_missing_in_a_whole_list() {
-    let (listed, missing) = follow::left(&[there("s1", 12)], vec![id("s1"), id("s2")], CLOCK);
+    let (listed, missing) =
+        follow::resolve_entries(&[there("s1", 12)], vec![id("s1"), id("s2")], CLOCK);
     assert_eq!(listed.len(), 1);
     assert_eq!(missing, [id("s2")]);
 }
