--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connections of this host to one backend server.
+//! The pool of this host's connections to one backend server.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,85 +22,88 @@
 
 use crate::backend::{Backend, OpenError};
 
-/// How long after a server had too many connections this host opens one fewer, and
-/// keeps none that it does not use.
+/// Time after a server rejected a connection for which this host opens one fewer and keeps no
+/// idle ones.
 const OBSERVED_LIMIT_TTL: Duration = Duration::from_secs(3);
 
-/// The same for a host that holds the connections for all: those that crowd the server
-/// are of hosts that died, and servers drop these one by one within 3 s.
+/// Time after a rejection for which the holder opens no more connections than the server
+/// accepted. The excess connections belong to dead hosts, and servers drop these one by one
+/// within 3 s.
 const HOLDER_OBSERVED_LIMIT_TTL: Duration = Duration::from_millis(250);
 
-/// Statements that a holder keeps under way beyond a server's slots: the next one is
-/// there when a slot falls free, in place of one way there and back later.
+/// Statements that a holder keeps in flight beyond a server's slots, so that the next one is
+/// there when a slot becomes free and not a round trip later.
 const EXTRA_IN_FLIGHT: usize = 1;
 
-/// How long connections are opened ahead before it is decided anew for which accounts.
+/// Time for which connections are opened ahead of use before their accounts are selected anew.
 const OPEN_AHEAD_PERIOD: Duration = Duration::from_secs(1);
 
-/// How long after a connection failed none are opened ahead.
+/// Delay after a connection failed before others are opened ahead of use.
 const OPEN_AHEAD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// How often unused connections are looked for.
+/// Interval between checks for unused connections.
 pub const TRIM_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Values of a session, by name.
 type Values = BTreeMap<Box<str>, Box<str>>;
 
-/// The connections to one server.
+/// A pool of connections to one server.
 pub struct Pool {
-    /// The server's own entry in the list.
+    /// The server's entry in the list of servers.
     pub listed: RefCell<Listed>,
-    /// What its answers say of it.
+    /// Health of the server, as its answers show it.
     pub health: RefCell<Health>,
-    /// What the server owes on connections of this host, other hosts' statements included.
+    /// Outstanding answers on connections of this host, forwarded statements included.
     pub exchanges: RefCell<silence::Watch>,
-    /// Whether the host that holds its connections has room for statements.
+    /// Refusals by the queue of the server's holder.
     pub congestion: RefCell<congestion::Memory>,
-    /// Whether it has just started, and what it was sent since.
+    /// Cold-start state of the server, and the requests it was sent while cold.
     pub warmth: RefCell<cold::Warmth>,
-    /// The limit while it is cold, and how far all hosts may exceed it.
+    /// The request limit while the server is cold, and by how much all hosts may exceed it.
     cold: Cell<(Option<cold::Limit>, cold::Tolerance)>,
-    /// How many statements are under way, and who waits.
+    /// Limiter of the statements in flight, with their queue.
     gate: RefCell<Gate>,
-    /// Whom to tell that they may go on, by their places at the gate.
-    waiting: RefCell<HashMap<Place, oneshot::Sender<()>>>,
-    /// Connections that nobody uses and since when.
+    /// Channels that admit queued statements, by their place in the queue.
+    waiters: RefCell<HashMap<Place, oneshot::Sender<()>>>,
+    /// Idle connections, each with the time of its last use.
     idle: RefCell<idle::Connections<(Backend, Instant)>>,
     /// Connections open or being opened, idle ones included; at most the cap of `bounds`.
     open: Cell<usize>,
     bounds: Cell<Bounds>,
-    /// What this host is to the server's connections.
+    /// Role of this host for the server's connections.
     role: Cell<Role>,
-    /// Hosts that hold the server's connections, best first.
+    /// Hosts eligible to hold the server's connections, in order of preference.
     pub holders: RefCell<Vec<HostId>>,
-    /// Until when the server counts as crowded, and how many connections it took.
+    /// Connections that the server accepted when it last rejected one, and until when this
+    /// limits the pool.
     observed_limit: Cell<Option<(Instant, usize)>>,
+    /// Notified when a connection is given back or closed.
     freed: Notify,
-    /// Until when connections are opened ahead, or are not after one failed.
-    open_ahead_until: Cell<Option<Instant>>,
+    /// Earliest time of the next [`Pool::open_ahead`], while one runs or after one failed.
+    next_open_ahead: Cell<Option<Instant>>,
 }
 
-/// Why no connection was given.
+/// Reason why no connection was leased.
 #[derive(Debug)]
 pub enum NoConnection {
-    /// All are in use, and stayed so for as long as the request could wait.
+    /// All connections stayed in use until the deadline.
     Full,
-    /// A new one could not be opened.
+    /// A new connection could not be opened.
     Open(OpenError),
 }
 
-/// A connection in use; closed when dropped.
+/// A leased connection; closed on drop unless it was given back.
 pub struct Leased {
     backend: Option<Backend>,
     pool: Rc<Pool>,
-    /// Whether the connection stays open.
-    kept: bool,
+    /// Whether the connection went back to the pool.
+    returned: bool,
 }
 
-/// The right to have one statement under way; given back when dropped.
+/// A permit for one statement in flight; released on drop.
 pub struct Permit {
     pool: Rc<Pool>,
-    /// How long the server took to answer; none if it did not.
+    /// Time that the server took to answer; `None` without an answer.
     pub latency: Cell<Option<Duration>>,
 }
 
@@ -112,7 +115,7 @@
 }
 
 impl Pool {
-    /// A pool without connections, of a server that is known since `now`.
+    /// Returns a pool without connections for a server that is known since `now`.
     pub fn new(listed: Listed, now: StdInstant) -> Rc<Self> {
         Rc::new(Self {
             listed: RefCell::new(listed),
@@ -122,7 +125,7 @@
             warmth: RefCell::new(cold::Warmth::new(now)),
             cold: Cell::default(),
             gate: RefCell::new(Gate::new(1)),
-            waiting: RefCell::default(),
+            waiters: RefCell::default(),
             idle: RefCell::default(),
             open: Cell::default(),
             bounds: Cell::new(connections::bounds(1, 1, 1, Role::Other)),
@@ -130,22 +133,22 @@
             holders: RefCell::default(),
             observed_limit: Cell::default(),
             freed: Notify::new(),
-            open_ahead_until: Cell::default(),
+            next_open_ahead: Cell::default(),
         })
     }
 
-    /// Sets how many connections the server takes, how many hosts share them and what this
-    /// host is to them.
-    pub fn set_bounds(&self, most: usize, hosts: usize, role: Role) {
+    /// Sets the number of connections that the server accepts, the number of hosts that share
+    /// them, and this host's role for them.
+    pub fn set_bounds(&self, max_connections: usize, hosts: usize, role: Role) {
         let slots = self.listed.borrow().slots;
-        let bounds = connections::bounds(most, slots, hosts, role);
+        let bounds = connections::bounds(max_connections, slots, hosts, role);
         self.bounds.set(bounds);
         self.role.set(role);
-        let least = if role == Role::Holder { slots + EXTRA_IN_FLIGHT } else { 1 };
-        self.gate.borrow_mut().set_bounds(least, bounds.cap);
+        let min_in_flight = if role == Role::Holder { slots + EXTRA_IN_FLIGHT } else { 1 };
+        self.gate.borrow_mut().set_bounds(min_in_flight, bounds.cap);
     }
 
-    /// Sets the limit while the server is cold.
+    /// Sets the request limit for the time that the server is cold, and its tolerance.
     pub fn set_cold(&self, limit: Option<cold::Limit>, tolerance: cold::Tolerance) {
         self.cold.set((limit, tolerance));
     }
@@ -155,9 +158,9 @@
         self.warmth.borrow().is_cold(now)
     }
 
-    /// Takes a request of this host's part of what a cold server may get; when there is none,
-    /// the time after which there may be.
-    fn take_cold(&self, now: StdInstant) -> Result<(), Duration> {
+    /// Counts a request against this host's share of a cold server's limit; fails with the
+    /// delay after which the share may allow one.
+    fn admit_cold(&self, now: StdInstant) -> Result<(), Duration> {
         let mut warmth = self.warmth.borrow_mut();
         let (Some(limit), tolerance) = self.cold.get() else { return Ok(()) };
         if !warmth.is_cold(now) {
@@ -166,54 +169,57 @@
         warmth.take(cold::part(limit, tolerance, self.role.get()), now)
     }
 
-    /// Notes that a connection in use broke.
+    /// Records that a connection in use broke.
     pub fn record_disconnect(&self) {
         let (limit, _) = self.cold.get();
         self.warmth.borrow_mut().lost(limit, StdInstant::now());
     }
 
-    /// Whether this host holds the server's connections for all.
+    /// Whether this host holds the server's connections for all hosts.
     fn is_holder(&self) -> bool {
         self.role.get() == Role::Holder
     }
 
-    /// How long a statement of that priority and patience would wait at the gate.
-    pub fn wait(&self, priority: u32, patience: Duration, now: StdInstant) -> Duration {
-        self.gate.borrow().wait(priority, now + patience)
+    /// Returns the expected wait of a statement for its turn; priority 0 is the most urgent.
+    pub fn wait(&self, priority: u32, queue_timeout: Duration, now: StdInstant) -> Duration {
+        self.gate.borrow().wait(priority, now + queue_timeout)
     }
 
-    /// Waits until a statement may be sent; when to come back if that takes too long.
+    /// Waits until a statement may be sent; fails with the delay before a retry if its turn
+    /// does not come within `queue_timeout`. Priority 0 is the most urgent.
     pub async fn enter(
         self: &Rc<Self>,
         priority: u32,
-        patience: Duration,
+        queue_timeout: Duration,
         now: StdInstant,
     ) -> Result<Permit, Duration> {
-        self.take_cold(now)?;
-        let entry = self.gate.borrow_mut().enter(priority, patience, now);
+        self.admit_cold(now)?;
+        let entry = self.gate.borrow_mut().enter(priority, queue_timeout, now);
         let place = match entry {
             Entry::Go => return Ok(Permit { pool: self.clone(), latency: Cell::default() }),
             Entry::Refused(wait) => return Err(wait),
             Entry::Wait(place) => place,
         };
-        let (go, going) = oneshot::channel();
-        self.waiting.borrow_mut().insert(place, go);
-        if let Ok(Ok(())) = monoio::time::timeout(patience, going).await {
+        let (sender, receiver) = oneshot::channel();
+        self.waiters.borrow_mut().insert(place, sender);
+        if let Ok(Ok(())) = monoio::time::timeout(queue_timeout, receiver).await {
             return Ok(Permit { pool: self.clone(), latency: Cell::default() });
         }
         self.gate.borrow_mut().leave(place);
-        // Told just now, but too late to be heard: its turn goes to the next one.
-        if self.waiting.borrow_mut().remove(&place).is_none() {
+        // The turn came after the timeout: it passes to the next statement.
+        if self.waiters.borrow_mut().remove(&place).is_none() {
             self.gate.borrow_mut().end(None);
-            self.wake(now + patience);
+            self.wake(now + queue_timeout);
         }
-        Err(self.wait(priority, patience, now + patience))
+        Err(self.wait(priority, queue_timeout, now + queue_timeout))
     }
 
-    /// A statement of an open transaction goes on without waiting, unless the server is cold;
-    /// the time after which it may where that is beyond `until`.
+    /// Admits a statement of an open transaction without queueing.
+    ///
+    /// On a cold server it waits for this host's share of the request limit; fails with the
+    /// remaining delay if that ends after `until`.
     pub async fn enter_in_transaction(self: &Rc<Self>, until: Instant) -> Result<Permit, Duration> {
-        while let Err(wait) = self.take_cold(StdInstant::now()) {
+        while let Err(wait) = self.admit_cold(StdInstant::now()) {
             if Instant::now() + wait >= until {
                 return Err(wait);
             }
@@ -223,33 +229,34 @@
         Ok(Permit { pool: self.clone(), latency: Cell::default() })
     }
 
+    /// Admits queued statements as far as the limiter allows.
     fn wake(&self, now: StdInstant) {
         let next = || self.gate.borrow_mut().next(now);
         while let Some(place) = next() {
-            let go = self.waiting.borrow_mut().remove(&place);
-            if go.is_none_or(|go| go.send(()).is_err()) {
+            let sender = self.waiters.borrow_mut().remove(&place);
+            if sender.is_none_or(|sender| sender.send(()).is_err()) {
                 self.gate.borrow_mut().end(None);
             }
         }
     }
 
-    /// Whether a connection of the account waits.
+    /// Whether the account has an idle connection.
     pub fn has_idle(&self, account: &AccountId) -> bool {
         self.idle.borrow().has(account)
     }
 
-    /// Closes all idle connections, since one of the server's went silent.
+    /// Closes all idle connections.
     ///
-    /// Connections go silent together, without a reset; each that is tried would
-    /// cost a request its time, and a write its certainty.
+    /// The connections to a server stop responding together, without a reset. Each one that is
+    /// tried then costs a request its time, and leaves the outcome of a write unknown.
     pub fn drop_idle(&self) {
         let dropped = std::mem::take(&mut *self.idle.borrow_mut()).len();
         self.open.set(self.open.get() - dropped);
         self.freed.notify_waiters();
     }
 
-    /// A connection for a statement of the account, best one that already has
-    /// the session's values; waits for one until `deadline`.
+    /// Leases a connection for a statement of the account, preferably one that already has the
+    /// session's values; waits for one until `deadline`.
     pub async fn lease(
         self: &Rc<Self>,
         account: &AccountId,
@@ -268,7 +275,7 @@
             }
             if self.open.get() < self.cap() {
                 match self.open_connection(account).await {
-                    // The next one that is given back, or makes room, will do.
+                    // Waits for a connection that is given back or closed.
                     Err(NoConnection::Open(OpenError::Rejected(Failure::TooMany)))
                         if self.is_holder() && self.open.get() > 0 => {}
                     opened => return opened,
@@ -279,7 +286,8 @@
         }
     }
 
-    /// A connection for a question of the host itself, whichever account it is for.
+    /// Leases a connection of any account for a query of the host itself; a new one is opened
+    /// for `account`.
     pub async fn lease_any(
         self: &Rc<Self>,
         account: &AccountId,
@@ -295,31 +303,33 @@
         self.lease(account, &Values::new(), deadline).await
     }
 
+    /// Returns the maximum number of open connections.
     fn cap(&self) -> usize {
-        let taken =
-            self.observed_limit().map(|taken| if self.is_holder() { taken } else { usize::MAX });
-        match taken {
-            Some(taken) => taken.min(self.bounds.get().cap - 1).max(1),
+        let limit =
+            self.observed_limit().map(|limit| if self.is_holder() { limit } else { usize::MAX });
+        match limit {
+            Some(limit) => limit.min(self.bounds.get().cap - 1).max(1),
             None => self.bounds.get().cap,
         }
     }
 
-    /// How many connections the server took when it had too many lately.
+    /// Returns the number of connections that the server accepted, if it rejected one lately.
     fn observed_limit(&self) -> Option<usize> {
-        let lately = self.observed_limit.get().filter(|(until, _)| Instant::now() < *until);
-        lately.map(|(_, taken)| taken)
+        let current = self.observed_limit.get().filter(|(until, _)| Instant::now() < *until);
+        current.map(|(_, limit)| limit)
     }
 
-    /// Opens connections for accounts that have none while the server is not busy, one after
-    /// the other; `accounts` begins with those of the highest rate.
+    /// Opens connections for accounts without one, one after the other, while the server is
+    /// not busy; `accounts` are in descending order of their rates.
     ///
-    /// Does nothing while it still runs, or for a while after a connection failed.
+    /// Does nothing unless this host is the holder, while a previous call still runs, or for
+    /// [`OPEN_AHEAD_RETRY_DELAY`] after a connection failed.
     pub fn open_ahead(self: &Rc<Self>, accounts: &Rc<[AccountId]>) {
-        let rests = self.open_ahead_until.get().is_some_and(|until| Instant::now() < until);
-        if rests || !self.is_holder() || self.next_to_open(accounts).is_none() {
+        let paused = self.next_open_ahead.get().is_some_and(|until| Instant::now() < until);
+        if paused || !self.is_holder() || self.next_to_open(accounts).is_none() {
             return;
         }
-        self.open_ahead_until.set(Some(Instant::now() + OPEN_AHEAD_PERIOD));
+        self.next_open_ahead.set(Some(Instant::now() + OPEN_AHEAD_PERIOD));
         let (pool, accounts) = (self.clone(), accounts.clone());
         monoio::spawn(async move {
             let until = Instant::now() + OPEN_AHEAD_PERIOD;
@@ -328,12 +338,12 @@
             {
                 let opened = pool.open_connection(account).await;
                 let Ok(leased) = opened else {
-                    pool.open_ahead_until.set(Some(Instant::now() + OPEN_AHEAD_RETRY_DELAY));
+                    pool.next_open_ahead.set(Some(Instant::now() + OPEN_AHEAD_RETRY_DELAY));
                     return;
                 };
                 leased.give_back();
             }
-            pool.open_ahead_until.set(None);
+            pool.next_open_ahead.set(None);
         });
     }
 
@@ -350,7 +360,7 @@
         connections::next_to_open(accounts, has_connection, usage, listed.slots, bounds)
     }
 
-    /// Closes connections beyond those that are kept and that were not used for a while.
+    /// Closes connections beyond the number to keep that have been idle for too long.
     pub fn trim(&self) {
         let Bounds { kept, unused_for, .. } = self.bounds.get();
         let mut idle = self.idle.borrow_mut();
@@ -363,7 +373,7 @@
     }
 
     fn leased(self: &Rc<Self>, backend: Backend) -> Leased {
-        Leased { backend: Some(backend), pool: self.clone(), kept: false }
+        Leased { backend: Some(backend), pool: self.clone(), returned: false }
     }
 
     fn take_idle(&self, account: &AccountId, values: &Values) -> Option<Backend> {
@@ -372,7 +382,7 @@
         taken.map(|(backend, _)| backend)
     }
 
-    /// Makes room for another account's connection.
+    /// Closes the connection that has been idle longest, to make room for another account's.
     fn close_oldest(&self) {
         if self.idle.borrow_mut().pop_oldest().is_some() {
             self.open.set(self.open.get() - 1);
@@ -380,9 +390,9 @@
     }
 
     async fn open_connection(self: &Rc<Self>, account: &AccountId) -> Result<Leased, NoConnection> {
-        // Counted before it is there, and given back by the drop when it does not come.
+        // Counted before it is open; dropping `leased` takes the count back on failure.
         self.open.set(self.open.get() + 1);
-        let mut leased = Leased { backend: None, pool: self.clone(), kept: false };
+        let mut leased = Leased { backend: None, pool: self.clone(), returned: false };
         let listed = self.listed.borrow().clone();
         match Backend::open(&listed, account).await {
             Ok(backend) => {
@@ -395,14 +405,17 @@
                     self.warmth.borrow_mut().refused(limit, StdInstant::now());
                 }
                 if matches!(error, OpenError::Rejected(Failure::TooMany)) {
-                    info!(server = %listed.id, open = self.open.get(), "pool: too many connections");
-                    let lasts = if self.is_holder() {
+                    info!(
+                        server = %listed.id, open = self.open.get(),
+                        "pool: server rejected a connection, too many are open"
+                    );
+                    let ttl = if self.is_holder() {
                         HOLDER_OBSERVED_LIMIT_TTL
                     } else {
                         OBSERVED_LIMIT_TTL
                     };
-                    let taken = self.open.get() - 1;
-                    self.observed_limit.set(Some((Instant::now() + lasts, taken)));
+                    let limit = self.open.get() - 1;
+                    self.observed_limit.set(Some((Instant::now() + ttl, limit)));
                 }
                 Err(NoConnection::Open(error))
             }
@@ -411,34 +424,34 @@
 }
 
 impl Leased {
-    /// The connection.
+    /// Returns the connection.
     pub fn backend(&mut self) -> &mut Backend {
         self.backend.as_mut().expect("a lease holds its connection until it is given back")
     }
 
-    /// The pool that it is of.
+    /// Returns the pool that the connection belongs to.
     pub fn pool(&self) -> &Rc<Pool> {
         &self.pool
     }
 
-    /// Keeps the connection for the next statement.
+    /// Returns the connection to the pool, for the next statement.
     pub fn give_back(mut self) {
         if let Some(backend) = self.backend.take() {
-            // While the server is crowded other hosts need its place more, if they have
-            // connections of their own.
+            // Closed while the server is at its limit: hosts with connections of their own
+            // need the room more. A holder has them for all hosts and keeps its own.
             if self.pool.observed_limit().is_some() && !self.pool.is_holder() {
                 return;
             }
             let account = backend.account.clone();
             self.pool.idle.borrow_mut().push(account, (backend, Instant::now()));
-            self.kept = true;
+            self.returned = true;
         }
     }
 }
 
 impl Drop for Leased {
     fn drop(&mut self) {
-        if !self.kept {
+        if !self.returned {
             self.pool.open.set(self.pool.open.get() - 1);
         }
         self.pool.freed.notify_one();
