--- a/components/proxy/src/conn.rs
+++ b/components/proxy/src/conn.rs
@@ -1,5 +1,5 @@
-//! A connection to a backend server on which a statement or transaction runs: one of
-//! this host's own, or one that another host holds for all.
+//! A connection to a backend server for a statement or transaction: one of this host's own,
+//! or one that another host holds for all hosts.
 
 use std::{
     collections::BTreeMap,
@@ -18,28 +18,28 @@
     pool::{Leased, NoConnection, Permit, Pool},
 };
 
-/// How much longer than the statement may take its holder's word is waited for: the way
-/// there and back, and what a busy host needs to say that time is up.
+/// Time beyond a statement's timeout for the holder's answer to arrive: a round trip, and what
+/// a busy host needs to report the timeout.
 const FORWARD_MARGIN: Duration = Duration::from_millis(30);
 
-/// How long a holder may take to close the connection of a transaction.
+/// Timeout of a request to a holder to close the connection of a transaction.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Who waits for a connection, and how long.
+/// Priority and time limits of a request that waits for a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueParams {
-    /// Who goes first where not all can be served; 0 is the most urgent.
+    /// Priority where not all requests can be served; 0 is the most urgent.
     pub priority: u32,
-    /// How long it may wait for its turn.
+    /// Queue timeout.
     pub patience: Duration,
-    /// When a connection is no use any more.
+    /// Time after which a connection is of no use.
     pub until: Instant,
 }
 
-/// Why there is no answer of the server.
+/// Reason why an exchange brought no answer of the server.
 #[derive(Clone, Copy, Debug)]
 pub enum ExchangeError {
-    /// The server did not get the statement.
+    /// The server did not receive the statement.
     NotSent(NotSent),
     /// The connection was lost.
     Lost,
@@ -50,11 +50,11 @@
 /// A connection of this host's own.
 pub struct Own {
     leased: Leased,
-    /// The right to have a statement under way; taken anew for each further one.
+    /// Permit for the first statement; each further one takes its own.
     permit: Option<Permit>,
 }
 
-/// A connection that another host holds.
+/// A connection held by another host, to which statements are forwarded.
 pub struct Remote {
     pool: Rc<Pool>,
     link: Rc<Link>,
@@ -63,24 +63,24 @@
     line: BytesMut,
     values: BTreeMap<Box<str>, Box<str>>,
     shape: Option<Shape>,
-    /// Whether the line runs whatever the values are.
+    /// Whether the line is independent of the session's values.
     without_session: bool,
-    /// The transaction that it was or is to be opened for.
-    work: Option<WorkNo>,
+    /// Number of the transaction that runs, or is to be opened, on the connection.
+    transaction: Option<WorkNo>,
     /// Whether the holder keeps the connection for the transaction.
     pinned: bool,
 }
 
 /// A connection to a backend server.
 pub enum Conn {
-    /// Of this host's own.
+    /// A connection of this host's own.
     Own(Box<Own>),
-    /// Held by another host.
+    /// A connection held by another host.
     Remote(Box<Remote>),
 }
 
 impl Conn {
-    /// One of this host's own connections, once it is the account's turn.
+    /// Leases one of this host's own connections, once the queue admits the request.
     pub async fn own(
         pool: &Rc<Pool>,
         account: &AccountId,
@@ -94,7 +94,7 @@
         Ok(Self::Own(Box::new(Own { leased, permit: Some(permit) })))
     }
 
-    /// One that the host at the other end of the link holds; nothing is sent yet.
+    /// Returns a connection held by the host at the other end of the link; sends nothing yet.
     pub fn remote(pool: Rc<Pool>, link: Rc<Link>, account: AccountId, queue: QueueParams) -> Self {
         Self::Remote(Box::new(Remote {
             pool,
@@ -105,12 +105,12 @@
             values: BTreeMap::new(),
             shape: None,
             without_session: false,
-            work: None,
+            transaction: None,
             pinned: false,
         }))
     }
 
-    /// The server.
+    /// Returns the pool of the server.
     pub fn pool(&self) -> &Rc<Pool> {
         match self {
             Self::Own(own) => own.leased.pool(),
@@ -118,13 +118,13 @@
         }
     }
 
-    /// Whether the connection is this host's own.
+    /// Whether the connection is one of this host's own.
     pub fn is_own(&self) -> bool {
         matches!(self, Self::Own(_))
     }
 
-    /// Puts a line, to be sent on a connection that has the session's values and the
-    /// named statement.
+    /// Writes a line for the next exchange, to be sent on a connection that has the session's
+    /// values and the named statement.
     pub fn put(
         &mut self,
         session: &Session,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Puts a line that runs whatever the session's values are.
+    /// Writes a line for the next exchange that is independent of the session's values.
     pub fn put_without_session(&mut self, write: impl FnOnce(&mut BytesMut)) {
         match self {
             Self::Own(own) => write(&mut own.leased.backend().out),
@@ -152,23 +152,23 @@
         }
     }
 
-    /// What is put next opens a transaction.
+    /// Marks the next line as the one that opens a transaction.
     pub fn begin_transaction(&mut self) {
         if let Self::Remote(remote) = self {
-            remote.work = Some(rand::random());
+            remote.transaction = Some(rand::random());
         }
     }
 
-    /// Sends what was put and reads the answer.
-    pub async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, ExchangeError> {
+    /// Sends the lines written so far and reads the answer.
+    pub async fn exchange(&mut self, timeout: Duration) -> Result<ServerAnswer, ExchangeError> {
         match self {
-            Self::Own(own) => own.exchange(within).await,
-            Self::Remote(remote) => remote.exchange(within).await,
+            Self::Own(own) => own.exchange(timeout).await,
+            Self::Remote(remote) => remote.exchange(timeout).await,
         }
     }
 
-    /// Keeps the connection for other statements, if nothing is open on it after that
-    /// answer; false when it is.
+    /// Gives the connection back for other statements if no transaction is open on it after
+    /// that answer; otherwise closes it and returns false.
     pub fn give_back(self, answer: &ServerAnswer) -> bool {
         match self {
             Self::Own(own) => {
@@ -179,29 +179,29 @@
                 }
                 clean
             }
-            // Its holder has looked at the same answer.
+            // The holder has evaluated the same answer.
             Self::Remote(remote) => !remote.pinned,
         }
     }
 }
 
 impl Own {
-    async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, ExchangeError> {
+    async fn exchange(&mut self, timeout: Duration) -> Result<ServerAnswer, ExchangeError> {
         let pool = self.leased.pool().clone();
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let permit = match self.permit.take() {
             Some(permit) => permit,
             None => {
-                let permit = pool.enter_in_transaction(asked + within).await;
+                let permit = pool.enter_in_transaction(sent_at + timeout).await;
                 permit.map_err(|wait| ExchangeError::NotSent(queue_full(wait)))?
             }
         };
         pool.exchanges.borrow_mut().begin(StdInstant::now());
-        let answer = monoio::time::timeout(within, self.leased.backend().exchange()).await;
+        let answer = monoio::time::timeout(timeout, self.leased.backend().exchange()).await;
         pool.exchanges.borrow_mut().end(matches!(answer, Ok(Ok(_))), StdInstant::now());
         match answer {
             Ok(Ok(answer)) => {
-                permit.latency.set(Some(asked.elapsed()));
+                permit.latency.set(Some(sent_at.elapsed()));
                 Ok(answer)
             }
             Ok(Err(_)) => {
@@ -217,7 +217,7 @@
 }
 
 impl Remote {
-    async fn exchange(&mut self, within: Duration) -> Result<ServerAnswer, ExchangeError> {
+    async fn exchange(&mut self, timeout: Duration) -> Result<ServerAnswer, ExchangeError> {
         if !self.link.is_up() {
             return Err(ExchangeError::NotSent(NotSent::Unreachable));
         }
@@ -227,36 +227,36 @@
             line: self.line.split().freeze(),
             values: std::mem::take(&mut self.values),
             shape: self.shape.take(),
-            work: self.work,
-            opens: self.work.is_some() && !self.pinned,
+            work: self.transaction,
+            opens: self.transaction.is_some() && !self.pinned,
             priority: self.queue.priority,
             patience_ms: self.queue.patience.as_millis() as u32,
-            within_ms: within.as_millis() as u32,
+            within_ms: timeout.as_millis() as u32,
         };
-        // Until the answer is there the holder may keep the connection.
-        self.pinned = self.work.is_some();
+        // Until its answer arrives the holder may keep the connection.
+        self.pinned = self.transaction.is_some();
         self.without_session = false;
         let answer = forward(&self.link, errand).await?;
-        self.pinned = self.work.is_some() && answer.state != State::Idle;
+        self.pinned = self.transaction.is_some() && answer.state != State::Idle;
         Ok(answer)
     }
 }
 
 impl Drop for Remote {
     fn drop(&mut self) {
-        let Some(work) = self.work.filter(|_| self.pinned) else { return };
+        let Some(transaction) = self.transaction.filter(|_| self.pinned) else { return };
         let link = self.link.clone();
         monoio::spawn(async move {
-            // A holder that is not reached closes it by itself.
-            let _ = link.ask(Question::Hang(work), CLOSE_TIMEOUT).await;
+            // A holder out of reach closes the connection by itself.
+            let _ = link.ask(Question::Hang(transaction), CLOSE_TIMEOUT).await;
         });
     }
 }
 
-/// Has the host at the other end of the link run an errand.
+/// Forwards a statement to the host at the other end of the link.
 async fn forward(link: &Link, errand: Errand) -> Result<ServerAnswer, ExchangeError> {
-    let within = errand.within() + FORWARD_MARGIN;
-    match link.ask(Question::Relay(Box::new(errand)), within).await {
+    let timeout = errand.within() + FORWARD_MARGIN;
+    match link.ask(Question::Relay(Box::new(errand)), timeout).await {
         Ok(Answer::Relayed(Relayed::Answered(answer))) => Ok(answer),
         Ok(Answer::Relayed(Relayed::NotSent(why))) => Err(ExchangeError::NotSent(why)),
         Ok(Answer::Relayed(Relayed::Late)) => Err(ExchangeError::Late),
@@ -264,12 +264,12 @@
     }
 }
 
-/// Asks a server a question of the host's own by the host that holds its connections.
+/// Forwards a query of this host itself to the host that holds the server's connections.
 pub async fn forward_query(
     link: &Link,
     pool: &Pool,
     line: Bytes,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<ServerAnswer, ExchangeError> {
     let errand = Errand {
         server: pool.listed.borrow().id.clone(),
@@ -280,18 +280,18 @@
         work: None,
         opens: false,
         priority: 0,
-        patience_ms: within.as_millis() as u32,
-        within_ms: within.as_millis() as u32,
+        patience_ms: timeout.as_millis() as u32,
+        within_ms: timeout.as_millis() as u32,
     };
     forward(link, errand).await
 }
 
-/// What is told of a server that has no room for so long.
+/// Returns the reason given while a server's queue is full; it may have room after `wait`.
 pub fn queue_full(wait: Duration) -> NotSent {
     NotSent::Crowded(wait.as_millis() as u32)
 }
 
-/// Why no connection came, for a host that asked for one.
+/// Returns the reason given when no connection was leased.
 pub fn not_sent(error: NoConnection) -> NotSent {
     match error {
         NoConnection::Full => NotSent::Full,
