--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -1,4 +1,4 @@
-//! Watching the leaders of all groups, and deciding that one is to be replaced.
+//! The leader monitor: checks the leaders of all groups and decides on failovers.
 
 use std::{
     io,
@@ -27,24 +27,24 @@
     pool::Pool,
 };
 
-/// How often leaders are looked at.
+/// Interval between checks of the leaders.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the dial to a host that may be dead may take.
+/// Timeout of a connection attempt to a host that may be dead.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long the word of the host that holds a server's connections is waited for.
+/// Timeout of a request to the host that holds a server's connections.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a group without any known leader is left alone: at the start the
-/// list of servers fills up within one heartbeat.
+/// Time without a known leader before a failover starts: at the start the list of servers
+/// fills up within one heartbeat.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// How long the holder of a change must have been dead for certain before another
-/// host takes it over: what it sent last is through by then.
+/// Delay after a host was found dead before its failover is taken over: the requests that it
+/// sent last have arrived by then.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
 
-/// Watches all groups for ever.
+/// Checks all groups, forever.
 pub async fn watch(host: Rc<Host>) {
     loop {
         monoio::time::sleep(CHECK_INTERVAL).await;
@@ -53,12 +53,12 @@
         }
         let groups: Vec<_> = host.groups.borrow().values().cloned().collect();
         for group in groups {
-            look(&host, &group);
+            check(&host, &group);
         }
     }
 }
 
-fn look(host: &Rc<Host>, group: &Rc<Group>) {
+fn check(host: &Rc<Host>, group: &Rc<Group>) {
     if group.moved.get() || host.servers(&group.id).is_empty() {
         return;
     }
@@ -66,14 +66,14 @@
     let leadership = host.held.borrow().leadership(&group.id).map(|row| row.value.clone());
     if let Some(Leadership::Moving { holder, since, planned, from, .. }) = leadership {
         if !group.probed.replace(true) {
-            let move_on = take_over(host.clone(), group.clone(), holder, since, planned, from);
-            monoio::spawn(move_on);
+            let takeover = take_over(host.clone(), group.clone(), holder, since, planned, from);
+            monoio::spawn(takeover);
         }
         return;
     }
     let Some(leader) = group.leader() else {
         if group.leaderless(now) > LEADERLESS_TIMEOUT {
-            start_failover(host, group, None, false, "no server of the group says that it leads");
+            start_failover(host, group, None, false, "the group has no known leader");
         }
         return;
     };
@@ -83,7 +83,7 @@
             group,
             Some(leader),
             false,
-            "the leader is gone from the list",
+            "the leader is no longer in the list of servers",
         );
     };
     if let Some(why) = planned_failover_reason(host, group, &pool) {
@@ -93,9 +93,9 @@
         return;
     }
     let silent = pool.health.borrow().silent_for(now).max(pool.exchanges.borrow().lasts(now));
-    let asks = silent > suspicion::SILENT_AFTER
+    let probes = silent > suspicion::SILENT_AFTER
         || group.suspicion.borrow().advice(now) == Advice::AskReplicas;
-    if asks && !group.probed.replace(true) {
+    if probes && !group.probed.replace(true) {
         monoio::spawn(probe(host.clone(), group.clone(), pool, now));
     }
     let led = group.led();
@@ -105,15 +105,21 @@
             group,
             Some(leader),
             true,
-            "the leader's replicas receive nothing",
+            "the leader's replicas receive no log records",
         );
     }
     if group.suspicion.borrow().advice(now) == Advice::Replace {
-        start_failover(host, group, Some(leader), false, "the leader is dead or silent");
+        start_failover(
+            host,
+            group,
+            Some(leader),
+            false,
+            "the leader refuses connections or does not answer",
+        );
     }
 }
 
-/// Why another server is to lead though the leader is well, if one may.
+/// Returns the reason to replace a healthy leader, if there is one and another server may lead.
 fn planned_failover_reason(host: &Host, group: &Group, leader: &Rc<Pool>) -> Option<&'static str> {
     let leaving = leader.listed.borrow().leaving;
     let evacuated = placement::of(host, leader) != evacuation::Placement::Allowed;
@@ -122,34 +128,37 @@
     }
     let mut others = placement::successors(host, &group.id);
     others.retain(|other| !Rc::ptr_eq(other, leader));
-    let most = others.iter().map(|other| placement::served(host, other)).max()?;
+    let max_served = others.iter().map(|other| placement::served(host, other)).max()?;
     if leaving {
         return Some("the leader is leaving");
     }
     if evacuated {
         return Some("the leader's failure domain is evacuated");
     }
-    let more = most > placement::served(host, leader);
+    let more = max_served > placement::served(host, leader);
     more.then_some("another server may serve more databases by their homes")
 }
 
-/// Asks a silent leader how it stands, and if it does not answer its replicas
-/// how far they have received.
+/// Requests the status of a silent leader and the positions that its replicas have received,
+/// unless the holder of its connections had contact with it lately.
 async fn probe(host: Rc<Host>, group: Rc<Group>, leader: Rc<Pool>, since: Instant) {
     let server = leader.listed.borrow().id.clone();
-    match holder_silence(&host, &leader).await {
-        Some(lasts) if lasts < suspicion::SILENT_AFTER => {
+    match holder_last_contact(&host, &leader).await {
+        Some(elapsed) if elapsed < suspicion::SILENT_AFTER => {
             group.suspicion.borrow_mut().answered();
             group.probed.set(false);
             return;
         }
-        Some(lasts) if lasts < suspicion::LEFT_TO_HOLDER => {
-            info!(group = %group.id, %server, silent_ms = lasts.as_millis() as u64, "leader: left to its holder");
+        Some(elapsed) if elapsed < suspicion::LEFT_TO_HOLDER => {
+            info!(
+                group = %group.id, %server, silent_ms = elapsed.as_millis() as u64,
+                "leader: silent, probing is left to the holder of its connections"
+            );
             group.suspicion.borrow_mut().left_to_another();
             group.probed.set(false);
             return;
         }
-        _ => monoio::time::sleep(turn(&host, &group)).await,
+        _ => monoio::time::sleep(probe_delay(&host, &group)).await,
     }
     if group.leader().as_ref() != Some(&server) {
         group.probed.set(false);
@@ -159,21 +168,21 @@
     let replicas = replicas.iter().filter(|pool| !Rc::ptr_eq(pool, &leader));
     let replicas = replicas.filter(|pool| !placement::is_forbidden(&host, pool));
     let replicas: Vec<_> = replicas.collect();
-    let ask = async || {
-        let asks = replicas.iter().map(|pool| status(&host, pool, suspicion::PROBE_WITHIN));
-        for status in future::join_all(asks).await.into_iter().flatten() {
+    let read_positions = async || {
+        let requests = replicas.iter().map(|pool| status(&host, pool, suspicion::PROBE_WITHIN));
+        for status in future::join_all(requests).await.into_iter().flatten() {
             group.suspicion.borrow_mut().received(status.received, host.now());
         }
     };
-    // Asked twice, so that the second answer shows whether they stand still.
-    let asks = async {
-        let again = monoio::time::Instant::now() + suspicion::STILL_FOR;
-        ask().await;
-        monoio::time::sleep_until(again).await;
-        ask().await;
+    // The second reading shows whether the positions stand still.
+    let readings = async {
+        let second = monoio::time::Instant::now() + suspicion::STILL_FOR;
+        read_positions().await;
+        monoio::time::sleep_until(second).await;
+        read_positions().await;
     };
-    // At the same time: how long replicas stand still counts from the first answer.
-    let (answer, ()) = monoio::join!(status(&host, &leader, suspicion::PROBE_WITHIN), asks);
+    // Concurrent: the time for which positions stand still counts from the first answer.
+    let (answer, ()) = monoio::join!(status(&host, &leader, suspicion::PROBE_WITHIN), readings);
     let now = host.now();
     match answer {
         Ok(_) | Err(StatusError::Busy) => group.suspicion.borrow_mut().answered(),
@@ -181,28 +190,28 @@
         Err(StatusError::Silent) => {
             group.suspicion.borrow_mut().silent(since);
             let advice = group.suspicion.borrow().advice(now);
-            info!(group = %group.id, %server, ?advice, "leader: silent");
+            info!(group = %group.id, %server, ?advice, "leader: no answer to a status request");
         }
     }
     group.probed.set(false);
 }
 
-/// How long ago a server last answered the host that holds its connections; `None` where
-/// this host holds them itself, that host says nothing, or the server never answered it.
+/// Returns the time since a server last answered the host that holds its connections; `None`
+/// if this host is the holder, the holder does not reply, or the server never answered it.
 ///
-/// Guards against hosts that take a long queue for a silent server: each of their questions
-/// takes a connection and a slot of a server that has none to spare.
-async fn holder_silence(host: &Host, pool: &Pool) -> Option<Duration> {
+/// Guards against hosts that mistake a long queue for a silent server: each of their status
+/// requests takes a connection and a slot of a server that has none to spare.
+async fn holder_last_contact(host: &Host, pool: &Pool) -> Option<Duration> {
     let link = host.holder(pool)?;
     let question = Question::Silence(pool.listed.borrow().id.clone());
     match link.ask(question, HOLDER_TIMEOUT).await {
-        Ok(Answer::Silence(lasts)) => lasts,
+        Ok(Answer::Silence(elapsed)) => elapsed,
         _ => None,
     }
 }
 
-/// How much later than the first hosts this one acts on a group's leader.
-fn turn(host: &Host, group: &Group) -> Duration {
+/// Returns the delay after which this host acts on a group's leader, by its rank among all hosts.
+fn probe_delay(host: &Host, group: &Group) -> Duration {
     let held = host.held.borrow();
     let hosts: Vec<_> = held.view().members.keys().cloned().collect();
     let order = rendezvous::order(group.id.as_str(), &hosts);
@@ -210,21 +219,21 @@
     suspicion::turn(rank.unwrap_or(hosts.len()))
 }
 
-/// Why a server has not told how it stands.
+/// Reason why a server's status is not known.
 pub enum StatusError {
-    /// It answered, but has no capacity for the question.
+    /// The server answered, but has no capacity for the request.
     Busy,
-    /// Its process does not run.
+    /// The server's process does not run.
     Refused,
-    /// Nothing came back in time.
+    /// No answer arrived in time.
     Silent,
 }
 
-/// Asks a server how it stands, on a connection of its own.
-pub async fn status(host: &Host, pool: &Pool, within: Duration) -> Result<Status, StatusError> {
+/// Requests a server's status on a connection opened for it; `timeout` includes the opening.
+pub async fn status(host: &Host, pool: &Pool, timeout: Duration) -> Result<Status, StatusError> {
     let listed = pool.listed.borrow().clone();
     let account = any_account(host);
-    let ask = async {
+    let request = async {
         let mut backend = Backend::open(&listed, &account).await.map_err(|error| match error {
             OpenError::Refused => StatusError::Refused,
             _ => StatusError::Silent,
@@ -233,23 +242,23 @@
         let answer = backend.exchange().await.map_err(|_| StatusError::Silent)?;
         wire::decode_status(&answer).ok_or(StatusError::Busy)
     };
-    monoio::time::timeout(within, ask).await.unwrap_or(Err(StatusError::Silent))
+    monoio::time::timeout(timeout, request).await.unwrap_or(Err(StatusError::Silent))
 }
 
-/// Servers want an account's name also for questions of our own.
+/// Returns an account for this host's own queries, since servers require one.
 pub fn any_account(host: &Host) -> AccountId {
     let plan = host.plan();
     let account = plan.as_ref().and_then(|plan| plan.accounts().next().map(|a| a.id.clone()));
     account.unwrap_or_else(|| "-".parse().expect("the name is allowed"))
 }
 
-/// The store's clock now, or a few milliseconds later.
+/// Returns the time of the store's clock, or up to a few milliseconds more.
 pub fn store_now(host: &Host) -> Duration {
     let held = host.held.borrow();
     held.view().clock + held.age(host.now()).unwrap_or_default()
 }
 
-/// Takes over a change of leader whose holder is dead or has had its turn.
+/// Takes over a failover whose host is dead or has exceeded its time limit, [`TURN`].
 async fn take_over(
     host: Rc<Host>,
     group: Rc<Group>,
@@ -264,12 +273,12 @@
         monoio::time::sleep(TAKEOVER_DELAY).await;
     }
     let late = store_now(&host) > since + TURN + TURN_MARGIN;
-    let still = host.held.borrow().leadership(&group.id).is_some_and(
+    let pending = host.held.borrow().leadership(&group.id).is_some_and(
         |row| matches!(&row.value, Leadership::Moving { since: now, .. } if *now == since),
     );
-    if still && (late || dead) {
-        info!(group = %group.id, %holder, late, dead, "leader: the change is taken over");
-        start_failover(&host, &group, from, planned, "the change was not brought to its end");
+    if pending && (late || dead) {
+        info!(group = %group.id, %holder, late, dead, "leader: unfinished failover taken over");
+        start_failover(&host, &group, from, planned, "the previous failover did not finish");
     } else {
         monoio::time::sleep(TAKEOVER_DELAY).await;
     }
@@ -292,18 +301,18 @@
 ) {
     group.moved.set(true);
     let from_text = from.as_ref().map(tracing::field::display);
-    info!(group = %group.id, from = from_text, planned, why, "leader: to be replaced");
+    info!(group = %group.id, from = from_text, planned, why, "leader: failover scheduled");
     let (host, group) = (host.clone(), group.clone());
-    // What was decided was decided on this row: when another host has written its
-    // intent meanwhile, this one's must not be written over it.
+    // The decision was made on this row: an intent that another host has written meanwhile
+    // must not be overwritten.
     let before = host.held.borrow().leadership(&group.id).cloned();
     monoio::spawn(async move {
-        // Hosts notice together; the first to write the intent makes the change.
-        let pause = turn(&host, &group) + Duration::from_millis(rand::random_range(0..40));
-        monoio::time::sleep(pause).await;
+        // Hosts decide at the same time; the first to write the intent runs the failover.
+        let delay = probe_delay(&host, &group) + Duration::from_millis(rand::random_range(0..40));
+        monoio::time::sleep(delay).await;
         let version = host.held.borrow().leadership(&group.id).map(|row| row.version);
         if version != before.as_ref().map(|row| row.version) {
-            info!(group = %group.id, "leader: another host replaces it");
+            info!(group = %group.id, "leader: another host runs the failover");
             group.moved.set(false);
             return;
         }
@@ -311,13 +320,13 @@
         match failover {
             Ok(Some(failover)) => {
                 if let Err(error) = failover.run(&host, &group).await {
-                    warn!(group = %group.id, error = %format_args!("{error:#}"), "leader: not replaced");
+                    warn!(group = %group.id, error = %format_args!("{error:#}"), "leader: failover failed");
                 }
             }
-            Ok(None) => info!(group = %group.id, "leader: another host replaces it"),
+            Ok(None) => info!(group = %group.id, "leader: another host runs the failover"),
             Err(error) => {
                 let error = format_args!("{error:#}");
-                info!(group = %group.id, %error, "leader: the intent was not written");
+                info!(group = %group.id, %error, "leader: failover intent not written");
             }
         }
         host.look.notify_one();
