--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -1,4 +1,4 @@
-//! A change of leader that this host makes, from the intent to the new leader.
+//! A failover run by this host, from the intent to the new leader.
 
 use std::{
     cell::RefCell,
@@ -29,43 +29,43 @@
     fleet, follow::STORE_TIMEOUT, group::Group, host::Host, monitor, placement, pool::Pool,
 };
 
-/// How long a promoted server may take to lead before it is asked for again.
+/// Time for a promoted server to become leader before the promotion is requested again.
 const PROMOTION_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// How often an old leader is asked whether it is back, while its leases end.
+/// Interval between status requests to the former leader while the leases on it expire.
 const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How often the store is asked for releases of hosts that cannot be reached.
+/// Interval between reads of the store for releases by hosts out of reach.
 const RELEASE_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often a promoted server is asked whether it leads.
+/// Interval between status requests to the successor.
 const STATUS_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long the successor of a leaving leader may take to receive all of its log.
+/// Time for the successor of a leaving leader to receive all of its log.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long another host may take to let its work at the leader end.
+/// Time for another host to let its statements at the leader end and to answer.
 const ACT_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// How often a host is tried that a link is being made to.
+/// Interval between attempts to reach a host whose link is being set up.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A change of leader that this host makes.
+/// A failover that this host runs.
 pub struct Failover {
     client: Client,
+    /// The leader to replace, if one is known.
     from: Option<ServerId>,
     planned: bool,
-    /// Version of the intent.
+    /// Version of the intent's row in the store.
     intent: u64,
-    /// What the store says of the group's terms; only the holder of the intent
-    /// changes it.
+    /// The group's terms as stored; only the host that wrote the intent changes them.
     terms: Terms,
-    /// When this host's turn ends.
-    until: Instant,
+    /// Time by which this host must finish; another one may take over later.
+    deadline: Instant,
 }
 
 impl Failover {
-    /// Writes the intent; `None` when another host was first.
+    /// Writes the intent; `None` if another host was first.
     pub async fn begin(
         host: &Rc<Host>,
         group: &Rc<Group>,
@@ -88,40 +88,43 @@
         let intent = match verdict {
             Ok(Verdict::Applied(version)) => Some(version),
             Ok(Verdict::Conflict) => None,
-            Ok(Verdict::Refused) => bail!("the store has no capacity"),
-            // The answer is lost; what the store holds tells.
+            Ok(Verdict::Refused) => bail!("store refused to write the intent: no capacity"),
+            // The answer was lost: the row shows whether the write was applied.
             Err(error) => {
                 let view = fleet::read(&client).await.context(error)?;
                 let row = view.groups.get(&group.id);
                 row.filter(|row| row.value == moving).map(|row| row.version)
             }
         };
-        let until = now + TURN;
+        let deadline = now + TURN;
         let terms = Terms { known: term, ..Terms::default() };
-        Ok(intent.map(|intent| Self { client, from, planned, intent, terms, until }))
+        Ok(intent.map(|intent| Self { client, from, planned, intent, terms, deadline }))
     }
 
-    /// Brings the change to its end.
+    /// Runs the failover to its end.
     pub async fn run(mut self, host: &Rc<Host>, group: &Rc<Group>) -> anyhow::Result<()> {
         let (began, asked) = (host.now(), host.now());
         let view = self.read_view(host).await?;
         self.terms = view.terms(&group.id);
-        let back = monoio::select! {
+        let recovered = monoio::select! {
             released = self.wait_released(host, group, view, asked) => released.map(|()| None),
-            back = self.wait_recovery(host) => Ok(Some(back)),
+            recovered = self.wait_recovery(host) => Ok(Some(recovered)),
         };
-        if let Some((leader, term)) = back? {
-            info!(group = %group.id, %leader, %term, intent = self.intent, "leader: back before it was replaced");
+        if let Some((leader, term)) = recovered? {
+            info!(
+                group = %group.id, %leader, %term, intent = self.intent,
+                "leader: recovered before the failover, kept"
+            );
             return self.finish(host, group, leader, term).await;
         }
         let released = host.now();
-        while host.now() < self.until {
+        while host.now() < self.deadline {
             match self.install_leader(host, group).await {
                 Ok(Some((leader, term))) => {
-                    let (free, all) = (released - began, host.now() - began);
+                    let (release, total) = (released - began, host.now() - began);
                     info!(
                         group = %group.id, %leader, %term, intent = self.intent,
-                        released_ms = free.as_millis() as u64, ms = all.as_millis() as u64,
+                        released_ms = release.as_millis() as u64, ms = total.as_millis() as u64,
                         "leader: replaced"
                     );
                     return self.finish(host, group, leader, term).await;
@@ -129,31 +132,34 @@
                 Ok(None) => {}
                 Err(error) => {
                     let error = format_args!("{error:#}");
-                    info!(group = %group.id, %error, "leader: no successor yet");
+                    info!(group = %group.id, %error, "leader: no successor found, trying again");
                 }
             }
             monoio::time::sleep(monitor::CHECK_INTERVAL).await;
         }
-        bail!("the turn is over")
+        bail!("failover not finished within its time limit")
     }
 
-    /// Reads the view with the intent in it.
+    /// Reads a view that contains the intent.
     async fn read_view(&self, host: &Host) -> anyhow::Result<View> {
         let view = loop {
             match fleet::read(&self.client).await {
                 Ok(view) => break view,
-                Err(error) if host.now() > self.until => return Err(error),
+                Err(error) if host.now() > self.deadline => return Err(error),
                 Err(_) => monoio::time::sleep(monitor::CHECK_INTERVAL).await,
             }
         };
-        anyhow::ensure!(view.version >= self.intent, "the store went back");
+        anyhow::ensure!(
+            view.version >= self.intent,
+            "store returned a view of a lower version than the intent"
+        );
         Ok(view)
     }
 
-    /// Waits until the old leader answers again and still leads, in a term that no
-    /// promotion has closed.
+    /// Waits until the former leader answers again and still leads, in a term that no promotion
+    /// has closed.
     ///
-    /// While others may still count on it nobody else can lead; when it is back
+    /// While other hosts may still hold leases on it no other server can lead. If it recovers
     /// first, keeping it ends the gap and loses nothing that was acknowledged.
     async fn wait_recovery(&self, host: &Host) -> (ServerId, Term) {
         loop {
@@ -172,8 +178,8 @@
         }
     }
 
-    /// Waits until no host counts on the old leader, by a view that was asked for at
-    /// `asked` and has the intent in it.
+    /// Waits until no host uses the former leader any more; `view` contains the intent and was
+    /// requested at `asked`.
     async fn wait_released(
         &self,
         host: &Rc<Host>,
@@ -184,10 +190,10 @@
         let release = Release::new(&view, &host.settings.host, host.now());
         fleet::learn(host, view.clone(), asked);
         let release = Rc::new(RefCell::new(release));
-        let others = release.borrow().waiting().to_vec();
-        for id in others {
+        let waiting = release.borrow().waiting().to_vec();
+        for id in waiting {
             let row = view.groups.get(&group.id).cloned();
-            let row = row.context("the intent is not in the view")?;
+            let row = row.context("view does not contain the intent")?;
             monoio::spawn(request_release(
                 host.clone(),
                 id,
@@ -196,26 +202,26 @@
                 release.clone(),
             ));
         }
-        let mut noted = host.now();
+        let mut last_read = host.now();
         loop {
             let now = host.now();
             let own = group.released.get() >= self.intent;
-            let others = release.borrow().is_over(now);
-            if others && (own || now >= release.borrow().over) {
+            let others_released = release.borrow().is_over(now);
+            if others_released && (own || now >= release.borrow().over) {
                 return Ok(());
             }
-            if now >= noted + RELEASE_READ_INTERVAL {
-                // Hosts that this one cannot reach tell it by the store.
+            if now >= last_read + RELEASE_READ_INTERVAL {
+                // Hosts that this one cannot reach release the leader through the store.
                 if let Ok(view) = fleet::read(&self.client).await {
                     release.borrow_mut().note(&view, self.intent);
                 }
-                noted = host.now();
+                last_read = host.now();
             }
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Finds out who is to lead and sees to it; `None` when nobody can yet.
+    /// Selects the next leader and promotes it if needed; `None` while no server can lead.
     async fn install_leader(
         &self,
         host: &Rc<Host>,
@@ -223,10 +229,10 @@
     ) -> anyhow::Result<Option<(ServerId, Term)>> {
         let mut pools = host.servers(&group.id);
         pools.retain(|pool| !placement::is_forbidden(host, pool));
-        // A leader that is not there for the one who replaces it would only cost time.
+        // A status request to a leader that does not answer would only cost time.
         pools.retain(|pool| self.planned || Some(&pool.listed.borrow().id) != self.from.as_ref());
         let order = if self.planned { Order::Placement } else { Order::Log };
-        let next = self.successor(host, group, &pools, order).await;
+        let next = self.select_successor(host, group, &pools, order).await;
         match next {
             Next::Adopt(leader, term) => Ok(Some((leader, term))),
             Next::Nobody => Ok(None),
@@ -235,7 +241,7 @@
                 if let Some(last) = last
                     && !wait_caught_up(host, &pool, last).await
                     && let Next::Promote { successor, after, .. } =
-                        self.successor(host, group, &pools, Order::Log).await
+                        self.select_successor(host, group, &pools, Order::Log).await
                     && let Some(pool) = host.server(&successor)
                 {
                     return self.promote(host, group, &pool, after).await;
@@ -245,24 +251,28 @@
         }
     }
 
-    /// Asks the servers how they stand and works out which one leads next.
-    async fn successor(
+    /// Requests the status of the servers and selects the next leader.
+    async fn select_successor(
         &self,
         host: &Host,
         group: &Group,
         pools: &[Rc<Pool>],
         order: Order,
     ) -> Next {
-        let asks = pools.iter().map(|pool| monitor::status(host, pool, suspicion::PROBE_WITHIN));
-        let statuses = future::join_all(asks).await;
-        let told: Vec<Standing> = pools
+        let requests =
+            pools.iter().map(|pool| monitor::status(host, pool, suspicion::PROBE_WITHIN));
+        let statuses = future::join_all(requests).await;
+        let standings: Vec<Standing> = pools
             .iter()
             .zip(statuses)
             .filter_map(|(pool, status)| Some(standing(host, pool, status.ok()?)))
             .collect();
-        let leaves = self.from.as_ref().filter(|_| self.planned);
-        let next = succession::next(&told, self.terms, leaves, order);
-        info!(group = %group.id, intent = self.intent, terms = ?self.terms, ?told, ?next, "leader: successor");
+        let leaving = self.from.as_ref().filter(|_| self.planned);
+        let next = succession::next(&standings, self.terms, leaving, order);
+        info!(
+            group = %group.id, intent = self.intent, terms = ?self.terms, told = ?standings, ?next,
+            "leader: next step of the failover selected"
+        );
         next
     }
 
@@ -274,27 +284,30 @@
         after: Term,
     ) -> anyhow::Result<Option<(ServerId, Term)>> {
         let server = pool.listed.borrow().id.clone();
-        let Some((token, by)) = self.acquire_duty(host, group, after).await? else {
+        let Some((token, call_by)) = self.acquire_duty(host, group, after).await? else {
             return Ok(None);
         };
-        // Guards against a holder that was held up: another may call by now.
-        anyhow::ensure!(host.now() < by, "the time for the call is over");
+        // Guards against a host that was suspended: another one may call by now.
+        anyhow::ensure!(
+            host.now() < call_by,
+            "promotion not requested: time to begin the call is over"
+        );
         let duty = promotion::Duty { holder: &host.settings.host, token };
         let (address, id) = (host.settings.promoter, &group.id);
-        let said = promotion::promote(address, duty, id, &server, CALL_WITHIN).await;
-        let error = said.as_ref().err().map(tracing::field::display);
-        let answer = said.as_ref().ok();
-        info!(group = %id, %server, token, ?answer, error, "promotion: asked for");
-        let nothing = matches!(said, Ok(Promoted::Refused | Promoted::Unavailable));
-        if said.is_ok() {
-            // Without an answer the call may still be on its way.
-            self.release_duty(host, group, token, nothing).await;
+        let promoted = promotion::promote(address, duty, id, &server, CALL_WITHIN).await;
+        let error = promoted.as_ref().err().map(tracing::field::display);
+        let answer = promoted.as_ref().ok();
+        info!(group = %id, %server, token, ?answer, error, "promotion: requested");
+        let rejected = matches!(promoted, Ok(Promoted::Refused | Promoted::Unavailable));
+        if promoted.is_ok() {
+            // Without an answer the call may still be in flight.
+            self.release_duty(host, group, token, rejected).await;
         }
-        if nothing {
+        if rejected {
             return Ok(None);
         }
-        let until = host.now() + PROMOTION_TIMEOUT;
-        while host.now() < until {
+        let deadline = host.now() + PROMOTION_TIMEOUT;
+        while host.now() < deadline {
             if let Ok(status) = monitor::status(host, pool, suspicion::PROBE_WITHIN).await
                 && status.role == Role::Primary
                 && status.term > after
@@ -306,12 +319,12 @@
         Ok(None)
     }
 
-    /// Takes the duty of calling and closes the terms up to `after`; `None` while
-    /// another host has it. Gives the token and the time by which the call must begin.
+    /// Acquires the duty to call for promotions and closes the terms up to `after`. Returns the
+    /// token and the time by which the call must begin; `None` while another host has the duty.
     ///
-    /// Closing them before the call guards against a host that takes the change over
-    /// from one that called and died: it would find the old leader, which has not heard
-    /// of the promotion, and take it up again.
+    /// Closing the terms before the call guards against a host that takes the failover over from
+    /// one that called and died: it would find the former leader, which has not been notified of
+    /// the promotion, and adopt it again.
     async fn acquire_duty(
         &self,
         host: &Host,
@@ -324,42 +337,45 @@
             return Ok(None);
         }
         let since = view.clock + (host.now() - began);
-        let taken = duty::Duty { holder: host.settings.host.clone(), since, free: false };
+        let acquired = duty::Duty { holder: host.settings.host.clone(), since, free: false };
         let change = Change {
             expect: vec![
                 (fleet::DUTY.into(), view.duty.map_or(0, |row| row.version)),
                 (fleet::group_key(&group.id), self.intent),
             ],
             put: vec![
-                (fleet::DUTY.into(), serde_json::to_vec(&taken)?),
+                (fleet::DUTY.into(), serde_json::to_vec(&acquired)?),
                 (fleet::closed_key(&group.id), serde_json::to_vec(&after)?),
             ],
             remove: Vec::new(),
         };
         let verdict = store::change(&self.client, &change, STORE_TIMEOUT).await?;
         let Verdict::Applied(token) = verdict else { return Ok(None) };
-        info!(group = %group.id, token, closed = %after, "duty: taken");
+        info!(group = %group.id, token, closed = %after, "duty: acquired");
         Ok(Some((token, began + CALL_BY)))
     }
 
-    /// Gives the duty back; where nothing was done the terms are as open as before.
-    async fn release_duty(&self, host: &Host, group: &Group, token: u64, nothing: bool) {
+    /// Releases the duty; reopens the terms that were closed for a call that was `rejected`.
+    async fn release_duty(&self, host: &Host, group: &Group, token: u64, rejected: bool) {
         let holder = host.settings.host.clone();
-        let freed = duty::Duty { holder, since: Duration::ZERO, free: true };
+        let released = duty::Duty { holder, since: Duration::ZERO, free: true };
         let mut put =
-            vec![(fleet::DUTY.into(), serde_json::to_vec(&freed).expect("writing to memory"))];
-        if nothing {
+            vec![(fleet::DUTY.into(), serde_json::to_vec(&released).expect("writing to memory"))];
+        if rejected {
             let closed = serde_json::to_vec(&self.terms.closed).expect("writing to memory");
             put.push((fleet::closed_key(&group.id), closed));
         }
         let change = Change { expect: vec![(fleet::DUTY.into(), token)], put, remove: Vec::new() };
         if let Err(error) = store::change(&self.client, &change, STORE_TIMEOUT).await {
-            // It is free by itself after a few seconds.
-            info!(token, error = %format_args!("{error:#}"), "duty: not given back");
+            // The duty expires after a few seconds.
+            info!(
+                token, error = %format_args!("{error:#}"),
+                "duty: release not written, it will expire"
+            );
         }
     }
 
-    /// Writes who leads now and tells all hosts.
+    /// Writes the leader to the store and notifies all hosts.
     async fn finish(
         &self,
         host: &Rc<Host>,
@@ -386,8 +402,8 @@
                     return Ok(());
                 }
             }
-            if host.now() > self.until {
-                bail!("the new leader could not be written down: {verdict:?}");
+            if host.now() > self.deadline {
+                bail!("new leader not written to the store: {verdict:?}");
             }
             monoio::time::sleep(monitor::CHECK_INTERVAL).await;
         }
@@ -408,13 +424,15 @@
     }
 }
 
-/// Waits until a replica has received the leaving leader's whole log, so that
-/// nothing that was acknowledged is lost; false if it has not. One that receives nothing any more is not
-/// waited for: it is cut off, and what it lacks was confirmed to nobody.
+/// Waits until a replica has received the leaving leader's log up to `last`, so that nothing
+/// acknowledged is lost; returns false if it has not.
+///
+/// Stops early for a replica that receives nothing any more: it is cut off from the leader, and
+/// no caller got a confirmation of what it lacks.
 async fn wait_caught_up(host: &Host, pool: &Pool, last: Point) -> bool {
-    let until = host.now() + CATCH_UP_TIMEOUT;
+    let deadline = host.now() + CATCH_UP_TIMEOUT;
     let mut newest: Option<(Point, Instant)> = None;
-    while host.now() < until {
+    while host.now() < deadline {
         match monitor::status(host, pool, suspicion::PROBE_WITHIN).await {
             Ok(status) if status.received >= last => return true,
             Ok(status) if newest.is_none_or(|(point, _)| status.received > point) => {
@@ -428,23 +446,23 @@
         monoio::time::sleep(STATUS_INTERVAL).await;
     }
     let server = pool.listed.borrow().id.clone();
-    warn!(%server, %last, "leader: the successor has not received all");
+    warn!(%server, %last, "leader: successor has not received the leader's whole log");
     false
 }
 
-/// Tells who leads a group to all hosts that can be reached.
+/// Sends a group's row to all hosts in reach.
 fn notify_hosts(host: &Rc<Host>, id: &GroupId, row: &Versioned<Leadership>) {
     let links = host.mesh.links().into_iter().chain(host.mesh.guests());
     for link in links.filter(|link| link.is_up()) {
         let act = Question::Act { group: id.clone(), row: row.clone() };
         monoio::spawn(async move {
-            // A host that is not reached hears of it from its hub or the store.
+            // A host out of reach receives the row from its hub or the store.
             let _ = link.ask(act, ACT_TIMEOUT).await;
         });
     }
 }
 
-/// Has a host give its leases on the old leader back, as long as that is waited for.
+/// Requests a host's release of the former leader, until it is given or no longer needed.
 async fn request_release(
     host: Rc<Host>,
     id: HostId,
@@ -455,7 +473,7 @@
     while !release.borrow().is_over(host.now()) {
         let link = host.reach(&id);
         let was_up = link.as_ref().is_some_and(|link| link.is_up());
-        let gave_back = match link.filter(|_| was_up) {
+        let released = match link.filter(|_| was_up) {
             Some(link) => {
                 let act = Question::Act { group: group.clone(), row: row.clone() };
                 let answer = link.ask(act, ACT_TIMEOUT).await;
@@ -463,7 +481,7 @@
             }
             None => monitor::is_dead(&host, &id).await,
         };
-        if gave_back {
+        if released {
             release.borrow_mut().gave_back(&id);
             return;
         }
@@ -471,6 +489,6 @@
             .await;
     }
     if release.borrow().waiting().contains(&id) {
-        info!(host = %id, "leader: a host did not give its lease back");
+        info!(host = %id, "leader: host did not release the former leader, its lease has expired");
     }
 }
