--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Taking hosts out of the fleet that are not heard any more.
+//! Eviction of hosts that are silent for long from the fleet.
 
 use std::{
     rc::Rc,
@@ -12,24 +12,23 @@
 
 use crate::{fleet, follow::STORE_TIMEOUT, host::Host};
 
-/// How long a host must be silent to the one who takes it out. A host that was
-/// removed for good delays a change of leader by a whole lease, unless it was
-/// taken out that long before; one that is just cut off counts itself in again.
+/// Time without contact after which a host is evicted by the one that judges it. A host that was
+/// removed for good delays a failover by a whole lease, unless it was evicted that long before; one
+/// that is only cut off joins again.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Takes out hosts that have been silent for long, and removes what is left of
-/// hosts taken out before, for ever.
+/// Evicts silent hosts and removes the rows of hosts evicted earlier, forever.
 pub async fn evict_silent(host: Rc<Host>) {
     let client = Client::new(host.settings.store);
-    let mut alone = false;
+    let mut isolated = false;
     loop {
         monoio::time::sleep(Duration::from_secs(1)).await;
         let now = host.now();
         record_row_versions(&host, now);
-        let was_alone = std::mem::replace(&mut alone, !host.hears_majority());
-        if was_alone && !alone {
-            // It was this host that could not be heard. Judged by what it missed, hosts that
-            // were well all the while would be taken out when the cut has healed.
+        let was_isolated = std::mem::replace(&mut isolated, !host.hears_majority());
+        if was_isolated && !isolated {
+            // This host was the one cut off. Without a reset, hosts that were well all the time
+            // would be evicted once the cut has healed.
             host.heard.borrow_mut().values_mut().for_each(|(at, _)| *at = now);
         }
         if !host.leased() {
@@ -37,14 +36,14 @@
         }
         let Some(change) = next_removal(&host, now) else { continue };
         match store::change(&client, &change, STORE_TIMEOUT).await {
-            Ok(verdict) => info!(?change.expect, ?verdict, "fleet: a silent host is taken out"),
-            Err(error) => info!(error = %format_args!("{error:#}"), "fleet: not taken out"),
+            Ok(verdict) => info!(?change.expect, ?verdict, "fleet: eviction sent to the store"),
+            Err(error) => info!(error = %format_args!("{error:#}"), "fleet: eviction failed"),
         }
         host.look.notify_one();
     }
 }
 
-/// A host that wrote its row lately lives, though it is not heard.
+/// Counts a new version of a host's row as contact: the host runs, though no message arrives.
 fn record_row_versions(host: &Host, now: Instant) {
     let held = host.held.borrow();
     let mut heard = host.heard.borrow_mut();
@@ -57,8 +56,8 @@
     }
 }
 
-/// What takes out a member that has been silent, or removes one taken out long ago.
-/// A host only judges those that speak to it.
+/// Returns the change that evicts a silent member or removes the row of one whose leases are over;
+/// `None` on a host that is no hub. A host judges only the hosts that send heartbeats to it.
 fn next_removal(host: &Host, now: Instant) -> Option<Change> {
     if !host.is_hub() {
         return None;
