--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -1,4 +1,4 @@
-//! Asking replicas whether they have received what the leader acknowledged.
+//! Confirmation of commits: polls replicas for the positions that they have received.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,52 +29,54 @@
     pool::{NoConnection, Pool},
 };
 
-/// How long one replica's answer is waited for. As long as a commit waits: giving the
-/// question up earlier closes its connection, and a new one takes a slot of a server
-/// that has none to spare for longer than the question does.
+/// Timeout of a status request to one replica. As long as a commit waits: an earlier timeout
+/// closes the request's connection, and opening a new one takes a slot of a server that has none
+/// to spare for longer than the request does.
 const STATUS_TIMEOUT: Duration = CONFIRM_WITHIN;
 
-/// How long the answer by way of another host is waited for: half of the time that a commit
-/// has, so that this host can still ask by itself.
+/// Timeout of a status request forwarded to another host: half of the time that a commit has, so
+/// that this host can still send its own.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Pause before a replica is asked again that lacks a commit: the way of a commit
+/// Delay before a replica that lacks a commit is polled again: the time that a commit takes
 /// between two failure domains.
 const RETRY_DELAY: Duration = Duration::from_millis(3);
 
-/// How long one replica is given before the next one is asked too: longer than a
-/// usual statement there may keep the question waiting.
+/// Delay before a further replica is polled too: longer than a usual statement at the first one
+/// may delay its answer.
 const NEXT_REPLICA_DELAY: Duration = Duration::from_millis(40);
 
-/// Pause before a replica is asked again while none receives and no commit waits.
+/// Interval between polls of a replica while replicas receive nothing and no commit waits.
 const STUCK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is known of the replicas of a group, and who waits for them.
+/// Received positions of a group's replicas, and the commits that wait for them.
 #[derive(Default)]
 pub struct Receipts {
-    /// What is known.
+    /// Last readings of the replicas.
     pub state: RefCell<Confirm>,
+    /// Number of commits that wait.
     waiting: Cell<usize>,
-    /// Replicas that are being asked.
+    /// Replicas that are being polled.
     polling: RefCell<HashSet<ServerId>>,
-    heard: Notify,
+    /// Notified after each reading.
+    updated: Notify,
 }
 
 impl Receipts {
-    /// Another server leads: what was known of the former one's replicas is void.
+    /// Discards all readings, after another server became leader.
     pub fn reset(&self) {
         *self.state.borrow_mut() = Confirm::default();
-        self.heard.notify_waiters();
+        self.updated.notify_waiters();
     }
 }
 
-/// Waits until a second server holds a commit of the group's leader; why not, if
-/// that cannot be shown in time.
+/// Waits until a second server holds a commit of the group's leader; fails with the reason for the
+/// caller if that cannot be shown in time.
 pub async fn wait(host: &Rc<Host>, group: &Rc<Group>, commit: Point) -> Result<(), &'static str> {
     let receipts = &group.receipts;
-    let (began, until) = (host.now(), Instant::now() + CONFIRM_WITHIN);
+    let (began, deadline) = (host.now(), Instant::now() + CONFIRM_WITHIN);
     receipts.waiting.set(receipts.waiting.get() + 1);
-    let mut asked = 1;
+    let mut polled = 1;
     let verdict = loop {
         let replicas = replicas(host, group);
         let names: Vec<_> = replicas.iter().map(|(id, _)| id.clone()).collect();
@@ -82,30 +84,33 @@
         if verdict != Verdict::Wait {
             break verdict;
         }
-        for (id, pool) in replicas.into_iter().take(asked) {
+        for (id, pool) in replicas.into_iter().take(polled) {
             if receipts.polling.borrow_mut().insert(id.clone()) {
                 monoio::spawn(poll_replica(host.clone(), group.clone(), id, pool));
             }
         }
-        let next = until.min(Instant::now() + NEXT_REPLICA_DELAY);
-        let heard = monoio::time::timeout_at(next, receipts.heard.notified()).await;
-        asked += usize::from(heard.is_err());
+        let next = deadline.min(Instant::now() + NEXT_REPLICA_DELAY);
+        let updated = monoio::time::timeout_at(next, receipts.updated.notified()).await;
+        polled += usize::from(updated.is_err());
     };
     receipts.waiting.set(receipts.waiting.get() - 1);
     match verdict {
         Verdict::Unknown => {
-            info!(group = %group.id, %commit, "replicas: none shows that it holds a commit");
+            info!(group = %group.id, %commit, "replicas: commit not confirmed in time");
             Err("no replica shows that it holds the commit")
         }
         Verdict::Alone => {
-            info!(group = %group.id, %commit, "replicas: none is there or free, the leader's word counts");
+            info!(
+                group = %group.id, %commit,
+                "replicas: none runs or has capacity, commit accepted without confirmation"
+            );
             Ok(())
         }
         Verdict::Held | Verdict::Wait => Ok(()),
     }
 }
 
-/// The servers of a group that do not lead it, the one to be asked first at the front.
+/// Returns the servers of a group other than its leader, in the order in which they are polled.
 fn replicas(host: &Host, group: &Group) -> Vec<(ServerId, Rc<Pool>)> {
     let leader = group.leader();
     let servers = host.servers(&group.id).into_iter();
@@ -114,13 +119,13 @@
     let named = servers.map(|pool| (pool.listed.borrow().id.clone(), pool.clone()));
     let mut replicas: Vec<_> = named.filter(|(id, _)| Some(id) != leader.as_ref()).collect();
     replicas.sort_by_key(|(_, pool)| {
-        let far = pool.listed.borrow().domain != host.settings.domain;
-        (pool.is_cold(host.now()), pool.wait(0, STATUS_TIMEOUT, host.now()), far)
+        let other_domain = pool.listed.borrow().domain != host.settings.domain;
+        (pool.is_cold(host.now()), pool.wait(0, STATUS_TIMEOUT, host.now()), other_domain)
     });
     replicas
 }
 
-/// Asks a replica, as long as commits wait or none of the replicas receives.
+/// Polls a replica while commits wait or replicas receive nothing.
 async fn poll_replica(host: Rc<Host>, group: Rc<Group>, id: ServerId, pool: Rc<Pool>) {
     let receipts = &group.receipts;
     loop {
@@ -131,55 +136,56 @@
             break;
         }
         let before = receipts.state.borrow().clone();
-        let heard = received(&host, &pool).await;
-        receipts.state.borrow_mut().hear(&id, heard, host.now());
-        receipts.heard.notify_waiters();
-        let news = matches!(heard, Heard::Received(point) if !before.covers(point));
-        // Those that were waited for are told before it is known who still waits.
-        let pause = match (news, waiting) {
+        let reading = received_position(&host, &pool).await;
+        receipts.state.borrow_mut().hear(&id, reading, host.now());
+        receipts.updated.notify_waiters();
+        let advanced = matches!(reading, Heard::Received(point) if !before.covers(point));
+        // Without a delay the sleep still lets confirmed commits finish before the next count.
+        let delay = match (advanced, waiting) {
             (true, _) => Duration::ZERO,
             (false, true) => RETRY_DELAY,
             (false, false) => STUCK_INTERVAL,
         };
-        monoio::time::sleep(pause).await;
+        monoio::time::sleep(delay).await;
     }
     receipts.polling.borrow_mut().remove(&id);
 }
 
-/// Asks a replica how far it has received.
-async fn received(host: &Host, pool: &Rc<Pool>) -> Heard {
-    let until = Instant::now() + STATUS_TIMEOUT;
-    let asked = async {
-        let answer = match forwarded_status(host, pool, until).await {
-            Some(told) => told?,
-            None => own_status(host, pool, until).await?,
+/// Requests the position that a replica has received.
+async fn received_position(host: &Host, pool: &Rc<Pool>) -> Heard {
+    let deadline = Instant::now() + STATUS_TIMEOUT;
+    let request = async {
+        let answer = match forwarded_status(host, pool, deadline).await {
+            Some(answer) => answer?,
+            None => own_status(host, pool, deadline).await?,
         };
         let status = wire::decode_status(&answer).ok_or(Heard::Busy)?;
-        // One that says it leads is the new leader, or an old one: no replica.
+        // A server that reports itself as leader is the new or a former one, not a replica.
         Ok(if status.role == Role::Replica {
             Heard::Received(status.received)
         } else {
             Heard::Busy
         })
     };
-    let told = monoio::time::timeout_at(until, asked).await;
-    told.unwrap_or(Err(Heard::Silent)).unwrap_or_else(|heard| heard)
+    let reading = monoio::time::timeout_at(deadline, request).await;
+    reading.unwrap_or(Err(Heard::Silent)).unwrap_or_else(|reading| reading)
 }
 
-/// Asks on a connection that another host holds; `None` where that host is out of reach.
+/// Requests a replica's status through the host that holds its connections; `None` if that host
+/// is out of reach or returns neither a status nor a reason that counts as a reading.
 ///
-/// Guards against a connection of this host's own for every commit: opening it takes a slot
-/// of the replica for longer than the question.
+/// Guards against an own connection for every commit: opening it takes a slot of the replica for
+/// longer than the request.
 async fn forwarded_status(
     host: &Host,
     pool: &Rc<Pool>,
-    until: Instant,
+    deadline: Instant,
 ) -> Option<Result<ServerAnswer, Heard>> {
     let link = host.settled_holder(pool).await?;
     let mut line = BytesMut::new();
     wire::put_status(&mut line);
-    let within = until.saturating_duration_since(Instant::now()).min(HOLDER_TIMEOUT);
-    match conn::forward_query(&link, pool, line.freeze(), within).await {
+    let timeout = deadline.saturating_duration_since(Instant::now()).min(HOLDER_TIMEOUT);
+    match conn::forward_query(&link, pool, line.freeze(), timeout).await {
         Ok(answer) => Some(Ok(answer)),
         Err(ExchangeError::NotSent(NotSent::Dead)) => Some(Err(Heard::Dead)),
         Err(ExchangeError::NotSent(NotSent::Full | NotSent::Rejected)) => Some(Err(Heard::Busy)),
@@ -188,9 +194,13 @@
     }
 }
 
-/// Asks on a connection of this host's own.
-async fn own_status(host: &Host, pool: &Rc<Pool>, until: Instant) -> Result<ServerAnswer, Heard> {
-    let leased = pool.lease_any(&monitor::any_account(host), until).await;
+/// Requests a replica's status on one of this host's own connections.
+async fn own_status(
+    host: &Host,
+    pool: &Rc<Pool>,
+    deadline: Instant,
+) -> Result<ServerAnswer, Heard> {
+    let leased = pool.lease_any(&monitor::any_account(host), deadline).await;
     let mut leased = leased.map_err(|error| match error {
         NoConnection::Full => Heard::Busy,
         NoConnection::Open(OpenError::Refused) => Heard::Dead,
