--- a/components/proxy/src/backend.rs
+++ b/components/proxy/src/backend.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend server.
+//! A connection to a backend server.
 
 use std::{collections::BTreeMap, io, time::Duration};
 
@@ -16,28 +16,29 @@
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// How long a connection may take to come up. Between machines of one region it
-/// takes 2 ms; a server that has not answered by then is dark or cut off.
+/// Timeout of a connection attempt. Between machines of one region it takes 2 ms; a server that
+/// has not answered by then is silent or cut off.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a server may take to accept a session: 12 ms of a slot, and the wait
-/// for a slot when all are taken.
+/// Timeout for a server to accept a session: this takes 12 ms of a slot, and the wait for a slot
+/// when all are taken.
 const SESSION_START_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// When and how often an idle connection is tried out, and how often in vain. A
-/// server drops a dark connection after 3 s; this host does so about as soon.
+/// Idle time before TCP keepalive probes, interval between them, and number of unanswered ones
+/// that close the connection. A server drops a silent connection after 3 s; this host does so at
+/// about the same time.
 const KEEP_ALIVE: (Duration, Duration, u32) = (Duration::from_secs(2), Duration::from_secs(1), 2);
 
 const READ_CHUNK: usize = 4 * 1024;
 
-/// Why there is no connection.
+/// Reason why no connection was opened.
 #[derive(Debug)]
 pub enum OpenError {
-    /// The machine says that nothing listens there: the process is dead.
+    /// The server's machine refused the connection: no process listens there.
     Refused,
-    /// The server is there and does not want the connection.
+    /// The server runs and rejected the session.
     Rejected(Failure),
-    /// Nothing came back.
+    /// No answer arrived in time, or the connection broke.
     Silent(anyhow::Error),
 }
 
@@ -47,20 +48,20 @@
     io: TcpStreamPoll,
     buf: BytesMut,
     answers: Answers,
-    /// What is to be written with the next exchange.
+    /// Bytes to write with the next exchange.
     pub out: BytesMut,
-    /// Answers that come before the one that is waited for.
+    /// Session steps whose answers precede that of the statement.
     pending_steps: usize,
-    /// Whose statements run on it.
+    /// The account whose statements run on the connection.
     pub account: AccountId,
     /// The server's name.
     pub server: ServerId,
-    /// Values and named statements that it holds.
+    /// Session values and named statements that the connection holds.
     pub carried: Carried,
 }
 
 impl Backend {
-    /// Connects and begins a session of the account.
+    /// Connects and starts a session of the account.
     pub async fn open(listed: &Listed, account: &AccountId) -> Result<Self, OpenError> {
         let io = match monoio::time::timeout(CONNECT_TIMEOUT, connect(listed)).await {
             Ok(Ok(io)) => io,
@@ -74,7 +75,7 @@
                 ));
             }
             Err(_) => {
-                let error = anyhow::anyhow!("connecting to {}: no answer", listed.id);
+                let error = anyhow::anyhow!("connecting to {}: timed out", listed.id);
                 return Err(OpenError::Silent(error));
             }
         };
@@ -97,13 +98,13 @@
                 None => Err(OpenError::Silent(error)),
             },
             Err(_) => {
-                Err(OpenError::Silent(anyhow::anyhow!("{} began no session", backend.server)))
+                Err(OpenError::Silent(anyhow::anyhow!("{}: session start timeout", backend.server)))
             }
         }
     }
 
-    /// Puts a line, after the steps that bring the connection to a session's values and
-    /// to the named statement.
+    /// Writes a line for the next exchange, after the steps that give the connection the session's
+    /// values and the named statement.
     pub fn put(
         &mut self,
         values: &BTreeMap<Box<str>, Box<str>>,
@@ -118,10 +119,10 @@
         write(&mut self.out);
     }
 
-    /// Sends what is to be written and reads the answer to its last statement.
+    /// Sends the bytes in `out` and reads the answer to the last statement in them.
     ///
-    /// An error when a step before it failed: the statement may have run then
-    /// with other values than its session's, and the connection must be closed.
+    /// Fails if a step before it failed: the statement may have run with other values than its
+    /// session's, and the connection must be closed.
     pub async fn exchange(&mut self) -> anyhow::Result<ServerAnswer> {
         self.io
             .write_all(&self.out)
@@ -135,7 +136,7 @@
             }
             self.pending_steps -= 1;
             if let Some(failure) = answer.failure() {
-                anyhow::bail!("{} did not take a value or a name: {failure:?}", self.server);
+                anyhow::bail!("{} rejected a session value or statement: {failure:?}", self.server);
             }
         }
     }
@@ -153,15 +154,15 @@
         }
     }
 
-    /// Whether nothing has come since the last answer, not even the end.
+    /// Whether nothing has arrived since the last answer, not even the end of the stream.
     ///
-    /// Guards against a connection that the server closed while it was idle: a
-    /// write sent on it would have to be called uncertain though it cannot run.
+    /// Guards against a connection that the server closed while it was idle: a write sent on it
+    /// would be reported as uncertain though it cannot run.
     pub fn is_quiet(&mut self) -> bool {
         self.buf.is_empty() && self.io.read_buf(&mut self.buf).now_or_never().is_none()
     }
 
-    /// Whether a transaction may begin on it after that answer.
+    /// Whether a transaction may begin on the connection after that answer.
     pub fn is_clean(&self, answer: &ServerAnswer) -> bool {
         answer.state == State::Idle && self.buf.is_empty() && self.pending_steps == 0
     }
