--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -1,4 +1,4 @@
-//! Eviction of hosts that are silent for long from the fleet.
+//! Eviction of silent hosts from the fleet.
 
 use std::{
     rc::Rc,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns the change that evicts a silent member or removes the row of one whose leases are over;
+/// Returns the change that evicts a silent member, or removes an evicted one whose leases are over;
 /// `None` on a host that is no hub. A host judges only the hosts that send heartbeats to it.
 fn next_removal(host: &Host, now: Instant) -> Option<Change> {
     if !host.is_hub() {
--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -103,17 +103,17 @@
 
     /// Runs the failover to its end.
     pub async fn run(mut self, host: &Rc<Host>, group: &Rc<Group>) -> anyhow::Result<()> {
-        let (began, asked) = (host.now(), host.now());
+        let (began, sent_at) = (host.now(), host.now());
         let view = self.read_view(host).await?;
         self.terms = view.terms(&group.id);
         let recovered = monoio::select! {
-            released = self.wait_released(host, group, view, asked) => released.map(|()| None),
+            released = self.wait_released(host, group, view, sent_at) => released.map(|()| None),
             recovered = self.wait_recovery(host) => Ok(Some(recovered)),
         };
         if let Some((leader, term)) = recovered? {
             info!(
                 group = %group.id, %leader, %term, intent = self.intent,
-                "leader: recovered before the failover, kept"
+                "leader: former leader recovered and stays"
             );
             return self.finish(host, group, leader, term).await;
         }
@@ -179,16 +179,16 @@
     }
 
     /// Waits until no host uses the former leader any more; `view` contains the intent and was
-    /// requested at `asked`.
+    /// requested at `sent_at`.
     async fn wait_released(
         &self,
         host: &Rc<Host>,
         group: &Group,
         view: View,
-        asked: Instant,
+        sent_at: Instant,
     ) -> anyhow::Result<()> {
         let release = Release::new(&view, &host.settings.host, host.now());
-        fleet::learn(host, view.clone(), asked);
+        fleet::learn(host, view.clone(), sent_at);
         let release = Rc::new(RefCell::new(release));
         let waiting = release.borrow().waiting().to_vec();
         for id in waiting {
@@ -392,12 +392,12 @@
         };
         loop {
             let verdict = store::change(&self.client, &change, STORE_TIMEOUT).await;
-            let asked = host.now();
+            let sent_at = host.now();
             if let Ok(view) = fleet::read(&self.client).await {
                 let row = view.groups.get(&group.id);
                 if row.is_none_or(|row| row.version != self.intent) {
                     let row = row.cloned();
-                    fleet::learn(host, view, asked);
+                    fleet::learn(host, view, sent_at);
                     row.into_iter().for_each(|row| notify_hosts(host, &group.id, &row));
                     return Ok(());
                 }
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -46,14 +46,14 @@
 /// Interval at which a host that does not read the store checks whether it must.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows a table, forever: passes its rows to `take`, with true for the whole table and false
+/// Follows a table, forever: passes its rows to `apply`, with true for the whole table and false
 /// for changes. Reads only while `needed` returns true.
 async fn follow(
     host: &Rc<Host>,
     table: Table,
     wait: Duration,
     needed: impl Fn() -> bool,
-    take: impl Fn(&Rows, bool),
+    apply: impl Fn(&Rows, bool),
 ) -> ! {
     let client = Client::new(host.settings.store);
     let mut after = None;
@@ -66,7 +66,7 @@
             monoio::time::sleep(CHECK_INTERVAL).await;
             continue;
         }
-        let asked = host.now();
+        let sent_at = host.now();
         let read = match after {
             None => store::read(&client, table, STORE_TIMEOUT).await.map(|rows| (rows, true)),
             Some(version) => {
@@ -74,7 +74,10 @@
                 match feed {
                     Ok(Feed::Changed(rows)) => Ok((rows, false)),
                     Ok(Feed::Forgotten) => {
-                        info!(%table, version, "store: history of changes expired, reading the whole table");
+                        info!(
+                            %table, version,
+                            "store: history of changes expired, reading the whole table"
+                        );
                         after = None;
                         continue;
                     }
@@ -84,22 +87,28 @@
         };
         match read {
             Ok((rows, whole)) => {
-                debug!(%table, whole, rows = rows.rows.len(), version = rows.version, "store: rows received");
+                debug!(
+                    %table, whole, rows = rows.rows.len(), version = rows.version,
+                    "store: rows received"
+                );
                 if std::mem::take(&mut unreachable) {
-                    let ms = (host.now() - asked).as_millis() as u64;
+                    let ms = (host.now() - sent_at).as_millis() as u64;
                     info!(%table, ms, "store: table service reachable again");
                 }
-                host.store_clock.borrow_mut().note(asked, rows.clock);
+                host.store_clock.borrow_mut().note(sent_at, rows.clock);
                 after = Some(rows.version);
-                take(&rows, whole);
+                apply(&rows, whole);
                 if table == Table::Servers && !rows.rows.is_empty() {
                     monoio::time::sleep(SERVERS_BATCH_DELAY).await;
                 }
             }
             Err(error) => {
                 if !std::mem::replace(&mut unreachable, true) {
-                    let ms = (host.now() - asked).as_millis() as u64;
-                    warn!(%table, ms, error = %format_args!("{error:#}"), "store: table service unreachable");
+                    let ms = (host.now() - sent_at).as_millis() as u64;
+                    warn!(
+                        %table, ms, error = %format_args!("{error:#}"),
+                        "store: table service unreachable"
+                    );
                 }
                 monoio::time::sleep(RETRY_DELAY).await;
             }
@@ -109,7 +118,7 @@
 
 /// Follows the configuration and the evacuations, forever.
 pub async fn configuration(host: Rc<Host>) {
-    let take = |rows: &Rows, whole| {
+    let apply = |rows: &Rows, whole| {
         let evacuated = configuration::evacuations(&rows.rows);
         placement::read(&host, &evacuated, whole, rows.version, rows.clock);
         let plans = rows.rows.iter().filter(|row| &*row.key == configuration::KEY && !row.removed);
@@ -123,7 +132,7 @@
     };
     let pace = freshness::Pace::within(host.settings.apply.min(host.settings.evacuate));
     let needed = || host.is_reader() || host.plan_age().is_none_or(|age| age > pace.read);
-    follow(&host, Table::Configuration, pace.wait, needed, take).await
+    follow(&host, Table::Configuration, pace.wait, needed, apply).await
 }
 
 /// Decodes a configuration and puts it in force if it is newer; returns false if it cannot be
@@ -136,7 +145,10 @@
             true
         }
         Err(error) => {
-            warn!(error = %format_args!("{error:#}"), "configuration: cannot be decoded, not adopted");
+            warn!(
+                error = %format_args!("{error:#}"),
+                "configuration: cannot be decoded, not adopted"
+            );
             false
         }
     }
@@ -144,7 +156,7 @@
 
 /// Follows the list of servers, forever.
 pub async fn servers(host: Rc<Host>) {
-    let take = |rows: &Rows, whole: bool| {
+    let apply = |rows: &Rows, whole: bool| {
         let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
         let expected = if whole { known } else { Vec::new() };
         let (listed, missing) = resolve_entries(&rows.rows, expected, rows.clock);
@@ -158,7 +170,7 @@
         let age = host.age_of(host.servers_clock.get());
         host.is_reader() || age.is_none_or(|age| age > MAX_SERVERS_AGE)
     };
-    follow(&host, Table::Servers, SERVERS_POLL_TIMEOUT, needed, take).await
+    follow(&host, Table::Servers, SERVERS_POLL_TIMEOUT, needed, apply).await
 }
 
 /// Adopts the list of servers from another host.
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -258,7 +258,7 @@
     held.view().clock + held.age(host.now()).unwrap_or_default()
 }
 
-/// Takes over a failover whose host is dead or has exceeded its time limit, [`TURN`].
+/// Takes over a failover if the host that runs it is dead or has exceeded its time limit, [`TURN`].
 async fn take_over(
     host: Rc<Host>,
     group: Rc<Group>,
@@ -320,7 +320,10 @@
         match failover {
             Ok(Some(failover)) => {
                 if let Err(error) = failover.run(&host, &group).await {
-                    warn!(group = %group.id, error = %format_args!("{error:#}"), "leader: failover failed");
+                    warn!(
+                        group = %group.id, error = %format_args!("{error:#}"),
+                        "leader: failover failed"
+                    );
                 }
             }
             Ok(None) => info!(group = %group.id, "leader: another host runs the failover"),
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -115,7 +115,7 @@
 }
 
 impl Pool {
-    /// Returns a pool without connections for a server that is known since `now`.
+    /// Returns a pool without connections for a server first listed at `now`.
     pub fn new(listed: Listed, now: StdInstant) -> Rc<Self> {
         Rc::new(Self {
             listed: RefCell::new(listed),
