--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -18,7 +18,7 @@
 use crate::{
     conn,
     host::{Host, Phase},
-    lead, placement,
+    monitor, placement,
     pool::{Leased, Permit, Pool},
 };
 
@@ -144,7 +144,7 @@
         let idle = host.works.idle.borrow_mut().remove(&(from.clone(), work));
         let idle = idle.ok_or(NotSent::Closed)?;
         let until = monoio::time::Instant::now() + errand.within();
-        let permit = pool.go_on(until).await.map_err(conn::crowded)?;
+        let permit = pool.enter_in_transaction(until).await.map_err(conn::queue_full)?;
         return Ok((idle.leased, Some(permit)));
     }
     if *host.phase.borrow() == Phase::Closing {
@@ -152,11 +152,11 @@
     }
     let until = monoio::time::Instant::now() + errand.within();
     let Some(account) = &errand.account else {
-        let leased = pool.lease_any(&lead::any_account(host), until).await;
+        let leased = pool.lease_any(&monitor::any_account(host), until).await;
         return Ok((leased.map_err(conn::not_sent)?, None));
     };
     let permit = pool.enter(errand.priority, errand.patience(), host.now()).await;
-    let permit = permit.map_err(conn::crowded)?;
+    let permit = permit.map_err(conn::queue_full)?;
     let leased = pool.lease(account, &errand.values, until).await;
     let leased = leased.map_err(conn::not_sent)?;
     // The server may have been evacuated while the statement was queued.
@@ -189,7 +189,7 @@
     match answer {
         Ok(Ok(answer)) => {
             if let Some(permit) = permit {
-                permit.took.set(Some(sent_at.elapsed()));
+                permit.latency.set(Some(sent_at.elapsed()));
             }
             release(host, from, &errand, leased, &answer, watch);
             Relayed::Answered(answer)
@@ -197,7 +197,7 @@
         Ok(Err(error)) => {
             let error = format_args!("{error:#}");
             info!(server = %errand.server, %from, %error, "relay: connection to server lost");
-            leased.pool().note_lost();
+            leased.pool().record_disconnect();
             Relayed::Lost
         }
         Err(_) => {
--- a/components/proxy/src/operation.rs
+++ b/components/proxy/src/operation.rs
@@ -348,7 +348,7 @@
     let mut execution = target::connect(host, operation, session, target).await?;
     let pool = execution.conn.pool().clone();
     let required_position = execution.required_position;
-    execution.conn.open_work();
+    execution.conn.begin_transaction();
     execution
         .conn
         .put(session, None, |out| wire::put_begin(operation.access, required_position, out));
@@ -423,7 +423,7 @@
         return;
     }
     monoio::spawn(async move {
-        conn.put_bare(wire::put_rollback);
+        conn.put_without_session(wire::put_rollback);
         // Dropping the connection without an answer closes it, which rolls back too.
         if let Ok(answer) = conn.exchange(ROLLBACK_TIMEOUT).await {
             conn.give_back(&answer);
--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -17,7 +17,7 @@
 use tracing::info;
 
 use crate::{
-    conn::{Broken, Conn, Turn},
+    conn::{self, Conn, QueueParams},
     group::{Need, Use},
     host::Host,
     operation::{Operation, Refusal},
@@ -112,7 +112,7 @@
             Candidate {
                 health,
                 same_domain: listed.domain == host.settings.domain,
-                connected: host.holder(pool).is_some() || pool.is_warm(&operation.account),
+                connected: host.holder(pool).is_some() || pool.has_idle(&operation.account),
                 leads: leader_id.as_ref() == Some(&listed.id),
                 cold: pool.is_cold(now),
                 slots: listed.slots,
@@ -180,11 +180,12 @@
 ) -> Result<Execution, Refusal> {
     let Target { pool, required_position, usage } = target;
     let until = operation.deadline.min(Instant::now() + CONNECTION_TIMEOUT);
-    let turn = Turn { priority: operation.priority, patience: operation.queue_timeout, until };
+    let turn =
+        QueueParams { priority: operation.priority, patience: operation.queue_timeout, until };
     let now = host.now();
     let conn =
         match placement::holder_link(host, &pool, &operation.homes).await {
-            Some(link) => Conn::far(pool, link, operation.account.clone(), turn),
+            Some(link) => Conn::remote(pool, link, operation.account.clone(), turn),
             None => Conn::own(&pool, &operation.account, session, turn, now).await.map_err(
                 |reason| record_not_sent(host, operation, &pool, usage.is_some(), reason, now),
             )?,
@@ -289,7 +290,7 @@
             record_answer(host, operation, execution, &pool, &answer, sent_at);
             Ok(answer)
         }
-        Err(Broken::NotSent(reason)) => {
+        Err(conn::ExchangeError::NotSent(reason)) => {
             pool.health.borrow_mut().end(None, now);
             let leads = execution.usage.is_some();
             Err(ExchangeError::NotSent(record_not_sent(
@@ -301,7 +302,7 @@
             health.end(None, now);
             health.fail(now);
             Err(ExchangeError::Lost(match broken {
-                Broken::Late => "the server did not answer in time",
+                conn::ExchangeError::Late => "the server did not answer in time",
                 _ => "the connection was lost",
             }))
         }
