--- a/components/proxy/src/change.rs
+++ b/components/proxy/src/change.rs
@@ -180,7 +180,7 @@
         asked: Instant,
     ) -> anyhow::Result<()> {
         let release = Release::new(&view, &host.settings.host, host.now());
-        fleet::learn(host, view.clone(), asked);
+        fleet::apply_view(host, view.clone(), asked);
         let release = Rc::new(RefCell::new(release));
         let others = release.borrow().waiting().to_vec();
         for id in others {
@@ -371,7 +371,7 @@
                 let row = view.groups.get(&group.id);
                 if row.is_none_or(|row| row.version != self.intent) {
                     let row = row.cloned();
-                    fleet::learn(host, view, asked);
+                    fleet::apply_view(host, view, asked);
                     row.into_iter().for_each(|row| tell(host, &group.id, &row));
                     return Ok(());
                 }
--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -175,7 +175,7 @@
     pool: &Rc<Pool>,
     until: Instant,
 ) -> Option<Result<ServerAnswer, Heard>> {
-    let link = host.settled_holder(pool).await?;
+    let link = host.connect_holder(pool).await?;
     let mut line = BytesMut::new();
     wire::put_status(&mut line);
     let within = until.saturating_duration_since(Instant::now()).min(HOLDER_WITHIN);
--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -17,8 +17,8 @@
 ///
 /// One that cannot be read here is not fetched again: it would fill the link for ever.
 pub fn begin(host: &Rc<Host>, link: &Rc<Link>, revision: Revision) {
-    let known = host.version().max(host.unreadable.get());
-    if revision <= known || host.fetches.replace(true) {
+    let known = host.version().max(host.unreadable_version.get());
+    if revision <= known || host.is_fetching.replace(true) {
         return;
     }
     let (host, link) = (host.clone(), link.clone());
@@ -26,7 +26,7 @@
         let fetch = host.fetch.take().filter(|fetch| fetch.revision > host.version());
         let fetch = fetch.unwrap_or_else(|| Fetch::new(revision));
         *host.fetch.borrow_mut() = run(&host, &link, fetch).await;
-        host.fetches.set(false);
+        host.is_fetching.set(false);
     });
 }
 
@@ -41,7 +41,7 @@
             Ok(_) => None,
             Err(error) => {
                 fetch.miss();
-                host.measures.unanswered.inc();
+                host.metrics.unanswered.inc();
                 note_miss(host, link, &fetch, asked, &error);
                 return Some(fetch);
             }
@@ -60,10 +60,10 @@
                     "configuration: told by another host"
                 );
                 if !adopt(host, packed) {
-                    host.unreadable.set(fetch.revision);
+                    host.unreadable_version.set(fetch.revision);
                 }
                 if host.version() == fetch.revision {
-                    host.shelf.borrow_mut().confirm(fetch.confirmed);
+                    host.documents.borrow_mut().confirm(fetch.confirmed);
                 }
                 return None;
             }
@@ -87,7 +87,7 @@
 }
 
 fn take(host: &Host, fetch: &mut Fetch, piece: Piece, asked: Instant) -> Progress {
-    host.measures.heard.inc_by(piece.bytes.len() as u64);
+    host.metrics.heard.inc_by(piece.bytes.len() as u64);
     fetch.take(piece, host.now() - asked)
 }
 
@@ -102,8 +102,8 @@
 
 /// The piece that another host wants.
 pub fn piece(host: &Host, wanted: pieces::Wanted) -> Option<Piece> {
-    let piece = host.shelf.borrow().piece(wanted);
+    let piece = host.documents.borrow().piece(wanted);
     let bytes = piece.as_ref().map_or(0, |piece| piece.bytes.len());
-    host.measures.told.inc_by(bytes as u64);
+    host.metrics.told.inc_by(bytes as u64);
     piece
 }
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -118,11 +118,11 @@
 }
 
 /// What a host knows of its fleet when its tasks begin.
-pub struct Entered {
+pub struct Membership {
     /// The view, with this run of the host counted in.
     pub view: View,
     /// When it was asked for.
-    pub asked: Instant,
+    pub requested: Instant,
     /// What hosts of the fleet prove to each other.
     pub secret: Box<str>,
 }
@@ -133,7 +133,7 @@
 /// again only read. A row for each takes seconds where hundreds start: the store applies
 /// changes to one table part one after another. When the whole system starts for the first
 /// time there are no rows, and joining comes first.
-pub async fn enter(settings: &Settings, clock: &dyn Clock, client: &Client) -> Entered {
+pub async fn ensure_member(settings: &Settings, clock: &dyn Clock, client: &Client) -> Membership {
     if settings.first_start {
         until_done("joining", || join(settings, client)).await;
         // One after the other: the first of them draws the secret for all.
@@ -150,7 +150,7 @@
         if let Some(secret) = view.secret.clone() {
             let ms = (clock.now() - asked).as_millis() as u64;
             info!(version = view.version, hosts = view.members.len(), ms, "start: view read");
-            return Entered { view, asked, secret };
+            return Membership { view, requested: asked, secret };
         }
         until_done("drawing the secret", || draw_secret(client)).await;
     }
@@ -196,8 +196,8 @@
 
 /// Whether this host has to read the view itself now.
 fn must_read(host: &Host) -> bool {
-    let old = host.held.borrow().age(host.now()).is_none_or(|age| age > OWN_VIEW);
-    host.is_reader() || old || !host.held.borrow().is_member()
+    let old = host.leased_view.borrow().age(host.now()).is_none_or(|age| age > OWN_VIEW);
+    host.reads_store() || old || !host.leased_view.borrow().is_member()
 }
 
 /// Reads the view for ever.
@@ -212,8 +212,8 @@
             continue;
         }
         woken = false;
-        if host.held.borrow().age(host.now()).is_some()
-            && !host.held.borrow().is_member()
+        if host.leased_view.borrow().age(host.now()).is_some()
+            && !host.leased_view.borrow().is_member()
             && *host.phase.borrow() == Phase::Serving
             && let Err(error) = join(&host.settings, &client).await
         {
@@ -227,11 +227,11 @@
                     info!("fleet: the view can be read again");
                 }
                 host.store_clock.borrow_mut().note(asked, view.clock);
-                learn(&host, view, asked);
+                apply_view(&host, view, asked);
                 let all = host.mesh.links().iter().all(|link| link.is_up());
                 let pause = if all { VIEW_EVERY } else { VIEW_ALONE };
                 let serving = *host.phase.borrow() == Phase::Serving;
-                if serving && !host.held.borrow().is_member() {
+                if serving && !host.leased_view.borrow().is_member() {
                     monoio::time::sleep(JOIN_PAUSE).await;
                     continue;
                 }
@@ -240,7 +240,7 @@
             }
             Err(error) => {
                 if !std::mem::replace(&mut lost, true) {
-                    let age = host.held.borrow().age(host.now());
+                    let age = host.leased_view.borrow().age(host.now());
                     let age_ms = age.map(|age| age.as_millis() as u64);
                     let error = format_args!("{error:#}");
                     warn!(%error, age_ms, "fleet: the view cannot be read");
@@ -278,13 +278,13 @@
 }
 
 /// Takes a view that was the newest at the local time `asked` or later.
-pub fn learn(host: &Rc<Host>, view: View, asked: Instant) {
-    let until = host.held.borrow().until();
-    let before = host.held.borrow().view().groups.clone();
-    if !host.held.borrow_mut().learn(view, asked) {
+pub fn apply_view(host: &Rc<Host>, view: View, asked: Instant) {
+    let until = host.leased_view.borrow().until();
+    let before = host.leased_view.borrow().view().groups.clone();
+    if !host.leased_view.borrow_mut().learn(view, asked) {
         return;
     }
-    let after = host.held.borrow().view().groups.clone();
+    let after = host.leased_view.borrow().view().groups.clone();
     set_members(host);
     host.refresh();
     for (id, row) in after {
@@ -296,8 +296,8 @@
 
 /// Takes one group's row, told by the host that changes its leader.
 pub fn take(host: &Rc<Host>, id: &GroupId, row: Versioned<Leadership>) {
-    let until = host.held.borrow().until();
-    if host.held.borrow_mut().take(id, row.clone()) {
+    let until = host.leased_view.borrow().until();
+    if host.leased_view.borrow_mut().take(id, row.clone()) {
         host.refresh();
         act(host, id, row, until, host.now());
     }
@@ -320,7 +320,7 @@
     monoio::spawn(async move {
         release(&host, &group, row.version, end).await;
         monoio::time::sleep(ASKED_WITHIN).await;
-        if group.asked.get() >= row.version {
+        if group.requested.get() >= row.version {
             return;
         }
         if let Err(error) = tell_released(&host, &holder, row.version).await {
@@ -337,7 +337,7 @@
     while host.now() < end && !group.is_unused() {
         monoio::time::sleep(Duration::from_millis(20)).await;
     }
-    if host.held.borrow().leadership(&group.id).is_some_and(|row| row.version == version) {
+    if host.leased_view.borrow().leadership(&group.id).is_some_and(|row| row.version == version) {
         group.give_up();
     }
     group.released.set(group.released.get().max(version));
@@ -349,10 +349,10 @@
 /// Guards against a gap of a whole lease when some hosts are cut off from the
 /// others but not from the store.
 async fn tell_released(host: &Host, holder: &HostId, version: u64) -> anyhow::Result<()> {
-    if *holder == host.settings.host || !host.held.borrow().is_member() {
+    if *holder == host.settings.host || !host.leased_view.borrow().is_member() {
         return Ok(());
     }
-    let row = host.held.borrow().view().members.get(&host.settings.host).cloned();
+    let row = host.leased_view.borrow().view().members.get(&host.settings.host).cloned();
     let row = row.context("this host is not of the fleet")?;
     let member = Member { released: version, ..row.value };
     let key = member_key(&host.settings.host);
@@ -368,8 +368,8 @@
 }
 
 fn set_members(host: &Host) {
-    let held = host.held.borrow();
-    let view = held.view();
+    let leased_view = host.leased_view.borrow();
+    let view = leased_view.view();
     let members = view.members.iter().filter(|(_, member)| member.value.left.is_none());
     let roster: Vec<contract::Host> = members
         .map(|(id, member)| contract::Host {
@@ -389,7 +389,7 @@
     };
     let own = if neighbours.mesh { me.clone() } else { party_of(&host.settings.domain) };
     host.demand.borrow_mut().set_parties(&own, others, host.now());
-    host.clocks.borrow_mut().retain(|id, _| neighbours.links.contains(id));
+    host.peer_clocks.borrow_mut().retain(|id, _| neighbours.links.contains(id));
     let linked = |host: &contract::Host| neighbours.links.contains(&host.id);
     let linked: Vec<_> = roster.into_iter().filter(linked).collect();
     host.mesh.set_roster(&linked, &[]);
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -60,7 +60,7 @@
     let mut lost = false;
     // In a large fleet the hub tells a new host what it needs; the store has calls
     // for a few hosts a second, not for all of them at once.
-    let told_by = host.now() + if host.may_be_hub() { Duration::ZERO } else { TOLD_WITHIN };
+    let told_by = host.now() + if host.is_hub_candidate() { Duration::ZERO } else { TOLD_WITHIN };
     loop {
         if !needed() || (after.is_none() && host.now() < told_by) {
             monoio::time::sleep(LOOK_EVERY).await;
@@ -118,11 +118,11 @@
             readable &= adopt(&host, &row.value, packed::pack);
         }
         if readable {
-            host.shelf.borrow_mut().confirm(rows.clock);
+            host.documents.borrow_mut().confirm(rows.clock);
         }
     };
     let pace = freshness::Pace::within(host.settings.apply.min(host.settings.evacuate));
-    let needed = || host.is_reader() || host.plan_age().is_none_or(|age| age > pace.read);
+    let needed = || host.reads_store() || host.plan_age().is_none_or(|age| age > pace.read);
     follow(&host, Table::Configuration, pace.wait, needed, take).await
 }
 
@@ -148,15 +148,15 @@
         let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
         let expected = if whole { known } else { Vec::new() };
         let (listed, missing) = left(&rows.rows, expected, rows.clock);
-        listed.into_iter().for_each(|listed| host.list(listed));
+        listed.into_iter().for_each(|listed| host.upsert_server(listed));
         missing.into_iter().for_each(|id| miss(&host, id));
         host.servers_clock.set(host.servers_clock.get().max(rows.clock));
-        host.stamp_servers();
+        host.update_servers_stamp();
         host.refresh();
     };
     let needed = || {
-        let age = host.age_of(host.servers_clock.get());
-        host.is_reader() || age.is_none_or(|age| age > OWN_SERVERS)
+        let age = host.store_age(host.servers_clock.get());
+        host.reads_store() || age.is_none_or(|age| age > OWN_SERVERS)
     };
     follow(&host, Table::Servers, SERVERS_WAIT, needed, take).await
 }
@@ -170,8 +170,8 @@
     let stays = |id: &ServerId| listed.iter().any(|listed| listed.id == *id);
     let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
     known.into_iter().filter(|id| !stays(id)).for_each(|id| miss(host, id));
-    listed.into_iter().for_each(|listed| host.list(listed));
-    host.stamp_servers();
+    listed.into_iter().for_each(|listed| host.upsert_server(listed));
+    host.update_servers_stamp();
     host.refresh();
 }
 
@@ -230,8 +230,8 @@
     monoio::time::sleep(KEEP_GONE).await;
     let still = host.missing.borrow().get(&id) == Some(&time);
     if still {
-        host.unlist(&id);
-        host.stamp_servers();
+        host.remove_server(&id);
+        host.update_servers_stamp();
         host.refresh();
     }
 }
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -49,8 +49,8 @@
 
 /// Answers another host.
 pub fn answer(host: &Rc<Host>, peer: &Hello, question: Question, replier: Replier) {
-    let version = host.held.borrow().view().members.get(&peer.host).map(|row| row.version);
-    host.heard.borrow_mut().insert(peer.host.clone(), (host.now(), version));
+    let version = host.leased_view.borrow().view().members.get(&peer.host).map(|row| row.version);
+    host.last_contact.borrow_mut().insert(peer.host.clone(), (host.now(), version));
     match question {
         Question::Heartbeat(beat) => {
             positions::take_question(host, &beat);
@@ -72,7 +72,7 @@
             monoio::spawn(relay::serve(host.clone(), peer.host.clone(), *errand, replier));
         }
         Question::Hang(work) => {
-            host.works.hang(&peer.host, work, host.now());
+            host.remote_transactions.hang(&peer.host, work, host.now());
             replier.reply(Answer::Pong);
         }
         Question::Act { group, row } => {
@@ -89,10 +89,10 @@
 /// names no more.
 async fn act(host: Rc<Host>, id: GroupId, row: Versioned<Leadership>, replier: Replier) {
     let group = host.group(&id);
-    group.asked.set(group.asked.get().max(row.version));
+    group.requested.set(group.requested.get().max(row.version));
     fleet::take(&host, &id, row.clone());
     loop {
-        let newest = host.held.borrow().leadership(&id).cloned().unwrap_or(row.clone());
+        let newest = host.leased_view.borrow().leadership(&id).cloned().unwrap_or(row.clone());
         let moves = matches!(newest.value, Leadership::Moving { .. });
         if !moves || group.released.get() >= newest.version {
             return replier.reply(Answer::Acting(newest.version));
@@ -103,7 +103,7 @@
 
 fn newest(host: &Host, asker: Known) -> Newest {
     let known = host.known();
-    let view = || host.held.borrow().changes(asker.view_version);
+    let view = || host.leased_view.borrow().changes(asker.view_version);
     let servers = known.servers.0 != asker.servers.0 && known.servers.1 > asker.servers.1;
     Newest {
         known,
@@ -120,14 +120,14 @@
 
 fn own_heartbeat(host: &Host) -> Heartbeat {
     let asked = tokens::reports(host).then(|| host.demand.borrow().report(host.now()));
-    let (known, majority) = (host.known(), host.hears_majority());
+    let (known, majority) = (host.known(), host.reaches_majority());
     let evacuations = evacuations(host);
     Heartbeat { asked, known, majority, evacuations, seen: Vec::new(), clock: None, echo: None }
 }
 
 /// The answer to a heartbeat: requests that were admitted here are reported in this host's own.
 fn answered_heartbeat(host: &Host) -> Heartbeat {
-    let clock = host.now().saturating_duration_since(host.began);
+    let clock = host.now().saturating_duration_since(host.started);
     let clock = Some(Stamp { run: host.run, clock });
     let seen = if host.is_hub() { positions::newest(host) } else { Vec::new() };
     Heartbeat { asked: None, seen, clock, ..own_heartbeat(host) }
@@ -135,7 +135,7 @@
 
 /// The heartbeat for the host at the other end of the link, with positions that this host saw.
 fn heartbeat_for(host: &Host, link: &Link, beat: &Heartbeat, own: &[(Instant, Seen)]) -> Heartbeat {
-    let Some((clock, received)) = host.clocks.borrow().get(&link.host).copied() else {
+    let Some((clock, received)) = host.peer_clocks.borrow().get(&link.host).copied() else {
         return beat.clone();
     };
     Heartbeat { seen: positions::since(own, received), echo: Some(clock), ..beat.clone() }
@@ -171,7 +171,7 @@
 /// for: each would come too late, and nothing else would get through.
 fn begin_asking(host: &Rc<Host>, link: Rc<Link>) {
     let now = host.now();
-    let mut asked = host.asked.borrow_mut();
+    let mut asked = host.requested.borrow_mut();
     let lately = asked.values().any(|since| now.saturating_duration_since(*since) < ASK_ANOTHER);
     if lately || asked.contains_key(&link.host) {
         return;
@@ -180,7 +180,7 @@
     let host = host.clone();
     monoio::spawn(async move {
         ask_newest(&host, &link).await;
-        host.asked.borrow_mut().remove(&link.host);
+        host.requested.borrow_mut().remove(&link.host);
     });
 }
 
@@ -188,14 +188,14 @@
 fn renew(host: &Host, known: Known) {
     host.newest.set(host.newest.get().max(known.plan.0));
     if known.plan.0 == host.version() {
-        host.shelf.borrow_mut().confirm(known.plan.1);
+        host.documents.borrow_mut().confirm(known.plan.1);
     }
     if known.servers.0 == host.servers_stamp.get() {
         host.servers_clock.set(host.servers_clock.get().max(known.servers.1));
     }
     let shown = host.store_clock.borrow().local(known.view.1);
     if let Some(shown) = shown {
-        host.held.borrow_mut().renew(known.view.0, known.view.1, shown);
+        host.leased_view.borrow_mut().renew(known.view.0, known.view.1, shown);
     }
 }
 
@@ -218,7 +218,7 @@
                     link.ask(Question::Heartbeat(beat), PEER_WITHIN).await
                 {
                     take_clock(&host, &link, &answer, sent);
-                    let member = host.held.borrow().view().members.get(&link.host).cloned();
+                    let member = host.leased_view.borrow().view().members.get(&link.host).cloned();
                     if let Some(member) = member {
                         take_heartbeat(&host, &link.host, &member.value.domain, *answer);
                     }
@@ -233,20 +233,20 @@
 /// Takes what the answer to a heartbeat that was sent at `sent` says of leaders' positions.
 fn take_clock(host: &Host, link: &Link, answer: &Heartbeat, sent: Instant) {
     if let Some(clock) = answer.clock {
-        host.clocks.borrow_mut().insert(link.host.clone(), (clock, host.now()));
+        host.peer_clocks.borrow_mut().insert(link.host.clone(), (clock, host.now()));
     }
     positions::take_answer(host, answer, sent);
 }
 
 /// Asks other hosts for the newest view and configuration while the store does
 /// not tell them to this one, for ever.
-pub async fn ask_hosts(host: Rc<Host>) {
+pub async fn poll_peers(host: Rc<Host>) {
     let pace = freshness::Pace::within(host.settings.apply.min(host.settings.evacuate));
     let mut turn = 0;
     loop {
         monoio::time::sleep(ASK_EVERY).await;
         let old = |age: Option<Duration>, limit| age.is_none_or(|age| age > limit);
-        let view = old(host.held.borrow().age(host.now()), ASK_VIEW_AFTER);
+        let view = old(host.leased_view.borrow().age(host.now()), ASK_VIEW_AFTER);
         if !view && !old(host.plan_age(), pace.ask) {
             continue;
         }
@@ -270,7 +270,7 @@
             Ok(Answer::Newest(newest)) => newest,
             Ok(_) => return,
             Err(error) => {
-                host.measures.unanswered.inc();
+                host.metrics.unanswered.inc();
                 let (version, error) = (known.plan.0.0, format_args!("{error:#}"));
                 info!(from = %link.host, version, ms, %error, "fleet: not told what is new");
                 return;
@@ -291,12 +291,12 @@
 
 /// Takes what another host knows; false when its changes of the view do not fit.
 fn take_newest(host: &Rc<Host>, newest: Newest) -> bool {
-    let changed = newest.view.map(|changes| changes.onto(host.held.borrow().view()));
+    let changed = newest.view.map(|changes| changes.onto(host.leased_view.borrow().view()));
     let fits = !matches!(changed, Some(None));
     if let Some(view) = changed.flatten() {
         let shown = host.store_clock.borrow().local(view.clock);
         if let Some(shown) = shown {
-            fleet::learn(host, view, shown);
+            fleet::apply_view(host, view, shown);
         }
     }
     if let Some(servers) = newest.servers {
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -30,14 +30,14 @@
     /// What speaks against the leader.
     pub suspicion: RefCell<Suspicion>,
     /// Whether a host task asks the leader how it stands just now.
-    pub probed: Cell<bool>,
+    pub probing: Cell<bool>,
     /// Whether this host is changing the leader.
-    pub moved: Cell<bool>,
+    pub in_failover: Cell<bool>,
     /// The version of the newest intent to change the leader after which no work
     /// of this host counts on the old one any more.
     pub released: Cell<u64>,
     /// The version of the newest intent whose maker has asked this host itself.
-    pub asked: Cell<u64>,
+    pub requested: Cell<u64>,
     /// What is known of the replicas, and which commits wait for them.
     pub receipts: Receipts,
     /// The leader that new work may use.
@@ -47,7 +47,7 @@
     /// Statements and transactions at the leader in this epoch.
     using: Cell<usize>,
     /// Since when the leader leads, as far as this host knows.
-    led: Cell<Option<Instant>>,
+    led_since: Cell<Option<Instant>>,
     /// Since when there has been no leader.
     since: Cell<Option<Instant>>,
     changed: Notify,
@@ -55,7 +55,7 @@
 }
 
 /// The right to use the leader for one statement or transaction.
-pub struct Use {
+pub struct LeaderUse {
     group: Rc<Group>,
     epoch: u64,
     /// The leader.
@@ -64,7 +64,7 @@
 
 /// Where a read may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Need {
+pub enum Requirement {
     /// At the leader only.
     Leader,
     /// Anywhere where the log reaches the point.
@@ -79,12 +79,12 @@
             ages: RefCell::default(),
             seen: Cell::default(),
             suspicion: RefCell::default(),
-            probed: Cell::default(),
-            moved: Cell::default(),
+            probing: Cell::default(),
+            in_failover: Cell::default(),
             released: Cell::default(),
-            asked: Cell::default(),
+            requested: Cell::default(),
             receipts: Receipts::default(),
-            led: Cell::default(),
+            led_since: Cell::default(),
             leader: RefCell::default(),
             epoch: Cell::default(),
             using: Cell::default(),
@@ -114,8 +114,12 @@
             self.seen.set(None);
             self.suspicion.borrow_mut().answered();
             // The first leader that a host hears of has led before.
-            let known = self.led.get().is_some();
-            self.led.set(Some(if known { now } else { now.checked_sub(LONG_AGO).unwrap_or(now) }));
+            let known = self.led_since.get().is_some();
+            self.led_since.set(Some(if known {
+                now
+            } else {
+                now.checked_sub(LONG_AGO).unwrap_or(now)
+            }));
             self.receipts.reset();
             self.changed.notify_waiters();
         }
@@ -123,12 +127,12 @@
     }
 
     /// Since when the leader leads, as far as this host knows.
-    pub fn led(&self) -> Option<Instant> {
-        self.led.get()
+    pub fn led_since(&self) -> Option<Instant> {
+        self.led_since.get()
     }
 
     /// How long there has been no leader.
-    pub fn leaderless(&self, now: Instant) -> Duration {
+    pub fn leaderless_for(&self, now: Instant) -> Duration {
         self.since.get().map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
@@ -145,14 +149,14 @@
     }
 
     /// Begins to use the leader.
-    pub fn begin(self: &Rc<Self>) -> Option<Use> {
+    pub fn begin(self: &Rc<Self>) -> Option<LeaderUse> {
         let server = self.leader()?;
         self.using.set(self.using.get() + 1);
-        Some(Use { group: self.clone(), epoch: self.epoch.get(), server })
+        Some(LeaderUse { group: self.clone(), epoch: self.epoch.get(), server })
     }
 
     /// Waits until there is a leader again, until the deadline at most.
-    pub async fn wait_changed(&self, deadline: monoio::time::Instant) {
+    pub async fn wait_leader(&self, deadline: monoio::time::Instant) {
         // The caller looks again either way.
         let _ = monoio::time::timeout_at(deadline, self.changed.notified()).await;
     }
@@ -161,26 +165,33 @@
     ///
     /// A point of an earlier term than the leader's may have been taken back; what
     /// remains of that term is in every log that reaches the leader's own.
-    pub fn need(&self, currency: Currency, floor: Option<Point>, now: Instant) -> Need {
+    pub fn requirement(
+        &self,
+        currency: Currency,
+        floor: Option<Point>,
+        now: Instant,
+    ) -> Requirement {
         let (age, floor) = match currency {
-            Currency::Current => return Need::Leader,
+            Currency::Current => return Requirement::Leader,
             Currency::MaxAge(age) => (age, None),
             Currency::OwnWrites(age) => (age, floor),
         };
         let ages = self.ages.borrow();
         let aged = ages.floor(age.saturating_sub(AGE_MARGIN), now);
-        let (Some(aged), Some((_, newest))) = (aged, ages.newest()) else { return Need::Leader };
+        let (Some(aged), Some((_, newest))) = (aged, ages.newest()) else {
+            return Requirement::Leader;
+        };
         match floor {
-            Some(floor) if floor.term < newest.term => Need::Log(newest),
-            Some(floor) => Need::Log(aged.max(floor)),
-            None => Need::Log(aged),
+            Some(floor) if floor.term < newest.term => Requirement::Log(newest),
+            Some(floor) => Requirement::Log(aged.max(floor)),
+            None => Requirement::Log(aged),
         }
     }
 }
 
-impl Use {
+impl LeaderUse {
     /// Waits until work of this epoch counts no more.
-    pub async fn given_up(&self) {
+    pub async fn epoch_ended(&self) {
         while self.holds() {
             self.group.gave_up.notified().await;
         }
@@ -192,7 +203,7 @@
     }
 }
 
-impl Drop for Use {
+impl Drop for LeaderUse {
     fn drop(&mut self) {
         if self.holds() {
             self.group.using.set(self.group.using.get().saturating_sub(1));
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -30,8 +30,8 @@
 use tracing::info;
 
 use crate::{
-    group::{Group, Use},
-    measure::Measures,
+    group::{Group, LeaderUse},
+    measure::Metrics,
     placement,
     pool::{self, Pool},
     relay::Works,
@@ -74,23 +74,23 @@
     /// The steady clock, suspended time included.
     pub clock: Rc<dyn Clock>,
     /// When it started; clocks that are sent to other hosts count from it.
-    pub began: Instant,
+    pub started: Instant,
     /// The newest clock of each host that this one was sent, and when it was received.
-    pub clocks: RefCell<HashMap<HostId, (Stamp, Instant)>>,
+    pub peer_clocks: RefCell<HashMap<HostId, (Stamp, Instant)>>,
     /// Tells this run of the host from others.
     pub run: u64,
     /// The configuration in force.
     pub plan: RefCell<Option<Rc<Plan>>>,
     /// Its accounts, those of the highest rate first.
-    pub by_rate: RefCell<Rc<[AccountId]>>,
+    pub accounts_by_rate: RefCell<Rc<[AccountId]>>,
     /// Configurations as they are told to other hosts; the one in force is the newest.
-    pub shelf: RefCell<Shelf>,
+    pub documents: RefCell<Shelf>,
     /// A configuration of which a part has been fetched.
     pub fetch: RefCell<Option<Fetch>>,
     /// Whether a configuration is being fetched now.
-    pub fetches: Cell<bool>,
+    pub is_fetching: Cell<bool>,
     /// The newest configuration that another host could read and this one could not.
-    pub unreadable: Cell<Revision>,
+    pub unreadable_version: Cell<Revision>,
     /// The newest configuration that any host has told of.
     pub newest: Cell<Revision>,
     /// The store's clock.
@@ -108,9 +108,9 @@
     /// Whether this host's hub hears most of the fleet, and when it said so.
     pub hub_majority: Cell<Option<Instant>>,
     /// Hosts that are being asked for what they know, and since when.
-    pub asked: RefCell<HashMap<HostId, Instant>>,
+    pub requested: RefCell<HashMap<HostId, Instant>>,
     /// When each host was heard last, and the version of its row then.
-    pub heard: RefCell<HashMap<HostId, (Instant, Option<u64>)>>,
+    pub last_contact: RefCell<HashMap<HostId, (Instant, Option<u64>)>>,
     /// Backend servers by name.
     pub pools: RefCell<HashMap<ServerId, Rc<Pool>>>,
     /// The same by group, each group's in the order of their names; none until they are
@@ -123,13 +123,13 @@
     /// Groups by name.
     pub groups: RefCell<HashMap<GroupId, Rc<Group>>>,
     /// The fleet and who leads.
-    pub held: RefCell<Held>,
+    pub leased_view: RefCell<Held>,
     /// Links to the other hosts.
     pub mesh: Rc<Mesh>,
     /// Transactions of other hosts on connections of this one.
-    pub works: Works,
+    pub remote_transactions: Works,
     /// When this host last admitted a request for its failure domain.
-    pub admits: Cell<Option<Instant>>,
+    pub last_admission: Cell<Option<Instant>>,
     /// Parts of the accounts' rates.
     pub demand: RefCell<Demand>,
     /// How far a stop has come.
@@ -137,7 +137,7 @@
     /// Wakes the task that reads the view.
     pub look: Notify,
     /// Counters and histograms.
-    pub measures: Measures,
+    pub metrics: Metrics,
     /// Sessions open.
     pub sessions: Cell<usize>,
 }
@@ -153,7 +153,7 @@
     grouped
 }
 
-fn by_rate(plan: &Plan) -> Rc<[AccountId]> {
+fn accounts_by_rate(plan: &Plan) -> Rc<[AccountId]> {
     let mut accounts: Vec<_> = plan.accounts().collect();
     accounts.sort_by(|a, b| b.rate.0.total_cmp(&a.rate.0).then_with(|| a.id.cmp(&b.id)));
     accounts.into_iter().map(|account| account.id.clone()).collect()
@@ -194,9 +194,9 @@
             }
         }
         drop(demand);
-        *self.by_rate.borrow_mut() = by_rate(&plan);
+        *self.accounts_by_rate.borrow_mut() = accounts_by_rate(&plan);
         self.has_homes.set(plan.has_homes());
-        self.shelf.borrow_mut().add(plan.version, packed);
+        self.documents.borrow_mut().add(plan.version, packed);
         *self.plan.borrow_mut() = Some(Rc::new(plan));
         self.refresh();
     }
@@ -208,7 +208,7 @@
 
     /// How long ago the configuration was the newest for certain.
     pub fn plan_age(&self) -> Option<Duration> {
-        self.age_of(self.shelf.borrow().confirmed())
+        self.store_age(self.documents.borrow().confirmed())
     }
 
     /// Whether callers may be served by what is known of the configuration.
@@ -216,7 +216,7 @@
         let standing = Standing {
             age: self.plan_age(),
             outdated: self.newest.get() > self.version(),
-            majority: self.hears_majority(),
+            majority: self.reaches_majority(),
         };
         let (apply, strict) = (self.settings.apply, self.settings.strict);
         self.evacuations.borrow().is_known() && standing.may_serve(Bounds { apply, strict })
@@ -224,7 +224,7 @@
 
     /// Whether most hosts, this one included, are heard; by word of the hub where
     /// this host speaks to no others.
-    pub fn hears_majority(&self) -> bool {
+    pub fn reaches_majority(&self) -> bool {
         if !self.is_hub() {
             let said = self.hub_majority.get();
             return said.is_some_and(|at| self.now().saturating_duration_since(at) < HUB_WORD);
@@ -243,39 +243,39 @@
     /// Whether this host reads the store for the others of its failure domain. One
     /// that is no candidate stands alone while it reaches none of them; it reads the
     /// store only when what it knows has grown old.
-    pub fn is_reader(&self) -> bool {
-        self.may_be_hub() && self.stands_first()
+    pub fn reads_store(&self) -> bool {
+        self.is_hub_candidate() && self.is_own_hub()
     }
 
     /// Whether no host goes before this one as hub of its failure domain.
-    fn stands_first(&self) -> bool {
+    fn is_own_hub(&self) -> bool {
         self.hub() == self.settings.host
     }
 
     /// Whether this host may become the hub of its failure domain.
-    pub fn may_be_hub(&self) -> bool {
+    pub fn is_hub_candidate(&self) -> bool {
         let neighbours = self.neighbours.borrow();
         neighbours.mesh || neighbours.candidates.contains(&self.settings.host)
     }
 
     /// Whether this host speaks to hosts of other failure domains.
     pub fn is_hub(&self) -> bool {
-        self.neighbours.borrow().mesh || self.stands_first()
+        self.neighbours.borrow().mesh || self.is_own_hub()
     }
 
     /// Which versions this host knows.
     pub fn known(&self) -> Known {
-        let held = self.held.borrow();
+        let leased_view = self.leased_view.borrow();
         Known {
-            plan: (self.version(), self.shelf.borrow().confirmed()),
-            view: (held.stamp(), held.view().clock),
-            view_version: held.view().version,
+            plan: (self.version(), self.documents.borrow().confirmed()),
+            view: (leased_view.stamp(), leased_view.view().clock),
+            view_version: leased_view.view().version,
             servers: (self.servers_stamp.get(), self.servers_clock.get()),
         }
     }
 
     /// How long ago what was the newest when the store's clock showed `clock` was so.
-    pub fn age_of(&self, clock: Duration) -> Option<Duration> {
+    pub fn store_age(&self, clock: Duration) -> Option<Duration> {
         let seen = self.store_clock.borrow().local(clock)?;
         Some(self.now().saturating_duration_since(seen))
     }
@@ -290,7 +290,7 @@
     }
 
     /// Notes that the list of servers has changed.
-    pub fn stamp_servers(&self) {
+    pub fn update_servers_stamp(&self) {
         let mut hash = DefaultHasher::new();
         for listed in self.listed() {
             (listed.id, listed.group, listed.address, listed.born).hash(&mut hash);
@@ -301,7 +301,7 @@
     }
 
     /// The database's route and the caller's account; `None` for a public one.
-    pub fn find(&self, database: &str, key: &str) -> (Option<Rc<Route>>, Option<Rc<Account>>) {
+    pub fn resolve(&self, database: &str, key: &str) -> (Option<Rc<Route>>, Option<Rc<Account>>) {
         match self.plan() {
             Some(plan) => (plan.routes.get(database).cloned(), plan.keys.get(key).cloned()),
             None => (None, None),
@@ -329,23 +329,23 @@
 
     /// Whether leaders may be used now.
     pub fn leased(&self) -> bool {
-        self.held.borrow().leased(self.now())
+        self.leased_view.borrow().leased(self.now())
     }
 
     /// Begins to use a group's leader, if that is allowed.
-    pub fn begin(&self, group: &Rc<Group>) -> Option<Use> {
+    pub fn begin(&self, group: &Rc<Group>) -> Option<LeaderUse> {
         if self.leased() { group.begin() } else { None }
     }
 
     /// Whether a leader that is in use still leads for certain.
-    pub fn holds(&self, usage: &Use) -> bool {
+    pub fn holds(&self, usage: &LeaderUse) -> bool {
         usage.holds() && self.leased()
     }
 
     /// Takes over what the view, the list of servers and the configuration say now.
     pub fn refresh(&self) {
         let now = self.now();
-        let hosts = self.held.borrow().view().members.len().max(1);
+        let hosts = self.leased_view.borrow().view().members.len().max(1);
         let plan = self.plan();
         self.order_holders();
         for pool in self.pools.borrow().values() {
@@ -370,7 +370,7 @@
                 info!(
                     group = %group.id,
                     leader = leader.as_ref().map(tracing::field::display),
-                    view = self.held.borrow().view().version,
+                    view = self.leased_view.borrow().view().version,
                     "leader: changed"
                 );
             }
@@ -381,8 +381,8 @@
     ///
     /// Guards against a cost of hosts times servers for each change of a group's leader.
     fn order_holders(&self) {
-        let held = self.held.borrow();
-        let members = holders::stamp(held.view());
+        let leased_view = self.leased_view.borrow();
+        let members = holders::stamp(leased_view.view());
         let changed = self.holders_stamp.replace(members) != members;
         let mut strongest: HashMap<FailureDomain, Vec<HostId>> = HashMap::new();
         for pool in self.pools.borrow().values() {
@@ -392,7 +392,7 @@
             let listed = pool.listed.borrow();
             let strong = strongest
                 .entry(listed.domain.clone())
-                .or_insert_with(|| holders::strongest(held.view(), &listed.domain));
+                .or_insert_with(|| holders::strongest(leased_view.view(), &listed.domain));
             *pool.holders.borrow_mut() = holders::order(strong, listed.id.as_str());
         }
     }
@@ -400,9 +400,9 @@
     /// The leader of a group by the view; where it has no say, the one server
     /// that lists itself as primary.
     fn listed_leader(&self, group: &GroupId) -> Option<ServerId> {
-        let held = self.held.borrow();
-        held.age(self.now())?;
-        match held.leadership(group).map(|versioned| &versioned.value) {
+        let leased_view = self.leased_view.borrow();
+        leased_view.age(self.now())?;
+        match leased_view.leadership(group).map(|versioned| &versioned.value) {
             Some(Leadership::Steady { leader, .. }) => Some(leader.clone()),
             Some(Leadership::Moving { .. }) => None,
             None => {
@@ -416,7 +416,7 @@
     }
 
     /// Takes a server's own entry.
-    pub fn list(&self, mut listed: Listed) {
+    pub fn upsert_server(&self, mut listed: Listed) {
         self.missing.borrow_mut().remove(&listed.id);
         let mut pools = self.pools.borrow_mut();
         let now = self.now();
@@ -466,7 +466,7 @@
     }
 
     /// Takes a server off the list.
-    pub fn unlist(&self, id: &ServerId) {
+    pub fn remove_server(&self, id: &ServerId) {
         self.missing.borrow_mut().remove(id);
         *self.by_group.borrow_mut() = None;
         if let Some(pool) = self.pools.borrow_mut().remove(id) {
@@ -476,10 +476,10 @@
     }
 
     /// Closes connections that are not used and opens some ahead, for ever.
-    pub async fn trim(self: Rc<Self>) {
+    pub async fn maintain_pools(self: Rc<Self>) {
         loop {
             monoio::time::sleep(pool::TRIM_EVERY).await;
-            let accounts = self.by_rate.borrow().clone();
+            let accounts = self.accounts_by_rate.borrow().clone();
             let serving = *self.phase.borrow() == Phase::Serving;
             for pool in self.pools.borrow().values() {
                 pool.trim();
@@ -489,7 +489,8 @@
                 }
             }
             let limit = self.plan().and_then(|plan| plan.idle_limit);
-            self.works.sweep(limit, self.now(), |pool| placement::is_forbidden(&self, pool));
+            self.remote_transactions
+                .sweep(limit, self.now(), |pool| placement::is_forbidden(&self, pool));
         }
     }
 
@@ -516,7 +517,7 @@
     ///
     /// Guards against a connection of this host's own for the first statement to each server:
     /// in a large fleet most pairs of host and server see few statements.
-    pub async fn settled_holder(&self, pool: &Pool) -> Option<Rc<Link>> {
+    pub async fn connect_holder(&self, pool: &Pool) -> Option<Rc<Link>> {
         if self.settings.has(Mechanism::SharedConnections) {
             let holders = pool.holders.borrow().clone();
             for holder in holders.iter().take_while(|holder| **holder != self.settings.host) {
@@ -532,14 +533,14 @@
     }
 
     /// Where a peer listens, by the view.
-    pub fn peer(&self, host: &HostId) -> Option<SocketAddr> {
-        self.held.borrow().view().members.get(host).map(|member| member.value.peer)
+    pub fn peer_address(&self, host: &HostId) -> Option<SocketAddr> {
+        self.leased_view.borrow().view().members.get(host).map(|member| member.value.peer)
     }
 
     /// A link to any host of the fleet.
     pub fn reach(&self, id: &HostId) -> Option<Rc<Link>> {
-        let held = self.held.borrow();
-        let member = &held.view().members.get(id)?.value;
+        let leased_view = self.leased_view.borrow();
+        let member = &leased_view.view().members.get(id)?.value;
         let (domain, peer) = (member.domain.clone(), member.peer);
         Some(self.mesh.reach(&contract::Host { id: id.clone(), domain, peer }))
     }
--- a/components/proxy/src/job.rs
+++ b/components/proxy/src/job.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     confirm,
-    group::{Group, Use},
+    group::{Group, LeaderUse},
     host::Host,
     place::{self, Chosen, NoAnswer, Place, Running},
     placement,
@@ -142,11 +142,11 @@
         if !host.leased() {
             return Err(Refused::busy("this host cannot show who leads"));
         }
-        let hopeless = job.group.leaderless(host.now()) > HOPELESS_AFTER;
+        let hopeless = job.group.leaderless_for(host.now()) > HOPELESS_AFTER;
         if hopeless || Instant::now() >= until {
             return Err(Refused::busy("the group has no leader now"));
         }
-        job.group.wait_changed(until).await;
+        job.group.wait_leader(until).await;
     }
 }
 
@@ -212,7 +212,7 @@
     host: &Rc<Host>,
     job: &Job,
     answer: &ServerAnswer,
-    usage: Option<&Use>,
+    usage: Option<&LeaderUse>,
 ) -> Result<(), &'static str> {
     let (None, Some(commit)) = (answer.failure(), answer.point) else { return Ok(()) };
     confirm::wait(host, &job.group, commit).await?;
@@ -266,7 +266,7 @@
         for (i, place) in places.into_iter().take(count).enumerate() {
             tries += 1;
             if tries > 1 {
-                host.measures.retries.inc();
+                host.metrics.retries.inc();
             }
             let chosen = Chosen::of(&place);
             match attempt(host, job, session, request, place, i + 1 == count).await {
@@ -290,7 +290,7 @@
         if refused.crowded || tries >= MOST_TRIES || Instant::now() >= until {
             return Err(refused);
         }
-        job.group.wait_changed(until.min(Instant::now() + AGAIN_AFTER)).await;
+        job.group.wait_leader(until.min(Instant::now() + AGAIN_AFTER)).await;
     }
 }
 
@@ -304,7 +304,7 @@
         for place in places.into_iter().take(MOST_TRIES - tries) {
             tries += 1;
             if tries > 1 {
-                host.measures.retries.inc();
+                host.metrics.retries.inc();
             }
             let chosen = Chosen::of(&place);
             match begin(host, job, session, place).await {
@@ -321,7 +321,7 @@
         if refused.crowded || tries >= MOST_TRIES || Instant::now() >= until {
             return Err(refused);
         }
-        job.group.wait_changed(until.min(Instant::now() + AGAIN_AFTER)).await;
+        job.group.wait_leader(until.min(Instant::now() + AGAIN_AFTER)).await;
     }
 }
 
--- a/components/proxy/src/lead.rs
+++ b/components/proxy/src/lead.rs
@@ -59,20 +59,20 @@
 }
 
 fn look(host: &Rc<Host>, group: &Rc<Group>) {
-    if group.moved.get() || host.servers(&group.id).is_empty() {
+    if group.in_failover.get() || host.servers(&group.id).is_empty() {
         return;
     }
     let now = host.now();
-    let leadership = host.held.borrow().leadership(&group.id).map(|row| row.value.clone());
+    let leadership = host.leased_view.borrow().leadership(&group.id).map(|row| row.value.clone());
     if let Some(Leadership::Moving { holder, since, planned, from, .. }) = leadership {
-        if !group.probed.replace(true) {
+        if !group.probing.replace(true) {
             let move_on = take_over(host.clone(), group.clone(), holder, since, planned, from);
             monoio::spawn(move_on);
         }
         return;
     }
     let Some(leader) = group.leader() else {
-        if group.leaderless(now) > LEADERLESS_FOR {
+        if group.leaderless_for(now) > LEADERLESS_FOR {
             start(host, group, None, false, "no server of the group says that it leads");
         }
         return;
@@ -89,11 +89,11 @@
     let silent = pool.health.borrow().silent_for(now).max(pool.exchanges.borrow().lasts(now));
     let asks = silent > suspicion::SILENT_AFTER
         || group.suspicion.borrow().advice(now) == Advice::AskReplicas;
-    if asks && !group.probed.replace(true) {
+    if asks && !group.probing.replace(true) {
         monoio::spawn(probe(host.clone(), group.clone(), pool, now));
     }
-    let led = group.led();
-    if led.is_some_and(|led| group.receipts.state.borrow().is_cut(led, now)) {
+    let led_since = group.led_since();
+    if led_since.is_some_and(|led_since| group.receipts.state.borrow().is_cut(led_since, now)) {
         return start(host, group, Some(leader), true, "the leader's replicas receive nothing");
     }
     if group.suspicion.borrow().advice(now) == Advice::Replace {
@@ -128,19 +128,19 @@
     match told_by_holder(&host, &leader).await {
         Some(lasts) if lasts < suspicion::SILENT_AFTER => {
             group.suspicion.borrow_mut().answered();
-            group.probed.set(false);
+            group.probing.set(false);
             return;
         }
         Some(lasts) if lasts < suspicion::LEFT_TO_HOLDER => {
             info!(group = %group.id, %server, silent_ms = lasts.as_millis() as u64, "leader: left to its holder");
             group.suspicion.borrow_mut().left_to_another();
-            group.probed.set(false);
+            group.probing.set(false);
             return;
         }
         _ => monoio::time::sleep(turn(&host, &group)).await,
     }
     if group.leader().as_ref() != Some(&server) {
-        group.probed.set(false);
+        group.probing.set(false);
         return;
     }
     let replicas = host.servers(&group.id);
@@ -172,7 +172,7 @@
             info!(group = %group.id, %server, ?advice, "leader: silent");
         }
     }
-    group.probed.set(false);
+    group.probing.set(false);
 }
 
 /// How long ago a server last answered the host that holds its connections; `None` where
@@ -191,8 +191,8 @@
 
 /// How much later than the first hosts this one acts on a group's leader.
 fn turn(host: &Host, group: &Group) -> Duration {
-    let held = host.held.borrow();
-    let hosts: Vec<_> = held.view().members.keys().cloned().collect();
+    let leased_view = host.leased_view.borrow();
+    let hosts: Vec<_> = leased_view.view().members.keys().cloned().collect();
     let order = rendezvous::order(group.id.as_str(), &hosts);
     let rank = order.iter().position(|id| **id == host.settings.host);
     suspicion::turn(rank.unwrap_or(hosts.len()))
@@ -233,8 +233,8 @@
 
 /// The store's clock now, or a few milliseconds later.
 pub fn store_now(host: &Host) -> Duration {
-    let held = host.held.borrow();
-    held.view().clock + held.age(host.now()).unwrap_or_default()
+    let leased_view = host.leased_view.borrow();
+    leased_view.view().clock + leased_view.age(host.now()).unwrap_or_default()
 }
 
 /// Takes over a change of leader whose holder is dead or has had its turn.
@@ -252,7 +252,7 @@
         monoio::time::sleep(DEAD_FOR).await;
     }
     let late = store_now(&host) > since + TURN + TURN_MARGIN;
-    let still = host.held.borrow().leadership(&group.id).is_some_and(
+    let still = host.leased_view.borrow().leadership(&group.id).is_some_and(
         |row| matches!(&row.value, Leadership::Moving { since: now, .. } if *now == since),
     );
     if still && (late || dead) {
@@ -261,13 +261,13 @@
     } else {
         monoio::time::sleep(DEAD_FOR).await;
     }
-    group.probed.set(false);
+    group.probing.set(false);
 }
 
 /// Whether no process of the host runs: its machine refuses connections.
 pub async fn is_dead(host: &Host, id: &HostId) -> bool {
-    let Some(peer) = host.peer(id) else { return false };
-    let dial = monoio::time::timeout(DIAL_WITHIN, TcpStream::connect(peer)).await;
+    let Some(peer_address) = host.peer_address(id) else { return false };
+    let dial = monoio::time::timeout(DIAL_WITHIN, TcpStream::connect(peer_address)).await;
     matches!(dial, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
@@ -278,21 +278,21 @@
     planned: bool,
     why: &'static str,
 ) {
-    group.moved.set(true);
+    group.in_failover.set(true);
     let from_text = from.as_ref().map(tracing::field::display);
     info!(group = %group.id, from = from_text, planned, why, "leader: to be replaced");
     let (host, group) = (host.clone(), group.clone());
     // What was decided was decided on this row: when another host has written its
     // intent meanwhile, this one's must not be written over it.
-    let before = host.held.borrow().leadership(&group.id).cloned();
+    let before = host.leased_view.borrow().leadership(&group.id).cloned();
     monoio::spawn(async move {
         // Hosts notice together; the first to write the intent makes the change.
         let pause = turn(&host, &group) + Duration::from_millis(rand::random_range(0..40));
         monoio::time::sleep(pause).await;
-        let version = host.held.borrow().leadership(&group.id).map(|row| row.version);
+        let version = host.leased_view.borrow().leadership(&group.id).map(|row| row.version);
         if version != before.as_ref().map(|row| row.version) {
             info!(group = %group.id, "leader: another host replaces it");
-            group.moved.set(false);
+            group.in_failover.set(false);
             return;
         }
         let change = Move::begin(&host, &group, before, from, planned).await;
@@ -310,6 +310,6 @@
         }
         host.look.notify_one();
         monoio::time::sleep(LOOK_EVERY).await;
-        group.moved.set(false);
+        group.in_failover.set(false);
     });
 }
--- a/components/proxy/src/measure.rs
+++ b/components/proxy/src/measure.rs
@@ -30,7 +30,7 @@
 }
 
 /// Counters and histograms of one host.
-pub struct Measures {
+pub struct Metrics {
     registry: Registry,
     latency: Family<AccountLabel, Histogram, fn() -> Histogram>,
     outcomes: Family<OutcomeLabel, Counter>,
@@ -46,7 +46,7 @@
     pub unanswered: Counter,
 }
 
-impl Default for Measures {
+impl Default for Metrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("bergamottrack");
         let latency: Family<_, _, fn() -> Histogram> = Family::new_with_constructor(latencies);
@@ -85,9 +85,9 @@
     }
 }
 
-impl Measures {
+impl Metrics {
     /// Notes an answered statement.
-    pub fn answered(&self, account: &AccountId, outcome: &'static str, took: Duration) {
+    pub fn record_statement(&self, account: &AccountId, outcome: &'static str, took: Duration) {
         let label = AccountLabel { account: account.to_string() };
         self.latency.get_or_create(&label).observe(took.as_secs_f64());
         self.outcomes.get_or_create(&OutcomeLabel { outcome }).inc();
--- a/components/proxy/src/place.rs
+++ b/components/proxy/src/place.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     conn::{Broken, Conn, Turn},
-    group::{Need, Use},
+    group::{LeaderUse, Requirement},
     host::Host,
     job::{Job, Refused},
     placement,
@@ -35,7 +35,7 @@
     /// The position that its log must reach.
     pub after: Option<Point>,
     /// The right to use it, where it is the leader.
-    pub usage: Option<Use>,
+    pub usage: Option<LeaderUse>,
 }
 
 /// What is logged of a place that served nothing.
@@ -67,7 +67,7 @@
     /// The connection.
     pub conn: Conn,
     /// The right to use the leader, where it is one.
-    pub usage: Option<Use>,
+    pub usage: Option<LeaderUse>,
     /// The position asked for.
     pub after: Option<Point>,
     /// Whether its transaction has written.
@@ -77,14 +77,14 @@
 /// The places where a job may run, best first. Empty when there is none now.
 pub fn places(host: &Host, job: &Job) -> Vec<Place> {
     let now = host.now();
-    let need = match job.access {
-        Access::Write => Need::Leader,
-        Access::Read => job.group.need(job.currency, job.floor, now),
+    let requirement = match job.access {
+        Access::Write => Requirement::Leader,
+        Access::Read => job.group.requirement(job.currency, job.floor, now),
     };
     let leader = host.begin(&job.group).filter(|usage| leads_for(host, job, usage));
-    let after = match need {
-        Need::Log(point) => Some(point),
-        Need::Leader => None,
+    let after = match requirement {
+        Requirement::Log(point) => Some(point),
+        Requirement::Leader => None,
     };
     let Some(after) = after else {
         let place = leader.and_then(|usage| {
@@ -152,7 +152,7 @@
 }
 
 /// Whether the leader may run a job where it stands.
-fn leads_for(host: &Host, job: &Job, usage: &Use) -> bool {
+fn leads_for(host: &Host, job: &Job, usage: &LeaderUse) -> bool {
     let pool = host.server(&usage.server);
     pool.is_some_and(|pool| {
         !placement::is_forbidden(host, &pool) && placement::is_home(host, &pool, &job.homes)
@@ -252,16 +252,16 @@
     let asked = host.now();
     let pool = running.conn.pool().clone();
     pool.health.borrow_mut().begin(asked);
-    let given_up = async {
+    let epoch_ended = async {
         match &running.usage {
-            Some(usage) => usage.given_up().await,
+            Some(usage) => usage.epoch_ended().await,
             None => std::future::pending().await,
         }
     };
     // Its answer could not be passed on any more: said now, not when time is up.
     let answer = monoio::select! {
         answer = running.conn.exchange(within) => answer,
-        _ = given_up => {
+        _ = epoch_ended => {
             pool.health.borrow_mut().end(None, host.now());
             return Err(NoAnswer::Lost("the leader changed"));
         }
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -35,8 +35,8 @@
     if homes.is_anywhere() {
         return true;
     }
-    let held = host.held.borrow();
-    let member = held.view().members.get(carrier);
+    let leased_view = host.leased_view.borrow();
+    let member = leased_view.view().members.get(carrier);
     member.is_some_and(|member| homes.allow(region(host, &member.value.domain)))
 }
 
@@ -47,7 +47,7 @@
     pool: &pool::Pool,
     homes: &homes::Homes,
 ) -> Option<Rc<link::Link>> {
-    let link = host.settled_holder(pool).await?;
+    let link = host.connect_holder(pool).await?;
     may_carry(host, &link.host, homes).then_some(link)
 }
 
@@ -125,7 +125,7 @@
         return;
     }
     let (from, clock) = (from.map(tracing::field::display), after.clock());
-    let age_ms = host.age_of(clock).map(|age| age.as_millis() as u64);
+    let age_ms = host.store_age(clock).map(|age| age.as_millis() as u64);
     let is_known = |domain: &ids::FailureDomain| {
         host.pools.borrow().values().any(|pool| pool.listed.borrow().domain == *domain)
     };
@@ -136,7 +136,7 @@
     for (domain, version) in old.difference(&new) {
         info!(%domain, version, age_ms, from, "evacuation: taken back");
     }
-    host.measures.evacuated.set(new.len() as i64);
+    host.metrics.evacuated.set(new.len() as i64);
     let pools = host.pools.borrow();
     let evacuated = |pool: &&Rc<pool::Pool>| {
         new.iter().any(|(domain, _)| *domain == pool.listed.borrow().domain)
--- a/components/proxy/src/positions.rs
+++ b/components/proxy/src/positions.rs
@@ -56,7 +56,7 @@
 pub fn take_question(host: &Host, beat: &Heartbeat) {
     // The clock of an earlier process of this host began at another moment.
     if let Some(echo) = beat.echo.filter(|echo| echo.run == host.run) {
-        take(host, host.began + echo.clock, &beat.seen);
+        take(host, host.started + echo.clock, &beat.seen);
     }
 }
 
--- a/components/proxy/src/relay.rs
+++ b/components/proxy/src/relay.rs
@@ -135,7 +135,7 @@
         return Err(NotSent::Evacuated);
     }
     if let Some(work) = errand.work.filter(|_| !errand.opens) {
-        let resting = host.works.resting.borrow_mut().remove(&(from.clone(), work));
+        let resting = host.remote_transactions.resting.borrow_mut().remove(&(from.clone(), work));
         let resting = resting.ok_or(NotSent::Closed)?;
         let until = monoio::time::Instant::now() + errand.within();
         let permit = pool.go_on(until).await.map_err(conn::crowded)?;
@@ -214,7 +214,7 @@
     match open {
         Some(work) => {
             let resting = Resting { leased, since: host.now(), watch };
-            host.works.keep((from, work), resting);
+            host.remote_transactions.keep((from, work), resting);
         }
         None if leased.backend().is_clean(answer) => leased.give_back(),
         None => {}
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -30,7 +30,7 @@
     BootClock, caller, fleet, follow, gossip,
     host::{Host, Phase},
     lead,
-    measure::Measures,
+    measure::Metrics,
     silent,
 };
 
@@ -70,25 +70,25 @@
     monoio::spawn(http::serve(settings.metrics, metrics(state.clone())));
     let client = Client::new(settings.store);
     let (run, clock) = (rand::random(), Rc::new(BootClock::new()));
-    let entered = monoio::select! {
-        entered = fleet::enter(&settings, &*clock, &client) => entered,
+    let membership = monoio::select! {
+        membership = fleet::ensure_member(&settings, &*clock, &client) => membership,
         // Counted in perhaps, and without any use of a leader.
         _ = raised(&signals.stop) => return fleet::leave(&settings).await,
     };
-    let host = new_host(settings, run, clock, &entered.secret);
+    let host = new_host(settings, run, clock, &membership.secret);
     *state.borrow_mut() = Some(host.clone());
     info!(host = %host.settings.host, run = host.run, "host: started");
-    host.store_clock.borrow_mut().note(entered.asked, entered.view.clock);
-    fleet::learn(&host, entered.view, entered.asked);
+    host.store_clock.borrow_mut().note(membership.requested, membership.view.clock);
+    fleet::apply_view(&host, membership.view, membership.requested);
     monoio::spawn(accept_peers(peers, host.clone()));
     monoio::spawn(fleet::follow(host.clone()));
     monoio::spawn(gossip::send_heartbeats(host.clone()));
-    monoio::spawn(gossip::ask_hosts(host.clone()));
+    monoio::spawn(gossip::poll_peers(host.clone()));
     monoio::spawn(silent::take_out_silent(host.clone()));
     monoio::spawn(follow::configuration(host.clone()));
     monoio::spawn(follow::servers(host.clone()));
     monoio::spawn(lead::watch(host.clone()));
-    monoio::spawn(host.clone().trim());
+    monoio::spawn(host.clone().maintain_pools());
     monoio::select! {
         _ = accept_callers(callers, host.clone()) => {}
         _ = watch_signals(&host, &signals, reread) => {}
@@ -103,23 +103,23 @@
         peer: settings.peers,
     };
     let secret = Secret::new(secret.as_bytes());
-    let began = clock.now();
+    let started = clock.now();
     let routes = contract::Routes::new(&[]);
     let mesh = Mesh::with_pace(me, secret, clock.clone(), routes, fleet::PACE);
-    let demand = Demand::new(settings.tolerance, run, began);
+    let demand = Demand::new(settings.tolerance, run, started);
     Rc::new(Host {
-        held: RefCell::new(Held::new(settings.host.clone(), fleet::place(&settings))),
+        leased_view: RefCell::new(Held::new(settings.host.clone(), fleet::place(&settings))),
         settings,
         clock,
         run,
-        began,
-        clocks: RefCell::default(),
+        started,
+        peer_clocks: RefCell::default(),
         plan: RefCell::default(),
-        by_rate: RefCell::new(Rc::new([])),
-        shelf: RefCell::default(),
+        accounts_by_rate: RefCell::new(Rc::new([])),
+        documents: RefCell::default(),
         fetch: RefCell::default(),
-        fetches: Cell::default(),
-        unreadable: Cell::default(),
+        is_fetching: Cell::default(),
+        unreadable_version: Cell::default(),
         newest: Cell::default(),
         store_clock: RefCell::default(),
         servers_clock: Cell::default(),
@@ -128,20 +128,20 @@
         servers_stamp: Cell::default(),
         neighbours: RefCell::default(),
         hub_majority: Cell::default(),
-        asked: RefCell::default(),
-        heard: RefCell::default(),
+        requested: RefCell::default(),
+        last_contact: RefCell::default(),
         pools: RefCell::default(),
         by_group: RefCell::default(),
         holders_stamp: Cell::default(),
         has_homes: Cell::default(),
         groups: RefCell::default(),
         mesh,
-        works: Default::default(),
-        admits: Cell::default(),
+        remote_transactions: Default::default(),
+        last_admission: Cell::default(),
         demand: RefCell::new(demand),
         phase: watch::Sender::new(Phase::Serving),
         look: Notify::new(),
-        measures: Measures::default(),
+        metrics: Metrics::default(),
         sessions: Cell::default(),
     })
 }
@@ -206,7 +206,7 @@
 
 fn metrics(state: Rc<RefCell<Option<Rc<Host>>>>) -> Rc<Handler> {
     Rc::new(move |_| {
-        let text = state.borrow().as_ref().map(|host| host.measures.encode());
+        let text = state.borrow().as_ref().map(|host| host.metrics.encode());
         Box::pin(async move { Reply::text(StatusCode::OK, text.unwrap_or_default()) })
     })
 }
@@ -239,13 +239,13 @@
 /// Serves on while callers are still brought here, then closes sessions between
 /// transactions and ends with the last one, or before the process is killed.
 async fn stop(host: &Rc<Host>) {
-    let began = Instant::now();
+    let started = Instant::now();
     let end = host.settings.grace.saturating_sub(END_BEFORE);
     info!(sessions = host.sessions.get(), "host: stopping");
     host.phase.send_replace(Phase::Leaving);
     monoio::time::sleep(STILL_BROUGHT.min(end / 2)).await;
     host.phase.send_replace(Phase::Closing);
-    while host.sessions.get() + host.works.count() > 0 && began.elapsed() < end {
+    while host.sessions.get() + host.remote_transactions.count() > 0 && started.elapsed() < end {
         monoio::time::sleep(LOOK_EVERY).await;
     }
     let cut = host.sessions.get();
--- a/components/proxy/src/silent.rs
+++ b/components/proxy/src/silent.rs
@@ -26,11 +26,11 @@
         monoio::time::sleep(Duration::from_secs(1)).await;
         let now = host.now();
         hear_rows(&host, now);
-        let was_alone = std::mem::replace(&mut alone, !host.hears_majority());
+        let was_alone = std::mem::replace(&mut alone, !host.reaches_majority());
         if was_alone && !alone {
             // It was this host that could not be heard. Judged by what it missed, hosts that
             // were well all the while would be taken out when the cut has healed.
-            host.heard.borrow_mut().values_mut().for_each(|(at, _)| *at = now);
+            host.last_contact.borrow_mut().values_mut().for_each(|(at, _)| *at = now);
         }
         if !host.leased() {
             continue;
@@ -46,13 +46,13 @@
 
 /// A host that wrote its row lately lives, though it is not heard.
 fn hear_rows(host: &Host, now: Instant) {
-    let held = host.held.borrow();
-    let mut heard = host.heard.borrow_mut();
-    heard.retain(|id, _| held.view().members.contains_key(id));
-    for (id, row) in &held.view().members {
+    let leased_view = host.leased_view.borrow();
+    let mut last_contact = host.last_contact.borrow_mut();
+    last_contact.retain(|id, _| leased_view.view().members.contains_key(id));
+    for (id, row) in &leased_view.view().members {
         let version = Some(row.version);
-        if heard.get(id).is_none_or(|(_, before)| *before != version) {
-            heard.insert(id.clone(), (now, version));
+        if last_contact.get(id).is_none_or(|(_, before)| *before != version) {
+            last_contact.insert(id.clone(), (now, version));
         }
     }
 }
@@ -63,12 +63,12 @@
     if !host.is_hub() {
         return None;
     }
-    let heard = host.heard.borrow();
+    let last_contact = host.last_contact.borrow();
     let neighbours = host.neighbours.borrow();
-    let held = host.held.borrow();
-    let view = held.view();
+    let leased_view = host.leased_view.borrow();
+    let view = leased_view.view();
     let silent = |id: &HostId| {
-        heard.get(id).is_some_and(|(at, _)| now.saturating_duration_since(*at) > SILENT_FOR)
+        last_contact.get(id).is_some_and(|(at, _)| now.saturating_duration_since(*at) > SILENT_FOR)
     };
     for (id, row) in &view.members {
         let expect = vec![(fleet::member_key(id), row.version)];
--- a/components/proxy/src/talk.rs
+++ b/components/proxy/src/talk.rs
@@ -323,7 +323,7 @@
         if !self.host.may_serve() {
             return Err(Refused::busy("this host cannot show that its configuration is in force"));
         }
-        let (route, account) = self.host.find(&self.database, &self.key);
+        let (route, account) = self.host.resolve(&self.database, &self.key);
         let Some(route) = route else {
             return Err(Refused::of(Failure::NoDatabase, "there is no such database"));
         };
@@ -405,7 +405,7 @@
             Err(refused) if refused.failure == Failure::Uncertain => ("uncertain", 0, refused.why),
             Err(refused) => ("refused", 0, refused.why),
         };
-        self.host.measures.answered(&job.account, outcome, took);
+        self.host.metrics.record_statement(&job.account, outcome, took);
         let point = answer.as_ref().ok().and_then(|(answer, _)| answer.point);
         info!(
             id = %request.id, verb, account = %job.account, group = %job.group.id,
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -49,7 +49,7 @@
 /// Admits a request here, if the account's rate allows it.
 pub fn admit(host: &Host, account: &AccountId, rate: Rate, burst: Burst) -> Ruling {
     let now = host.now();
-    host.admits.set(Some(now));
+    host.last_admission.set(Some(now));
     host.demand.borrow_mut().take(account, rate, burst, now)
 }
 
@@ -74,7 +74,7 @@
 /// admitted some in place of one.
 pub fn reports(host: &Host) -> bool {
     let lately = |at| host.now().saturating_duration_since(at) < REPORTED_FOR;
-    host.is_hub() || host.admits.get().is_some_and(lately)
+    host.is_hub() || host.last_admission.get().is_some_and(lately)
 }
 
 /// Frees the share of candidates whose process is gone, so that this host can use the whole
