--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use tracing::{info, warn};
 
-use crate::{follow, host::Host, packed};
+use crate::{compression, follow, host::Host};
 
 /// Begins to fetch a configuration over that link, or goes on with one that was begun;
 /// nothing while one is being fetched.
@@ -77,7 +77,7 @@
 
 /// Puts a configuration in force that has been fetched; false when it cannot be read.
 fn adopt(host: &Host, packed: Bytes) -> bool {
-    match packed::unpack(&packed) {
+    match compression::decompress(&packed) {
         Ok(raw) => follow::adopt(host, &raw, |_| packed),
         Err(error) => {
             warn!(error = %format_args!("{error:#}"), "configuration: cannot be decompressed");
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use tracing::{debug, info, warn};
 
-use crate::{host::Host, packed, placement};
+use crate::{compression, host::Host, placement};
 
 /// How long an answer of the store may take to begin, beside what it was asked to wait.
 /// Sixty times the usual one, as on its slowest days, is 250 ms.
@@ -115,7 +115,7 @@
         let plans = rows.rows.iter().filter(|row| &*row.key == configuration::KEY && !row.removed);
         let mut readable = true;
         for row in plans {
-            readable &= adopt(&host, &row.value, packed::pack);
+            readable &= adopt(&host, &row.value, compression::compress);
         }
         if readable {
             host.documents.borrow_mut().confirm(rows.clock);
@@ -127,12 +127,12 @@
 }
 
 /// Reads a configuration and puts it in force, if it is newer; false when it cannot be
-/// read. `pack` makes of it what other hosts are told.
-pub fn adopt(host: &Host, raw: &[u8], pack: impl FnOnce(&[u8]) -> Bytes) -> bool {
+/// read. `compress` makes of it what other hosts are told.
+pub fn adopt(host: &Host, raw: &[u8], compress: impl FnOnce(&[u8]) -> Bytes) -> bool {
     match configuration::decode(raw) {
         Ok(plan) if host.plan().is_some_and(|known| plan.version <= known.version) => true,
         Ok(plan) => {
-            host.set_plan(plan, pack(raw));
+            host.set_plan(plan, compress(raw));
             true
         }
         Err(error) => {
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -31,7 +31,7 @@
 
 use crate::{
     group::{Group, LeaderUse},
-    measure::Metrics,
+    metrics::Metrics,
     placement,
     pool::{self, Pool},
     relay::Works,
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -30,7 +30,7 @@
     BootClock, caller, fleet, follow, gossip,
     host::{Host, Phase},
     lead,
-    measure::Metrics,
+    metrics::Metrics,
     silent,
 };
 
--- a/components/proxy/tests/packed.rs
+++ b/components/proxy/tests/compression.rs
@@ -1,6 +1,6 @@
 //! Configurations as they travel between hosts.
 
-use bergamottrack_proxy::packed::{pack, unpack};
+use bergamottrack_proxy::compression::{compress, decompress};
 use serde_json::json;
 
 /// As many databases as one host tells its whole failure domain of, with names drawn.
@@ -19,27 +19,27 @@
 #[test]
 fn what_is_packed_is_a_sixth_at_most_and_comes_out_whole() {
     let raw = configuration(4000);
-    let packed = pack(&raw);
-    assert!(packed.len() < raw.len() / 6, "{} of {}", packed.len(), raw.len());
-    assert_eq!(unpack(&packed).unwrap(), raw);
-    assert_eq!(unpack(&pack(b"")).unwrap(), b"");
+    let compressed = compress(&raw);
+    assert!(compressed.len() < raw.len() / 6, "{} of {}", compressed.len(), raw.len());
+    assert_eq!(decompress(&compressed).unwrap(), raw);
+    assert_eq!(decompress(&compress(b"")).unwrap(), b"");
 }
 
 #[test]
 fn damaged_bytes_are_refused() {
-    let packed = pack(&configuration(100));
-    assert!(unpack(&packed[..packed.len() / 2]).is_err());
-    let mut damaged = packed.to_vec();
+    let compressed = compress(&configuration(100));
+    assert!(decompress(&compressed[..compressed.len() / 2]).is_err());
+    let mut damaged = compressed.to_vec();
     let middle = damaged.len() / 2;
     damaged[middle] ^= 0xff;
-    assert!(unpack(&damaged).is_err());
-    assert!(unpack(b"{\"version\":7}").is_err());
+    assert!(decompress(&damaged).is_err());
+    assert!(decompress(b"{\"version\":7}").is_err());
 }
 
 /// A few hundred KB that would take all of a small host's memory.
 #[test]
 fn what_would_fill_the_memory_is_refused() {
-    let packed = pack(&vec![b' '; (64 << 20) + 1]);
-    assert!(packed.len() < 1 << 20);
-    assert!(unpack(&packed).is_err());
+    let compressed = compress(&vec![b' '; (64 << 20) + 1]);
+    assert!(compressed.len() < 1 << 20);
+    assert!(decompress(&compressed).is_err());
 }
