--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -102,7 +102,7 @@
 }
 
 fn newest(host: &Host, asker: Known) -> Newest {
-    let known = host.known();
+    let known = host.versions();
     let view = || host.leased_view.borrow().changes(asker.view_version);
     let servers = known.servers.0 != asker.servers.0 && known.servers.1 > asker.servers.1;
     Newest {
@@ -120,7 +120,7 @@
 
 fn own_heartbeat(host: &Host) -> Heartbeat {
     let asked = tokens::reports(host).then(|| host.demand.borrow().report(host.now()));
-    let (known, majority) = (host.known(), host.reaches_majority());
+    let (known, majority) = (host.versions(), host.reaches_majority());
     let evacuations = evacuations(host);
     Heartbeat { asked, known, majority, evacuations, seen: Vec::new(), clock: None, echo: None }
 }
@@ -155,7 +155,7 @@
         placement::adopt(host, id, evacuations);
     }
     renew(host, beat.known);
-    let (own, known) = (host.known(), beat.known);
+    let (own, known) = (host.versions(), beat.known);
     let Some(link) = host.mesh.link(id) else { return };
     fetch::begin(host, &link, known.plan.0);
     let news = (known.view.0 != own.view.0 && known.view.1 > own.view.1)
@@ -261,7 +261,7 @@
 }
 
 async fn ask_newest(host: &Rc<Host>, link: &Rc<Link>) {
-    let mut known = host.known();
+    let mut known = host.versions();
     loop {
         let asked = host.now();
         let answer = link.ask(Question::Newest(known), NEWS_WITHIN).await;
@@ -285,7 +285,7 @@
             return;
         }
         info!(from = %link.host, "fleet: changes of the view do not fit, asking for all of it");
-        known = Known { view_version: 0, ..host.known() };
+        known = Known { view_version: 0, ..host.versions() };
     }
 }
 
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -1,4 +1,4 @@
-//! All that a host knows, shared by its tasks.
+//! State of a host, shared by its tasks.
 
 use std::{
     cell::{Cell, RefCell},
@@ -37,120 +37,121 @@
     relay::Works,
 };
 
-/// How long a hub's word that it hears most of the fleet counts.
-const HUB_WORD: Duration = Duration::from_millis(2000);
+/// Validity of the hub's last report that it has contact with a majority of the fleet.
+const HUB_MAJORITY_TTL: Duration = Duration::from_millis(2000);
 
-/// How long a holder of connections may owe an answer and say nothing before others
-/// are asked: hosts that speak all the time do so every 400 ms, and a slow statement
-/// takes 200 ms.
-const HOLDER_WITHIN: Duration = Duration::from_millis(550);
+/// Silence with an answer outstanding after which a connection holder is passed over for
+/// the next one. Hosts with permanent links send a heartbeat every 400 ms, and a slow
+/// statement takes 200 ms.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(550);
 
-/// How long the first attempt of a link to a holder is waited for: several ways there and
-/// back, and what a busy host needs.
-const LINK_WITHIN: Duration = Duration::from_millis(50);
+/// Timeout for the first connection attempt of a link to a holder: several round trips
+/// plus the processing time of a busy host.
+const LINK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Reports of when a server stops being cold that differ by less are taken for the same.
-const SAME_COLD: Duration = Duration::from_millis(1000);
+/// Two reported ends of a server's cold phase that differ by less count as equal.
+const COLD_TOLERANCE: Duration = Duration::from_millis(1000);
 
-/// How much longer a server counts as cold than it reported: the difference between two
-/// reports that are taken for the same, and what the store's clock is uncertain.
+/// Added to the reported end of a server's cold phase: [`COLD_TOLERANCE`] plus the
+/// uncertainty of the store's clock.
 const COLD_MARGIN: Duration = Duration::from_millis(1100);
 
-/// How far a stop has come.
+/// Shutdown phase of a host, in order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// Not at all.
+    /// No shutdown in progress.
     Serving,
-    /// Callers are served, but the platform is told to bring no new ones.
+    /// Callers are served, but readiness is off so that the platform routes no new ones here.
     Leaving,
-    /// Sessions without a transaction are closed.
+    /// Sessions are closed as soon as they have no open transaction.
     Closing,
 }
 
-/// All that a host knows.
+/// Shared state of a host.
 pub struct Host {
-    /// What it was told at its start.
+    /// Settings given at start.
     pub settings: Settings,
-    /// The steady clock, suspended time included.
+    /// Monotonic clock that includes suspended time.
     pub clock: Rc<dyn Clock>,
-    /// When it started; clocks that are sent to other hosts count from it.
+    /// Start of the process; origin of the clock values sent to other hosts.
     pub started: Instant,
-    /// The newest clock of each host that this one was sent, and when it was received.
+    /// Latest clock value received from each host, and the local time of its arrival.
     pub peer_clocks: RefCell<HashMap<HostId, (Stamp, Instant)>>,
-    /// Tells this run of the host from others.
+    /// Random id of this process; differs after every restart of the host.
     pub run: u64,
-    /// The configuration in force.
+    /// Active configuration.
     pub plan: RefCell<Option<Rc<Plan>>>,
-    /// Its accounts, those of the highest rate first.
+    /// Accounts of the active configuration, by descending rate.
     pub accounts_by_rate: RefCell<Rc<[AccountId]>>,
-    /// Configurations as they are told to other hosts; the one in force is the newest.
+    /// Compressed configurations served to other hosts; the newest is the active one.
     pub documents: RefCell<Shelf>,
-    /// A configuration of which a part has been fetched.
+    /// Partly fetched configuration, kept for resuming.
     pub fetch: RefCell<Option<Fetch>>,
-    /// Whether a configuration is being fetched now.
+    /// Whether a fetch of a configuration is running.
     pub is_fetching: Cell<bool>,
-    /// The newest configuration that another host could read and this one could not.
+    /// Newest configuration version that another host serves but this host cannot decode.
     pub unreadable_version: Cell<Revision>,
-    /// The newest configuration that any host has told of.
+    /// Newest configuration version reported by any host.
     pub newest: Cell<Revision>,
-    /// The store's clock.
+    /// Mapping between the store's clock and the local clock.
     pub store_clock: RefCell<StoreClock>,
-    /// The store's clock when the list of servers was the newest for certain.
+    /// Store time at which the server list was last confirmed to be current.
     pub servers_clock: Cell<Duration>,
     /// Evacuated failure domains.
     pub evacuations: RefCell<evacuation::Set>,
-    /// Servers whose entry has disappeared, and a number for each time it did.
+    /// Servers whose entry has disappeared, each with a random number for that occurrence.
     pub missing: RefCell<HashMap<ServerId, u64>>,
-    /// Stamp of the list of servers.
+    /// Hash of the server list.
     pub servers_stamp: Cell<u64>,
-    /// Which hosts this one speaks to.
+    /// Hosts that this host keeps links to.
     pub neighbours: RefCell<Neighbours>,
-    /// Whether this host's hub hears most of the fleet, and when it said so.
+    /// Local time of the hub's last report that it has contact with a majority.
     pub hub_majority: Cell<Option<Instant>>,
-    /// Hosts that are being asked for what they know, and since when.
+    /// Hosts with an outstanding request for newer state, and its start.
     pub requested: RefCell<HashMap<HostId, Instant>>,
-    /// When each host was heard last, and the version of its row then.
+    /// Time of the last message from each host, and the version of its row at that time.
     pub last_contact: RefCell<HashMap<HostId, (Instant, Option<u64>)>>,
-    /// Backend servers by name.
+    /// Connection pools of the backend servers, by server.
     pub pools: RefCell<HashMap<ServerId, Rc<Pool>>>,
-    /// The same by group, each group's in the order of their names; none until they are
-    /// asked for after a change of `pools`.
+    /// Pools by group, each group's sorted by server; `None` after a change of `pools`,
+    /// recomputed on the next access.
     pub by_group: RefCell<Option<HashMap<GroupId, Vec<Rc<Pool>>>>>,
-    /// Stamp of the members by which the servers' holders were worked out.
+    /// Hash of the members from which the servers' holders were last computed; 0 forces
+    /// recomputation.
     pub holders_stamp: Cell<u64>,
-    /// Whether any database or account of the configuration has homes.
+    /// Whether any database or account of the active configuration has homes.
     pub has_homes: Cell<bool>,
-    /// Groups by name.
+    /// Database groups by id.
     pub groups: RefCell<HashMap<GroupId, Rc<Group>>>,
-    /// The fleet and who leads.
+    /// Newest view of the fleet and of the group leaders, with the lease on it.
     pub leased_view: RefCell<Held>,
-    /// Links to the other hosts.
+    /// Links to other hosts.
     pub mesh: Rc<Mesh>,
-    /// Transactions of other hosts on connections of this one.
+    /// Transactions of other hosts on connections that this host holds.
     pub remote_transactions: Works,
-    /// When this host last admitted a request for its failure domain.
+    /// Time at which this host last admitted a request on behalf of its failure domain.
     pub last_admission: Cell<Option<Instant>>,
-    /// Parts of the accounts' rates.
+    /// Rate limiting state of all accounts.
     pub demand: RefCell<Demand>,
-    /// How far a stop has come.
+    /// Shutdown phase.
     pub phase: watch::Sender<Phase>,
-    /// Wakes the task that reads the view.
+    /// Wakes the task that reads the fleet view.
     pub look: Notify,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Sessions open.
+    /// Number of open sessions.
     pub sessions: Cell<usize>,
 }
 
-fn grouped(pools: &HashMap<ServerId, Rc<Pool>>) -> HashMap<GroupId, Vec<Rc<Pool>>> {
-    let mut grouped: HashMap<GroupId, Vec<Rc<Pool>>> = HashMap::new();
+fn pools_by_group(pools: &HashMap<ServerId, Rc<Pool>>) -> HashMap<GroupId, Vec<Rc<Pool>>> {
+    let mut by_group: HashMap<GroupId, Vec<Rc<Pool>>> = HashMap::new();
     for pool in pools.values() {
-        grouped.entry(pool.listed.borrow().group.clone()).or_default().push(pool.clone());
+        by_group.entry(pool.listed.borrow().group.clone()).or_default().push(pool.clone());
     }
-    for servers in grouped.values_mut() {
+    for servers in by_group.values_mut() {
         servers.sort_by(|a, b| a.listed.borrow().id.cmp(&b.listed.borrow().id));
     }
-    grouped
+    by_group
 }
 
 fn accounts_by_rate(plan: &Plan) -> Rc<[AccountId]> {
@@ -160,33 +161,33 @@
 }
 
 impl Host {
-    /// Now, by the host's clock.
+    /// Returns the current time of the host's clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub fn plan(&self) -> Option<Rc<Plan>> {
         self.plan.borrow().clone()
     }
 
-    /// Puts a configuration in force that is newer than the one before. `packed` is what
-    /// other hosts are told.
-    pub fn set_plan(&self, plan: Plan, packed: Bytes) {
+    /// Activates a configuration, which must be newer than the active one. `compressed` is
+    /// the document served to other hosts.
+    pub fn set_plan(&self, plan: Plan, compressed: Bytes) {
         let known = self.plan().map(|plan| plan.version);
         info!(
             version = plan.version.0,
             before = known.map(|version| version.0),
             routes = plan.routes.len(),
             keys = plan.keys.len(),
-            packed = packed.len(),
-            "configuration: in force"
+            packed = compressed.len(),
+            "configuration: activated"
         );
         let now = self.now();
         let mut demand = self.demand.borrow_mut();
         for account in plan.accounts() {
             let (id, rate, burst) = (&account.id, account.rate, account.burst);
-            // What the first configuration names may have been used before this host started.
+            // Accounts of the first configuration may have been in use before this host started.
             if known.is_some() {
                 demand.create(id, rate, burst, now);
             } else {
@@ -196,22 +197,22 @@
         drop(demand);
         *self.accounts_by_rate.borrow_mut() = accounts_by_rate(&plan);
         self.has_homes.set(plan.has_homes());
-        self.documents.borrow_mut().add(plan.version, packed);
+        self.documents.borrow_mut().add(plan.version, compressed);
         *self.plan.borrow_mut() = Some(Rc::new(plan));
         self.refresh();
     }
 
-    /// The version of the configuration in force.
+    /// Returns the version of the active configuration; 0 without one.
     pub fn version(&self) -> Revision {
         self.plan().map(|plan| plan.version).unwrap_or_default()
     }
 
-    /// How long ago the configuration was the newest for certain.
+    /// Returns the time since the active configuration was last confirmed to be the newest.
     pub fn plan_age(&self) -> Option<Duration> {
         self.store_age(self.documents.borrow().confirmed())
     }
 
-    /// Whether callers may be served by what is known of the configuration.
+    /// Returns whether the active configuration is current enough to serve callers.
     pub fn may_serve(&self) -> bool {
         let standing = Standing {
             age: self.plan_age(),
@@ -222,49 +223,52 @@
         self.evacuations.borrow().is_known() && standing.may_serve(Bounds { apply, strict })
     }
 
-    /// Whether most hosts, this one included, are heard; by word of the hub where
-    /// this host speaks to no others.
+    /// Returns whether this host has contact with a majority of the hosts, itself included.
+    ///
+    /// A host that is not a hub relies on its hub's report.
     pub fn reaches_majority(&self) -> bool {
         if !self.is_hub() {
-            let said = self.hub_majority.get();
-            return said.is_some_and(|at| self.now().saturating_duration_since(at) < HUB_WORD);
+            let reported = self.hub_majority.get();
+            return reported
+                .is_some_and(|at| self.now().saturating_duration_since(at) < HUB_MAJORITY_TTL);
         }
         let links = self.mesh.links();
         let up = links.iter().filter(|link| link.is_up()).count() + 1;
         2 * up > links.len() + 1
     }
 
-    /// The hub of this host's failure domain.
+    /// Returns the hub of this host's failure domain.
     pub fn hub(&self) -> HostId {
         let is_up = |id: &HostId| self.mesh.link(id).is_some_and(|link| link.is_up());
         self.neighbours.borrow().hub(&self.settings.host, is_up)
     }
 
-    /// Whether this host reads the store for the others of its failure domain. One
-    /// that is no candidate stands alone while it reaches none of them; it reads the
-    /// store only when what it knows has grown old.
+    /// Returns whether this host reads the store on behalf of its failure domain.
+    ///
+    /// A host that is no hub candidate and reaches no candidate is its own hub, but reads the
+    /// store only when its state has become old.
     pub fn reads_store(&self) -> bool {
         self.is_hub_candidate() && self.is_own_hub()
     }
 
-    /// Whether no host goes before this one as hub of its failure domain.
+    /// Returns whether this host is the hub of its failure domain.
     fn is_own_hub(&self) -> bool {
         self.hub() == self.settings.host
     }
 
-    /// Whether this host may become the hub of its failure domain.
+    /// Returns whether this host may become the hub of its failure domain.
     pub fn is_hub_candidate(&self) -> bool {
         let neighbours = self.neighbours.borrow();
         neighbours.mesh || neighbours.candidates.contains(&self.settings.host)
     }
 
-    /// Whether this host speaks to hosts of other failure domains.
+    /// Returns whether this host exchanges heartbeats with other failure domains.
     pub fn is_hub(&self) -> bool {
         self.neighbours.borrow().mesh || self.is_own_hub()
     }
 
-    /// Which versions this host knows.
-    pub fn known(&self) -> Known {
+    /// Returns the versions of the state that this host has, and when each was current.
+    pub fn versions(&self) -> Known {
         let leased_view = self.leased_view.borrow();
         Known {
             plan: (self.version(), self.documents.borrow().confirmed()),
@@ -274,22 +278,23 @@
         }
     }
 
-    /// How long ago what was the newest when the store's clock showed `clock` was so.
+    /// Returns an upper bound of the time elapsed since the store's clock showed `clock`;
+    /// `None` while the store's clock is unknown.
     pub fn store_age(&self, clock: Duration) -> Option<Duration> {
-        let seen = self.store_clock.borrow().local(clock)?;
-        Some(self.now().saturating_duration_since(seen))
+        let local = self.store_clock.borrow().local(clock)?;
+        Some(self.now().saturating_duration_since(local))
     }
 
-    /// The list of servers, without those whose entry is missing.
+    /// Returns the server list without servers whose entry is missing, sorted by id.
     pub fn listed(&self) -> Vec<Listed> {
         let (pools, missing) = (self.pools.borrow(), self.missing.borrow());
-        let there = pools.iter().filter(|(id, _)| !missing.contains_key(*id));
-        let mut listed: Vec<_> = there.map(|(_, pool)| pool.listed.borrow().clone()).collect();
+        let present = pools.iter().filter(|(id, _)| !missing.contains_key(*id));
+        let mut listed: Vec<_> = present.map(|(_, pool)| pool.listed.borrow().clone()).collect();
         listed.sort_by(|a, b| a.id.cmp(&b.id));
         listed
     }
 
-    /// Notes that the list of servers has changed.
+    /// Recomputes the hash of the server list after a change.
     pub fn update_servers_stamp(&self) {
         let mut hash = DefaultHasher::new();
         for listed in self.listed() {
@@ -300,7 +305,8 @@
         self.servers_stamp.set(hash.finish());
     }
 
-    /// The database's route and the caller's account; `None` for a public one.
+    /// Returns the database's route and the account of the caller's key, each `None` if
+    /// unknown. A public database needs no account.
     pub fn resolve(&self, database: &str, key: &str) -> (Option<Rc<Route>>, Option<Rc<Account>>) {
         match self.plan() {
             Some(plan) => (plan.routes.get(database).cloned(), plan.keys.get(key).cloned()),
@@ -308,46 +314,46 @@
         }
     }
 
-    /// The group of that name.
+    /// Returns the group, creating its state on first use.
     pub fn group(&self, id: &GroupId) -> Rc<Group> {
         let mut groups = self.groups.borrow_mut();
         let new = || Group::new(id.clone(), self.now());
         groups.entry(id.clone()).or_insert_with(new).clone()
     }
 
-    /// The servers of a group.
+    /// Returns the pools of a group's servers, sorted by server.
     pub fn servers(&self, group: &GroupId) -> Vec<Rc<Pool>> {
         let mut by_group = self.by_group.borrow_mut();
-        let by_group = by_group.get_or_insert_with(|| grouped(&self.pools.borrow()));
+        let by_group = by_group.get_or_insert_with(|| pools_by_group(&self.pools.borrow()));
         by_group.get(group).cloned().unwrap_or_default()
     }
 
-    /// The server of that name.
+    /// Returns the pool of a server.
     pub fn server(&self, id: &ServerId) -> Option<Rc<Pool>> {
         self.pools.borrow().get(id).cloned()
     }
 
-    /// Whether leaders may be used now.
+    /// Returns whether the lease under which leaders may be used is valid.
     pub fn leased(&self) -> bool {
         self.leased_view.borrow().leased(self.now())
     }
 
-    /// Begins to use a group's leader, if that is allowed.
+    /// Begins to use a group's leader; `None` without a valid lease or a leader.
     pub fn begin(&self, group: &Rc<Group>) -> Option<LeaderUse> {
         if self.leased() { group.begin() } else { None }
     }
 
-    /// Whether a leader that is in use still leads for certain.
+    /// Returns whether the leader in use is still certain to lead.
     pub fn holds(&self, usage: &LeaderUse) -> bool {
         usage.holds() && self.leased()
     }
 
-    /// Takes over what the view, the list of servers and the configuration say now.
+    /// Applies the current view, server list and configuration to pools and groups.
     pub fn refresh(&self) {
         let now = self.now();
         let hosts = self.leased_view.borrow().view().members.len().max(1);
         let plan = self.plan();
-        self.order_holders();
+        self.update_holders();
         for pool in self.pools.borrow().values() {
             let group = pool.listed.borrow().group.clone();
             let limits = plan.as_ref().and_then(|plan| plan.groups.get(&group).copied());
@@ -377,10 +383,10 @@
         }
     }
 
-    /// Works out who holds the connections to each server, where that may have changed.
+    /// Recomputes the connection holders of each server if they may have changed.
     ///
-    /// Guards against a cost of hosts times servers for each change of a group's leader.
-    fn order_holders(&self) {
+    /// Recomputing them on every change of a leader would cost hosts times servers each time.
+    fn update_holders(&self) {
         let leased_view = self.leased_view.borrow();
         let members = holders::stamp(leased_view.view());
         let changed = self.holders_stamp.replace(members) != members;
@@ -397,8 +403,8 @@
         }
     }
 
-    /// The leader of a group by the view; where it has no say, the one server
-    /// that lists itself as primary.
+    /// Returns the leader of a group by the view; for a group without a row in the view, the
+    /// server that lists itself as primary, if it is the only one.
     fn listed_leader(&self, group: &GroupId) -> Option<ServerId> {
         let leased_view = self.leased_view.borrow();
         leased_view.age(self.now())?;
@@ -415,30 +421,31 @@
         }
     }
 
-    /// Takes a server's own entry.
+    /// Adds or updates a server from its own entry in the server list.
     pub fn upsert_server(&self, mut listed: Listed) {
         self.missing.borrow_mut().remove(&listed.id);
         let mut pools = self.pools.borrow_mut();
         let now = self.now();
         let known = pools.get(&listed.id).map(|pool| pool.listed.borrow().clone());
-        let moved =
+        let is_moved =
             |known: &Listed| (&known.group, &known.domain) != (&listed.group, &listed.domain);
-        if known.as_ref().is_none_or(moved) {
+        if known.as_ref().is_none_or(is_moved) {
             *self.by_group.borrow_mut() = None;
             self.holders_stamp.set(0);
         }
         match pools.get(&listed.id) {
             Some(pool) => {
                 let known = pool.listed.borrow().cold;
-                // Each report counts from another moment; all hosts are told of a change.
-                if !known.is_zero() && listed.cold.abs_diff(known) < SAME_COLD {
+                // Each report is relative to its own time, so small differences are no change:
+                // every change is propagated to all hosts.
+                if !known.is_zero() && listed.cold.abs_diff(known) < COLD_TOLERANCE {
                     listed.cold = known;
                 }
                 let before = pool.listed.replace(listed.clone());
                 if before != listed {
                     info!(
                         server = %listed.id, group = %listed.group, address = %listed.address,
-                        role = ?listed.role, leaving = listed.leaving, "servers: changed"
+                        role = ?listed.role, leaving = listed.leaving, "servers: entry changed"
                     );
                 }
                 if before.born != listed.born || before.address != listed.address {
@@ -450,7 +457,7 @@
             None => {
                 info!(
                     server = %listed.id, group = %listed.group, address = %listed.address,
-                    role = ?listed.role, leaving = listed.leaving, "servers: new"
+                    role = ?listed.role, leaving = listed.leaving, "servers: server added"
                 );
                 let pool = Pool::new(listed.clone(), now);
                 pool.warmth.borrow_mut().report(self.cold_until(&listed), true);
@@ -459,23 +466,25 @@
         }
     }
 
-    /// Until when a server is cold by its entry.
+    /// Returns the end of a server's cold phase by its entry; `None` if it is warm or the
+    /// store's clock is unknown.
     fn cold_until(&self, listed: &Listed) -> Option<Instant> {
         let cold = Some(listed.cold).filter(|cold| !cold.is_zero())?;
         Some(self.store_clock.borrow().local(cold)? + COLD_MARGIN)
     }
 
-    /// Takes a server off the list.
+    /// Removes a server from the list and closes its idle connections.
     pub fn remove_server(&self, id: &ServerId) {
         self.missing.borrow_mut().remove(id);
         *self.by_group.borrow_mut() = None;
         if let Some(pool) = self.pools.borrow_mut().remove(id) {
-            info!(server = %id, "servers: gone");
+            info!(server = %id, "servers: server removed");
             pool.drop_idle();
         }
     }
 
-    /// Closes connections that are not used and opens some ahead, for ever.
+    /// Closes unused connections, opens others ahead of demand and sweeps transactions of
+    /// other hosts, in an endless loop.
     pub async fn maintain_pools(self: Rc<Self>) {
         loop {
             monoio::time::sleep(pool::TRIM_EVERY).await;
@@ -494,8 +503,8 @@
         }
     }
 
-    /// The link to the host that holds a server's connections; none where this host
-    /// does so itself, or no other one can be reached.
+    /// Returns the link to the host that holds a server's connections; `None` if this host
+    /// is the holder or no other holder is reachable.
     pub fn holder(&self, pool: &Pool) -> Option<Rc<Link>> {
         if !self.settings.has(Mechanism::SharedConnections) {
             return None;
@@ -505,24 +514,24 @@
                 return None;
             }
             let link = self.reach(holder);
-            let fit = |link: &Rc<Link>| link.is_prompt(HOLDER_WITHIN) && !link.is_leaving();
-            if let Some(link) = link.filter(fit) {
+            let is_usable = |link: &Rc<Link>| link.is_prompt(HOLDER_TIMEOUT) && !link.is_leaving();
+            if let Some(link) = link.filter(is_usable) {
                 return Some(link);
             }
         }
         None
     }
 
-    /// The same, once links to the holders that were not needed before have been tried.
+    /// Returns [`Host::holder`] after a first connection attempt to holders without a link.
     ///
-    /// Guards against a connection of this host's own for the first statement to each server:
-    /// in a large fleet most pairs of host and server see few statements.
+    /// Without the attempt, the first statement to each server would open a connection of this
+    /// host's own: in a large fleet most pairs of host and server see few statements.
     pub async fn connect_holder(&self, pool: &Pool) -> Option<Rc<Link>> {
         if self.settings.has(Mechanism::SharedConnections) {
             let holders = pool.holders.borrow().clone();
             for holder in holders.iter().take_while(|holder| **holder != self.settings.host) {
                 if let Some(link) = self.reach(holder) {
-                    link.settled(LINK_WITHIN).await;
+                    link.settled(LINK_TIMEOUT).await;
                     if link.is_up() {
                         break;
                     }
@@ -532,12 +541,12 @@
         self.holder(pool)
     }
 
-    /// Where a peer listens, by the view.
+    /// Returns the address at which a host listens for peers, by the view.
     pub fn peer_address(&self, host: &HostId) -> Option<SocketAddr> {
         self.leased_view.borrow().view().members.get(host).map(|member| member.value.peer)
     }
 
-    /// A link to any host of the fleet.
+    /// Returns a link to any host of the fleet, starting it if needed.
     pub fn reach(&self, id: &HostId) -> Option<Rc<Link>> {
         let leased_view = self.leased_view.borrow();
         let member = &leased_view.view().members.get(id)?.value;
