--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -1,4 +1,4 @@
-//! This host's place in the fleet: the view it acts on, and its tokens of rates.
+//! Fleet membership of this host and the fleet view that it acts on.
 
 use std::{
     rc::Rc,
@@ -23,72 +23,72 @@
     host::{Host, Phase},
 };
 
-/// How often the view is read while all other hosts are heard: they tell of a
-/// change at once, so reads only renew the lease, which lasts three times as long.
-/// Each call of the platform is charged for.
-const VIEW_EVERY: Duration = Duration::from_millis(2400);
+/// Interval between reads of the view while all links are up. Hosts propagate a change at
+/// once, so reads only renew the lease, which lasts three times as long. Every call of the
+/// platform is charged for.
+const VIEW_INTERVAL: Duration = Duration::from_millis(2400);
 
-/// How often it is read while some host is not heard, which may be the one that
-/// changes a leader.
-const VIEW_ALONE: Duration = Duration::from_millis(800);
+/// Interval between reads of the view while a link is down: the unreachable host may be
+/// the one that changes a leader.
+const DEGRADED_VIEW_INTERVAL: Duration = Duration::from_millis(800);
 
-/// How old the view may be before a host reads it itself that does not read the
-/// store for others.
-const OWN_VIEW: Duration = Duration::from_millis(3200);
+/// Maximum age of the view before a host reads it although it does not read the store for
+/// its failure domain.
+const MAX_VIEW_AGE: Duration = Duration::from_millis(3200);
 
-/// Pause before joining again, when another run of the host has joined meanwhile.
-const JOIN_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before this host joins again after another process of it has replaced its row.
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How often such a host looks whether it must.
-const LOOK_EVERY: Duration = Duration::from_millis(150);
+/// Interval at which a host that does not read the view checks whether it has to.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long a host waits for the others when the whole system starts for the first
-/// time. All start within 0.3 s, and the store takes 200 hosts a second: with all
-/// of them in the first view only hubs read the store from then on.
-const ALL_JOIN_WITHIN: Duration = Duration::from_millis(800);
+/// Delay before the first read of the view when the whole system starts for the first time.
+/// All hosts start within 0.3 s, and the store accepts 200 hosts a second: with all of them
+/// in the first view only hubs read the store from then on.
+const FIRST_START_DELAY: Duration = Duration::from_millis(800);
 
-/// Pause after a read of the view that failed.
-const AGAIN_AFTER: Duration = Duration::from_millis(250);
+/// Delay after a failed call of the store.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How long a planned change of leader waits for transactions at the old one.
-/// Most transactions last less than this; a leaving server serves for seconds.
-const PATIENCE: Duration = Duration::from_millis(1200);
+/// Timeout for transactions to end at the old leader in a planned failover. Most
+/// transactions are shorter, and a leaving server serves for seconds.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// How long a host waits to be asked for its release of a leader before it tells
-/// it by the store.
-const ASKED_WITHIN: Duration = Duration::from_millis(400);
+/// Timeout for the request of the host that performs a failover, after which the release of
+/// the old leader is published through the store.
+const RELEASE_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How links between hosts are tried out. Demand is told more often anyway.
-pub const PACE: Pace =
+/// Ping interval and silence limit of links between hosts. Heartbeats are more frequent.
+pub const LINK_PACE: Pace =
     Pace { every: Duration::from_millis(1000), silence: Duration::from_millis(2200) };
 
-const MEMBER: &str = "host/";
+const MEMBER_PREFIX: &str = "host/";
 
-const GROUP: &str = "group/";
+const GROUP_PREFIX: &str = "group/";
 
-const CLOSED: &str = "closed/";
+const CLOSED_PREFIX: &str = "closed/";
 
-const SECRET: &str = "secret";
+const SECRET_KEY: &str = "secret";
 
-/// The key of the duty's row.
+/// Key of the row for the duty of calling for promotions.
 pub const DUTY: &str = "duty";
 
-/// The key of a group's row.
+/// Returns the key of a group's row.
 pub fn group_key(group: &GroupId) -> Box<str> {
-    format!("{GROUP}{group}").into()
+    format!("{GROUP_PREFIX}{group}").into()
 }
 
-/// The key of the row of a group's terms that are over.
+/// Returns the key of the row for the closed terms of a group.
 pub fn closed_key(group: &GroupId) -> Box<str> {
-    format!("{CLOSED}{group}").into()
+    format!("{CLOSED_PREFIX}{group}").into()
 }
 
-/// The key of a host's row.
+/// Returns the key of a host's row.
 pub fn member_key(host: &HostId) -> Box<str> {
-    format!("{MEMBER}{host}").into()
+    format!("{MEMBER_PREFIX}{host}").into()
 }
 
-/// Reads the view.
+/// Reads the view from the store.
 pub async fn read(client: &Client) -> anyhow::Result<View> {
     let rows = store::read(client, Table::Fleet, STORE_WITHIN).await?;
     decode(&rows)
@@ -98,77 +98,79 @@
     let mut view = View { version: rows.version, clock: rows.clock, ..View::default() };
     for row in &rows.rows {
         let version = row.version;
-        if let Some(host) = row.key.strip_prefix(MEMBER) {
-            let value = serde_json::from_slice(&row.value).context("reading a host's row")?;
+        if let Some(host) = row.key.strip_prefix(MEMBER_PREFIX) {
+            let value = serde_json::from_slice(&row.value).context("decoding a host's row")?;
             view.members.insert(host.parse()?, Versioned { version, value });
-        } else if let Some(group) = row.key.strip_prefix(GROUP) {
-            let value = serde_json::from_slice(&row.value).context("reading a group's row")?;
+        } else if let Some(group) = row.key.strip_prefix(GROUP_PREFIX) {
+            let value = serde_json::from_slice(&row.value).context("decoding a group's row")?;
             view.groups.insert(group.parse()?, Versioned { version, value });
-        } else if let Some(group) = row.key.strip_prefix(CLOSED) {
-            let term = serde_json::from_slice(&row.value).context("reading closed terms")?;
+        } else if let Some(group) = row.key.strip_prefix(CLOSED_PREFIX) {
+            let term =
+                serde_json::from_slice(&row.value).context("decoding a group's closed terms")?;
             view.closed.insert(group.parse()?, term);
         } else if &*row.key == DUTY {
-            let value = serde_json::from_slice(&row.value).context("reading the duty's row")?;
+            let value = serde_json::from_slice(&row.value).context("decoding the duty's row")?;
             view.duty = Some(Versioned { version, value });
-        } else if &*row.key == SECRET {
+        } else if &*row.key == SECRET_KEY {
             view.secret = Some(String::from_utf8(row.value.to_vec())?.into());
         }
     }
     Ok(view)
 }
 
-/// What a host knows of its fleet when its tasks begin.
+/// Membership of this host in the fleet, as established at start.
 pub struct Membership {
-    /// The view, with this run of the host counted in.
+    /// View that has this host as a member.
     pub view: View,
-    /// When it was asked for.
+    /// Local time at which the view was requested.
     pub requested: Instant,
-    /// What hosts of the fleet prove to each other.
+    /// Shared secret by which hosts of the fleet authenticate to each other.
     pub secret: Box<str>,
 }
 
-/// Reads the view, and joins the fleet if this host is not counted in.
+/// Reads the view, and joins the fleet if this host is not a member. Retries until it
+/// succeeds.
 ///
-/// The row of an earlier process of the host counts, so hosts that die together and start
-/// again only read. A row for each takes seconds where hundreds start: the store applies
-/// changes to one table part one after another. When the whole system starts for the first
-/// time there are no rows, and joining comes first.
+/// The row of an earlier process of the host is valid, so hosts that crash together and
+/// restart only read. Writing a row for each would take seconds when hundreds start: the
+/// store applies changes to one table partition sequentially. At the first start of the
+/// whole system there are no rows, so hosts join before they read.
 pub async fn ensure_member(settings: &Settings, clock: &dyn Clock, client: &Client) -> Membership {
     if settings.first_start {
-        until_done("joining", || join(settings, client)).await;
-        // One after the other: the first of them draws the secret for all.
-        let spread = ALL_JOIN_WITHIN.mul_f64(rand::random_range(0.0..0.5));
-        monoio::time::sleep(ALL_JOIN_WITHIN + spread).await;
+        retry("joining", || join(settings, client)).await;
+        // Spreads the reads: the first host to read creates the secret for all.
+        let spread = FIRST_START_DELAY.mul_f64(rand::random_range(0.0..0.5));
+        monoio::time::sleep(FIRST_START_DELAY + spread).await;
     }
     loop {
-        let asked = clock.now();
-        let view = until_done("reading the first view", || read(client)).await;
-        if !is_counted(&view, settings) {
-            until_done("joining", || join(settings, client)).await;
+        let requested = clock.now();
+        let view = retry("reading the first view", || read(client)).await;
+        if !is_member(&view, settings) {
+            retry("joining", || join(settings, client)).await;
             continue;
         }
         if let Some(secret) = view.secret.clone() {
-            let ms = (clock.now() - asked).as_millis() as u64;
+            let ms = (clock.now() - requested).as_millis() as u64;
             info!(version = view.version, hosts = view.members.len(), ms, "start: view read");
-            return Membership { view, requested: asked, secret };
+            return Membership { view, requested, secret };
         }
-        until_done("drawing the secret", || draw_secret(client)).await;
+        retry("creating the secret", || create_secret(client)).await;
     }
 }
 
-/// The place of this host.
+/// Returns the hash of this host's peer address, failure domain and power.
 pub fn place(settings: &Settings) -> u64 {
     view::place(settings.peers, &settings.domain, settings.power)
 }
 
-/// Whether the view has a row of this host as it is now.
-fn is_counted(view: &View, settings: &Settings) -> bool {
+/// Returns whether the view has a row of this host with its current place.
+fn is_member(view: &View, settings: &Settings) -> bool {
     let row = view.members.get(&settings.host);
     row.is_some_and(|row| row.value.place == place(settings) && row.value.left.is_none())
 }
 
-/// Tries until it is done; the store may be away when a host starts.
-async fn until_done<T, F>(step: &'static str, work: impl Fn() -> F) -> T
+/// Retries a step until it succeeds; the store may be unreachable when a host starts.
+async fn retry<T, F>(step: &'static str, work: impl Fn() -> F) -> T
 where
     F: Future<Output = anyhow::Result<T>>,
 {
@@ -176,38 +178,38 @@
         match work().await {
             Ok(done) => return done,
             Err(error) => {
-                info!(step, error = %format_args!("{error:#}"), "fleet: not entered yet");
-                monoio::time::sleep(AGAIN_AFTER).await;
+                info!(step, error = %format_args!("{error:#}"), "fleet: start step failed, retrying");
+                monoio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Writes a secret, unless another host was first: it is read again in any case.
-async fn draw_secret(client: &Client) -> anyhow::Result<Verdict> {
-    let drawn = format!("{:032x}", rand::random::<u128>());
+/// Writes a random secret unless there is one. The caller reads the view again in any case.
+async fn create_secret(client: &Client) -> anyhow::Result<Verdict> {
+    let secret = format!("{:032x}", rand::random::<u128>());
     let change = Change {
-        expect: vec![(SECRET.into(), 0)],
-        put: vec![(SECRET.into(), drawn.into_bytes())],
+        expect: vec![(SECRET_KEY.into(), 0)],
+        put: vec![(SECRET_KEY.into(), secret.into_bytes())],
         remove: Vec::new(),
     };
     store::change(client, &change, STORE_WITHIN).await
 }
 
-/// Whether this host has to read the view itself now.
-fn must_read(host: &Host) -> bool {
-    let old = host.leased_view.borrow().age(host.now()).is_none_or(|age| age > OWN_VIEW);
+/// Returns whether this host has to read the view from the store now.
+fn needs_read(host: &Host) -> bool {
+    let old = host.leased_view.borrow().age(host.now()).is_none_or(|age| age > MAX_VIEW_AGE);
     host.reads_store() || old || !host.leased_view.borrow().is_member()
 }
 
-/// Reads the view for ever.
+/// Keeps the view current, in an endless loop.
 pub async fn follow(host: Rc<Host>) {
     let client = Client::new(host.settings.store);
-    let mut lost = false;
+    let mut unreadable = false;
     let mut woken = false;
     loop {
-        if !must_read(&host) && !woken {
-            let wake = monoio::time::timeout(LOOK_EVERY, host.look.notified()).await;
+        if !needs_read(&host) && !woken {
+            let wake = monoio::time::timeout(CHECK_INTERVAL, host.look.notified()).await;
             woken = wake.is_ok();
             continue;
         }
@@ -218,40 +220,40 @@
             && let Err(error) = join(&host.settings, &client).await
         {
             info!(error = %format_args!("{error:#}"), "fleet: joining failed");
-            monoio::time::sleep(AGAIN_AFTER).await;
+            monoio::time::sleep(RETRY_DELAY).await;
         }
-        let asked = host.now();
+        let requested = host.now();
         match read(&client).await {
             Ok(view) => {
-                if std::mem::take(&mut lost) {
-                    info!("fleet: the view can be read again");
+                if std::mem::take(&mut unreadable) {
+                    info!("fleet: view readable again");
                 }
-                host.store_clock.borrow_mut().note(asked, view.clock);
-                apply_view(&host, view, asked);
-                let all = host.mesh.links().iter().all(|link| link.is_up());
-                let pause = if all { VIEW_EVERY } else { VIEW_ALONE };
+                host.store_clock.borrow_mut().note(requested, view.clock);
+                apply_view(&host, view, requested);
+                let all_up = host.mesh.links().iter().all(|link| link.is_up());
+                let pause = if all_up { VIEW_INTERVAL } else { DEGRADED_VIEW_INTERVAL };
                 let serving = *host.phase.borrow() == Phase::Serving;
                 if serving && !host.leased_view.borrow().is_member() {
-                    monoio::time::sleep(JOIN_PAUSE).await;
+                    monoio::time::sleep(JOIN_RETRY_DELAY).await;
                     continue;
                 }
-                // Woken early, or not: the view is read either way.
+                // The view is read after the pause as well as after a wake-up.
                 let _ = monoio::time::timeout(pause, host.look.notified()).await;
             }
             Err(error) => {
-                if !std::mem::replace(&mut lost, true) {
+                if !std::mem::replace(&mut unreadable, true) {
                     let age = host.leased_view.borrow().age(host.now());
                     let age_ms = age.map(|age| age.as_millis() as u64);
                     let error = format_args!("{error:#}");
-                    warn!(%error, age_ms, "fleet: the view cannot be read");
+                    warn!(%error, age_ms, "fleet: cannot read the view");
                 }
-                monoio::time::sleep(AGAIN_AFTER).await;
+                monoio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Writes this host into the view.
+/// Writes this host's row into the view.
 async fn join(settings: &Settings, client: &Client) -> anyhow::Result<()> {
     let member = Member {
         peer: settings.peers,
@@ -264,12 +266,15 @@
     let value = serde_json::to_vec(&member)?;
     let put = vec![(member_key(&settings.host), value)];
     let verdict = store::change(client, &Change { put, ..Change::default() }, STORE_WITHIN).await?;
-    anyhow::ensure!(matches!(verdict, Verdict::Applied(_)), "the store said {verdict:?}");
+    anyhow::ensure!(
+        matches!(verdict, Verdict::Applied(_)),
+        "joining the fleet: the store answered {verdict:?}"
+    );
     info!(place = member.place, "fleet: joined");
     Ok(())
 }
 
-/// Takes this host out of the view, once it uses no leader any more.
+/// Removes this host from the view. Requires that it no longer uses any leader.
 pub async fn leave(settings: &Settings) -> anyhow::Result<()> {
     let client = Client::new(settings.store);
     let remove = vec![member_key(&settings.host)];
@@ -277,83 +282,84 @@
     Ok(())
 }
 
-/// Takes a view that was the newest at the local time `asked` or later.
-pub fn apply_view(host: &Rc<Host>, view: View, asked: Instant) {
+/// Applies a view that was the newest at the local time `requested` or later.
+pub fn apply_view(host: &Rc<Host>, view: View, requested: Instant) {
     let until = host.leased_view.borrow().until();
     let before = host.leased_view.borrow().view().groups.clone();
-    if !host.leased_view.borrow_mut().learn(view, asked) {
+    if !host.leased_view.borrow_mut().learn(view, requested) {
         return;
     }
     let after = host.leased_view.borrow().view().groups.clone();
-    set_members(host);
+    update_members(host);
     host.refresh();
     for (id, row) in after {
         if before.get(&id).is_none_or(|old| old.version != row.version) {
-            act(host, &id, row, until, asked);
+            handle_new_row(host, &id, row, until, requested);
         }
     }
 }
 
-/// Takes one group's row, told by the host that changes its leader.
-pub fn take(host: &Rc<Host>, id: &GroupId, row: Versioned<Leadership>) {
+/// Applies one group's row, received from the host that performs its failover.
+pub fn apply_row(host: &Rc<Host>, id: &GroupId, row: Versioned<Leadership>) {
     let until = host.leased_view.borrow().until();
     if host.leased_view.borrow_mut().take(id, row.clone()) {
         host.refresh();
-        act(host, id, row, until, host.now());
+        handle_new_row(host, id, row, until, host.now());
     }
 }
 
-/// Acts on a group's new row, learned at the local time `learned`: lets work at a
-/// leader that it names no more end. `until` is when the lease on that one is over.
-fn act(
+/// Handles a group's new row, received at the local time `received`: if a failover has
+/// begun, ends the work at the old leader and reports the release. `until` is the end of
+/// the lease on the old leader.
+fn handle_new_row(
     host: &Rc<Host>,
     id: &GroupId,
     row: Versioned<Leadership>,
     until: Option<Instant>,
-    learned: Instant,
+    received: Instant,
 ) {
     let group = host.group(id);
-    info!(group = %id, version = row.version, leadership = ?row.value, "leader: view changed");
+    info!(group = %id, version = row.version, leadership = ?row.value, "leader: new row in the view");
     let Leadership::Moving { planned, holder, .. } = row.value else { return };
-    let end = until.filter(|_| planned).unwrap_or(learned);
+    let end = until.filter(|_| planned).unwrap_or(received);
     let host = host.clone();
     monoio::spawn(async move {
         release(&host, &group, row.version, end).await;
-        monoio::time::sleep(ASKED_WITHIN).await;
+        monoio::time::sleep(RELEASE_REQUEST_TIMEOUT).await;
         if group.requested.get() >= row.version {
             return;
         }
-        if let Err(error) = tell_released(&host, &holder, row.version).await {
+        if let Err(error) = publish_release(&host, &holder, row.version).await {
             let error = format_args!("{error:#}");
-            info!(group = %group.id, %holder, %error, "fleet: release not told");
+            info!(group = %group.id, %holder, %error, "fleet: release not published");
         }
     });
 }
 
-/// Lets work at the former leader end, until `end` at most: the lease under which
-/// it began is over then.
+/// Waits for work at the former leader to end, until `end` at most, when the lease under
+/// which it began expires, and ends the epoch.
 async fn release(host: &Host, group: &Group, version: u64, end: Instant) {
-    let end = end.min(host.now() + PATIENCE);
-    while host.now() < end && !group.is_unused() {
+    let end = end.min(host.now() + DRAIN_TIMEOUT);
+    while host.now() < end && !group.is_idle() {
         monoio::time::sleep(Duration::from_millis(20)).await;
     }
     if host.leased_view.borrow().leadership(&group.id).is_some_and(|row| row.version == version) {
-        group.give_up();
+        group.end_epoch();
     }
     group.released.set(group.released.get().max(version));
 }
 
-/// Tells by the store that this host uses an old leader no more, where the host
-/// that waits for it cannot be reached.
+/// Publishes through the store that this host no longer uses the old leader, for a holder
+/// of the failover that has not requested the release.
 ///
-/// Guards against a gap of a whole lease when some hosts are cut off from the
-/// others but not from the store.
-async fn tell_released(host: &Host, holder: &HostId, version: u64) -> anyhow::Result<()> {
+/// Otherwise a failover takes a whole lease when some hosts are cut off from the others but
+/// not from the store.
+async fn publish_release(host: &Host, holder: &HostId, version: u64) -> anyhow::Result<()> {
     if *holder == host.settings.host || !host.leased_view.borrow().is_member() {
         return Ok(());
     }
     let row = host.leased_view.borrow().view().members.get(&host.settings.host).cloned();
-    let row = row.context("this host is not of the fleet")?;
+    let row = row.context("this host has no row in the view")?;
     let member = Member { released: version, ..row.value };
     let key = member_key(&host.settings.host);
     let change = Change {
@@ -363,11 +369,11 @@
     };
     let client = Client::new(host.settings.store);
     let verdict = store::change(&client, &change, STORE_WITHIN).await?;
-    info!(%holder, version, ?verdict, "fleet: release told by the store");
+    info!(%holder, version, ?verdict, "fleet: release written to the store");
     Ok(())
 }
 
-fn set_members(host: &Host) {
+fn update_members(host: &Host) {
     let leased_view = host.leased_view.borrow();
     let view = leased_view.view();
     let members = view.members.iter().filter(|(_, member)| member.value.left.is_none());
@@ -385,18 +391,18 @@
     } else {
         let domains = hubs::domains(view).into_iter();
         let others = domains.filter(|domain| *domain != host.settings.domain);
-        others.map(|domain| party_of(&domain)).collect()
+        others.map(|domain| domain_party(&domain)).collect()
     };
-    let own = if neighbours.mesh { me.clone() } else { party_of(&host.settings.domain) };
+    let own = if neighbours.mesh { me.clone() } else { domain_party(&host.settings.domain) };
     host.demand.borrow_mut().set_parties(&own, others, host.now());
     host.peer_clocks.borrow_mut().retain(|id, _| neighbours.links.contains(id));
-    let linked = |host: &contract::Host| neighbours.links.contains(&host.id);
-    let linked: Vec<_> = roster.into_iter().filter(linked).collect();
+    let is_linked = |host: &contract::Host| neighbours.links.contains(&host.id);
+    let linked: Vec<_> = roster.into_iter().filter(is_linked).collect();
     host.mesh.set_roster(&linked, &[]);
     *host.neighbours.borrow_mut() = neighbours;
 }
 
-/// The name under which a failure domain shares a part of every rate.
-pub fn party_of(domain: &FailureDomain) -> HostId {
-    domain.as_str().parse().expect("names of hosts and of failure domains are alike")
+/// Returns the party name under which a failure domain has its share of every rate.
+pub fn domain_party(domain: &FailureDomain) -> HostId {
+    domain.as_str().parse().expect("failure domain names are valid host names")
 }
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -90,7 +90,7 @@
 async fn act(host: Rc<Host>, id: GroupId, row: Versioned<Leadership>, replier: Replier) {
     let group = host.group(&id);
     group.requested.set(group.requested.get().max(row.version));
-    fleet::take(&host, &id, row.clone());
+    fleet::apply_row(&host, &id, row.clone());
     loop {
         let newest = host.leased_view.borrow().leadership(&id).cloned().unwrap_or(row.clone());
         let moves = matches!(newest.value, Leadership::Moving { .. });
@@ -145,7 +145,7 @@
 fn take_heartbeat(host: &Rc<Host>, id: &HostId, domain: &FailureDomain, beat: Heartbeat) {
     if let Some(asked) = beat.asked {
         let mesh = host.neighbours.borrow().mesh;
-        let party = if mesh { id.clone() } else { fleet::party_of(domain) };
+        let party = if mesh { id.clone() } else { fleet::domain_party(domain) };
         host.demand.borrow_mut().heard(&party, id, &asked, host.now());
     }
     if beat.majority && *id == host.hub() {
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -109,7 +109,7 @@
         self.since.set(gone.then_some(now));
         if !gone {
             // Work of the former leader, and what was known of its log, end with it.
-            self.give_up();
+            self.end_epoch();
             *self.ages.borrow_mut() = Ages::default();
             self.seen.set(None);
             self.suspicion.borrow_mut().answered();
@@ -137,14 +137,14 @@
     }
 
     /// Work begun before counts on its leader no more.
-    pub fn give_up(&self) {
+    pub fn end_epoch(&self) {
         self.epoch.set(self.epoch.get() + 1);
         self.using.set(0);
         self.gave_up.notify_waiters();
     }
 
     /// Whether nothing runs at the leader.
-    pub fn is_unused(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.using.get() == 0
     }
 
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -105,7 +105,7 @@
     let secret = Secret::new(secret.as_bytes());
     let started = clock.now();
     let routes = contract::Routes::new(&[]);
-    let mesh = Mesh::with_pace(me, secret, clock.clone(), routes, fleet::PACE);
+    let mesh = Mesh::with_pace(me, secret, clock.clone(), routes, fleet::LINK_PACE);
     let demand = Demand::new(settings.tolerance, run, started);
     Rc::new(Host {
         leased_view: RefCell::new(Held::new(settings.host.clone(), fleet::place(&settings))),
