--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between hosts, and what they ask each other for because of them.
+//! Heartbeats between hosts, and the requests for newer state that follow from them.
 
 use std::{
     rc::Rc,
@@ -22,51 +22,50 @@
     placement, positions, relay, tokens,
 };
 
-/// How often hosts tell each other what their callers ask for and what they know:
-/// a fraction of the time in which demand is forgotten, and of the time within
-/// which a configuration must be in force.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(400);
+/// Interval of heartbeats, which carry demand and state versions: a fraction of the decay
+/// time of demand and of the time within which a configuration must be active.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The same while a host that starts has no configuration or no servers yet.
-const HEARTBEAT_AT_START: Duration = Duration::from_millis(50);
+/// Interval of heartbeats while a starting host has no configuration or no servers.
+const STARTUP_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long another host's answer to a heartbeat may take; the way there and back is 2 ms.
-const PEER_WITHIN: Duration = Duration::from_millis(400);
+/// Timeout for the answer to a heartbeat; the round trip is 2 ms.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long what is new is waited for while the link is up: a list of some thousand servers
-/// needs a second of a link of 10 Mbit/s.
-const NEWS_WITHIN: Duration = Duration::from_secs(4);
+/// Timeout for an answer with newer state while the link is up: a list of several thousand
+/// servers occupies a 10 Mbit/s link for a second.
+const UPDATE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// After how long without an answer another host is asked too.
-const ASK_ANOTHER: Duration = Duration::from_millis(400);
+/// Delay after an unanswered request for newer state before another host is asked as well.
+const NEXT_HOST_DELAY: Duration = Duration::from_millis(400);
 
-/// How old the view may be before other hosts are asked: a little more than the
-/// time within which the store usually tells it.
-const ASK_VIEW_AFTER: Duration = Duration::from_millis(3200);
+/// Maximum age of the view before other hosts are polled: slightly longer than the store
+/// usually takes to confirm it.
+const MAX_VIEW_AGE: Duration = Duration::from_millis(3200);
 
-/// How often other hosts are asked then.
-const ASK_EVERY: Duration = Duration::from_millis(300);
+/// Interval at which the age of the state is checked and, if exceeded, a host is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Answers another host.
+/// Handles a request from another host.
 pub fn answer(host: &Rc<Host>, peer: &Hello, question: Question, replier: Replier) {
     let version = host.leased_view.borrow().view().members.get(&peer.host).map(|row| row.version);
     host.last_contact.borrow_mut().insert(peer.host.clone(), (host.now(), version));
     match question {
         Question::Heartbeat(beat) => {
             positions::take_question(host, &beat);
-            replier.reply(Answer::Heartbeat(Box::new(answered_heartbeat(host))));
+            replier.reply(Answer::Heartbeat(Box::new(heartbeat_answer(host))));
             if beat.asked.is_none() && peer.domain == host.settings.domain {
                 host.demand.borrow_mut().idle(&peer.host);
             }
-            take_heartbeat(host, &peer.host, &peer.domain, *beat);
+            apply_heartbeat(host, &peer.host, &peer.domain, *beat);
         }
         Question::Take { account, rate, burst } => {
             replier.reply(Answer::Ruling(tokens::admit(host, &account, rate, burst)));
         }
         Question::Silence(server) => {
             let pool = host.server(&server);
-            let answered = pool.and_then(|pool| pool.exchanges.borrow().answered(host.now()));
-            replier.reply(Answer::Silence(answered));
+            let last_answer = pool.and_then(|pool| pool.exchanges.borrow().answered(host.now()));
+            replier.reply(Answer::Silence(last_answer));
         }
         Question::Relay(errand) => {
             monoio::spawn(relay::serve(host.clone(), peer.host.clone(), *errand, replier));
@@ -76,38 +75,44 @@
             replier.reply(Answer::Pong);
         }
         Question::Act { group, row } => {
-            monoio::spawn(act(host.clone(), group, row, replier));
+            monoio::spawn(apply_leadership(host.clone(), group, row, replier));
         }
         Question::Piece(wanted) => replier.reply(Answer::Piece(fetch::piece(host, wanted))),
-        Question::Newest(known) => replier.reply(Answer::Newest(Box::new(newest(host, known)))),
+        Question::Newest(known) => replier.reply(Answer::Newest(Box::new(newer_than(host, known)))),
         _ if *host.phase.borrow() != Phase::Serving => replier.reply(Answer::Leaving),
         _ => replier.reply(Answer::Pong),
     }
 }
 
-/// Acts on a group's row and says so once nothing here counts on a leader that it
-/// names no more.
-async fn act(host: Rc<Host>, id: GroupId, row: Versioned<Leadership>, replier: Replier) {
+/// Applies a group's row and replies once no work on this host relies on a leader that the
+/// row no longer names.
+async fn apply_leadership(
+    host: Rc<Host>,
+    id: GroupId,
+    row: Versioned<Leadership>,
+    replier: Replier,
+) {
     let group = host.group(&id);
     group.requested.set(group.requested.get().max(row.version));
     fleet::apply_row(&host, &id, row.clone());
     loop {
         let newest = host.leased_view.borrow().leadership(&id).cloned().unwrap_or(row.clone());
-        let moves = matches!(newest.value, Leadership::Moving { .. });
-        if !moves || group.released.get() >= newest.version {
+        let moving = matches!(newest.value, Leadership::Moving { .. });
+        if !moving || group.released.get() >= newest.version {
             return replier.reply(Answer::Acting(newest.version));
         }
         monoio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-fn newest(host: &Host, asker: Known) -> Newest {
+/// Returns the state that is newer here than the requester's versions.
+fn newer_than(host: &Host, requester: Known) -> Newest {
     let known = host.versions();
-    let view = || host.leased_view.borrow().changes(asker.view_version);
-    let servers = known.servers.0 != asker.servers.0 && known.servers.1 > asker.servers.1;
+    let view = || host.leased_view.borrow().changes(requester.view_version);
+    let servers = known.servers.0 != requester.servers.0 && known.servers.1 > requester.servers.1;
     Newest {
         known,
-        view: (known.view.0 != asker.view.0 && known.view.1 > asker.view.1).then(view),
+        view: (known.view.0 != requester.view.0 && known.view.1 > requester.view.1).then(view),
         servers: servers.then(|| host.listed()),
         evacuations: evacuations(host),
     }
@@ -125,15 +130,17 @@
     Heartbeat { asked, known, majority, evacuations, seen: Vec::new(), clock: None, echo: None }
 }
 
-/// The answer to a heartbeat: requests that were admitted here are reported in this host's own.
-fn answered_heartbeat(host: &Host) -> Heartbeat {
+/// Returns the answer to a heartbeat, without a demand report: this host's own heartbeats
+/// report the requests admitted here.
+fn heartbeat_answer(host: &Host) -> Heartbeat {
     let clock = host.now().saturating_duration_since(host.started);
     let clock = Some(Stamp { run: host.run, clock });
     let seen = if host.is_hub() { positions::newest(host) } else { Vec::new() };
     Heartbeat { asked: None, seen, clock, ..own_heartbeat(host) }
 }
 
-/// The heartbeat for the host at the other end of the link, with positions that this host saw.
+/// Returns the heartbeat for the host at the other end of the link, with the leader
+/// positions that this host has read itself.
 fn heartbeat_for(host: &Host, link: &Link, beat: &Heartbeat, own: &[(Instant, Seen)]) -> Heartbeat {
     let Some((clock, received)) = host.peer_clocks.borrow().get(&link.host).copied() else {
         return beat.clone();
@@ -141,8 +148,8 @@
     Heartbeat { seen: positions::since(own, received), echo: Some(clock), ..beat.clone() }
 }
 
-/// Takes what another host's heartbeat says, and asks it for what is new.
-fn take_heartbeat(host: &Rc<Host>, id: &HostId, domain: &FailureDomain, beat: Heartbeat) {
+/// Applies another host's heartbeat and requests the state that is newer there.
+fn apply_heartbeat(host: &Rc<Host>, id: &HostId, domain: &FailureDomain, beat: Heartbeat) {
     if let Some(asked) = beat.asked {
         let mesh = host.neighbours.borrow().mesh;
         let party = if mesh { id.clone() } else { fleet::domain_party(domain) };
@@ -154,38 +161,41 @@
     if let Some(evacuations) = &beat.evacuations {
         placement::adopt(host, id, evacuations);
     }
-    renew(host, beat.known);
+    confirm_versions(host, beat.known);
     let (own, known) = (host.versions(), beat.known);
     let Some(link) = host.mesh.link(id) else { return };
     fetch::begin(host, &link, known.plan.0);
-    let news = (known.view.0 != own.view.0 && known.view.1 > own.view.1)
+    let has_newer = (known.view.0 != own.view.0 && known.view.1 > own.view.1)
         || (known.servers.0 != own.servers.0 && known.servers.1 > own.servers.1);
-    if news {
-        begin_asking(host, link);
+    if has_newer {
+        request_updates(host, link);
     }
 }
 
-/// Asks a host for what is new, unless it is being asked or another one just was.
+/// Requests newer state from a host, unless a request to it is outstanding or a request to
+/// any host is recent.
 ///
-/// Guards against copies of one answer on a link that needs longer for it than it is waited
-/// for: each would come too late, and nothing else would get through.
-fn begin_asking(host: &Rc<Host>, link: Rc<Link>) {
+/// Guards against several copies of one answer on a link that needs longer than the timeout
+/// to transfer it: each would arrive too late and block all other traffic.
+fn request_updates(host: &Rc<Host>, link: Rc<Link>) {
     let now = host.now();
-    let mut asked = host.requested.borrow_mut();
-    let lately = asked.values().any(|since| now.saturating_duration_since(*since) < ASK_ANOTHER);
-    if lately || asked.contains_key(&link.host) {
+    let mut requested = host.requested.borrow_mut();
+    let recent =
+        requested.values().any(|since| now.saturating_duration_since(*since) < NEXT_HOST_DELAY);
+    if recent || requested.contains_key(&link.host) {
         return;
     }
-    asked.insert(link.host.clone(), now);
+    requested.insert(link.host.clone(), now);
     let host = host.clone();
     monoio::spawn(async move {
-        ask_newest(&host, &link).await;
+        fetch_updates(&host, &link).await;
         host.requested.borrow_mut().remove(&link.host);
     });
 }
 
-/// Notes that what this host knows was still the newest when another one looked.
-fn renew(host: &Host, known: Known) {
+/// Records the configuration version that another host reports, and confirms state of this
+/// host of which the other host has the same version.
+fn confirm_versions(host: &Host, known: Known) {
     host.newest.set(host.newest.get().max(known.plan.0));
     if known.plan.0 == host.version() {
         host.documents.borrow_mut().confirm(known.plan.1);
@@ -199,7 +209,7 @@
     }
 }
 
-/// Tells the other hosts what this one's callers ask for and what it knows, for ever.
+/// Sends demand and state versions to other hosts, in an endless loop.
 pub async fn send_heartbeats(host: Rc<Host>) {
     loop {
         tokens::free_shares(&host);
@@ -207,47 +217,48 @@
         let beat = own_heartbeat(&host);
         let own = positions::own(&host);
         let (hub, reports) = (host.hub(), tokens::reports(&host));
-        let spoken = |link: &Rc<Link>| link.is_up() && (reports || link.host == hub);
-        for link in host.mesh.links().into_iter().filter(spoken) {
+        let is_recipient = |link: &Rc<Link>| link.is_up() && (reports || link.host == hub);
+        for link in host.mesh.links().into_iter().filter(is_recipient) {
             let beat = Box::new(heartbeat_for(&host, &link, &beat, &own));
             let host = host.clone();
             monoio::spawn(async move {
                 let sent = host.now();
-                // A host that does not answer is noticed by its own silence.
+                // A host that does not answer is detected by its silence.
                 if let Ok(Answer::Heartbeat(answer)) =
-                    link.ask(Question::Heartbeat(beat), PEER_WITHIN).await
+                    link.ask(Question::Heartbeat(beat), HEARTBEAT_TIMEOUT).await
                 {
-                    take_clock(&host, &link, &answer, sent);
+                    record_clock(&host, &link, &answer, sent);
                     let member = host.leased_view.borrow().view().members.get(&link.host).cloned();
                     if let Some(member) = member {
-                        take_heartbeat(&host, &link.host, &member.value.domain, *answer);
+                        apply_heartbeat(&host, &link.host, &member.value.domain, *answer);
                     }
                 }
             });
         }
         let starting = host.plan().is_none() || host.pools.borrow().is_empty();
-        monoio::time::sleep(if starting { HEARTBEAT_AT_START } else { HEARTBEAT_EVERY }).await;
+        monoio::time::sleep(if starting { STARTUP_HEARTBEAT_INTERVAL } else { HEARTBEAT_INTERVAL })
+            .await;
     }
 }
 
-/// Takes what the answer to a heartbeat that was sent at `sent` says of leaders' positions.
-fn take_clock(host: &Host, link: &Link, answer: &Heartbeat, sent: Instant) {
+/// Records the clock and the leader positions in the answer to a heartbeat sent at `sent`.
+fn record_clock(host: &Host, link: &Link, answer: &Heartbeat, sent: Instant) {
     if let Some(clock) = answer.clock {
         host.peer_clocks.borrow_mut().insert(link.host.clone(), (clock, host.now()));
     }
     positions::take_answer(host, answer, sent);
 }
 
-/// Asks other hosts for the newest view and configuration while the store does
-/// not tell them to this one, for ever.
+/// Polls other hosts for the newest view and configuration while this host's are too old,
+/// in an endless loop.
 pub async fn poll_peers(host: Rc<Host>) {
     let pace = freshness::Pace::within(host.settings.apply.min(host.settings.evacuate));
     let mut turn = 0;
     loop {
-        monoio::time::sleep(ASK_EVERY).await;
-        let old = |age: Option<Duration>, limit| age.is_none_or(|age| age > limit);
-        let view = old(host.leased_view.borrow().age(host.now()), ASK_VIEW_AFTER);
-        if !view && !old(host.plan_age(), pace.ask) {
+        monoio::time::sleep(POLL_INTERVAL).await;
+        let is_old = |age: Option<Duration>, limit| age.is_none_or(|age| age > limit);
+        let old_view = is_old(host.leased_view.borrow().age(host.now()), MAX_VIEW_AGE);
+        if !old_view && !is_old(host.plan_age(), pace.ask) {
             continue;
         }
         let links: Vec<Rc<Link>> =
@@ -256,23 +267,23 @@
             continue;
         }
         turn += 1;
-        begin_asking(&host, links[turn % links.len()].clone());
+        request_updates(&host, links[turn % links.len()].clone());
     }
 }
 
-async fn ask_newest(host: &Rc<Host>, link: &Rc<Link>) {
+async fn fetch_updates(host: &Rc<Host>, link: &Rc<Link>) {
     let mut known = host.versions();
     loop {
-        let asked = host.now();
-        let answer = link.ask(Question::Newest(known), NEWS_WITHIN).await;
-        let ms = (host.now() - asked).as_millis() as u64;
+        let requested = host.now();
+        let answer = link.ask(Question::Newest(known), UPDATE_TIMEOUT).await;
+        let ms = (host.now() - requested).as_millis() as u64;
         let newest = match answer {
             Ok(Answer::Newest(newest)) => newest,
             Ok(_) => return,
             Err(error) => {
                 host.metrics.unanswered.inc();
                 let (version, error) = (known.plan.0.0, format_args!("{error:#}"));
-                info!(from = %link.host, version, ms, %error, "fleet: not told what is new");
+                info!(from = %link.host, version, ms, %error, "fleet: request for newer state not answered");
                 return;
             }
         };
@@ -280,19 +291,20 @@
         if let Some(evacuations) = &newest.evacuations {
             placement::adopt(host, &link.host, evacuations);
         }
-        let fits = take_newest(host, *newest);
-        if fits || known.view_version == 0 {
+        let applied = apply_updates(host, *newest);
+        if applied || known.view_version == 0 {
             return;
         }
-        info!(from = %link.host, "fleet: changes of the view do not fit, asking for all of it");
+        info!(from = %link.host, "fleet: view changes do not apply, requesting the whole view");
         known = Known { view_version: 0, ..host.versions() };
     }
 }
 
-/// Takes what another host knows; false when its changes of the view do not fit.
-fn take_newest(host: &Rc<Host>, newest: Newest) -> bool {
+/// Applies newer state of another host. Returns false if its changes do not apply to this
+/// host's view.
+fn apply_updates(host: &Rc<Host>, newest: Newest) -> bool {
     let changed = newest.view.map(|changes| changes.onto(host.leased_view.borrow().view()));
-    let fits = !matches!(changed, Some(None));
+    let applied = !matches!(changed, Some(None));
     if let Some(view) = changed.flatten() {
         let shown = host.store_clock.borrow().local(view.clock);
         if let Some(shown) = shown {
@@ -302,6 +314,6 @@
     if let Some(servers) = newest.servers {
         follow::adopt_servers(host, servers);
     }
-    renew(host, newest.known);
-    fits
+    confirm_versions(host, newest.known);
+    applied
 }
