--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -1,4 +1,4 @@
-//! What a host knows of one database group, and its use of the leader.
+//! A host's state of one database group, and its use of the group's leader.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,67 +12,68 @@
 
 use crate::confirm::Receipts;
 
-/// What is taken off the age that a read allows, for the read's way to the
-/// server and its wait for a slot there.
+/// Subtracted from the age that a read allows, for the read's transit to the server and
+/// its wait for a slot there.
 const AGE_MARGIN: Duration = Duration::from_millis(250);
 
-/// How long a leader that a host finds at its start is taken to have led.
-const LONG_AGO: Duration = Duration::from_secs(60);
+/// Assumed duration of leadership for the first leader that a host finds after its start.
+const INITIAL_LEADERSHIP: Duration = Duration::from_secs(60);
 
-/// A database group.
+/// State of a database group.
 pub struct Group {
-    /// Its name.
+    /// Id of the group.
     pub id: GroupId,
-    /// The leader's positions over time.
+    /// Log positions of the leader over time.
     pub ages: RefCell<Ages>,
-    /// The newest of them that this host saw itself and has not sent to others.
+    /// Newest position that this host has read itself and not yet sent to other hosts.
     pub seen: Cell<Option<(Instant, Point)>>,
-    /// What speaks against the leader.
+    /// Evidence that the leader has failed.
     pub suspicion: RefCell<Suspicion>,
-    /// Whether a host task asks the leader how it stands just now.
+    /// Whether a task of this host is probing the leader, or checking the holder of a failover.
     pub probing: Cell<bool>,
-    /// Whether this host is changing the leader.
+    /// Whether this host is performing a failover.
     pub in_failover: Cell<bool>,
-    /// The version of the newest intent to change the leader after which no work
-    /// of this host counts on the old one any more.
+    /// Version of the newest failover intent for which no work of this host relies on the old
+    /// leader any more.
     pub released: Cell<u64>,
-    /// The version of the newest intent whose maker has asked this host itself.
+    /// Version of the newest failover intent whose author has requested the release from
+    /// this host directly.
     pub requested: Cell<u64>,
-    /// What is known of the replicas, and which commits wait for them.
+    /// Received positions of the replicas, and the commits that wait for them.
     pub receipts: Receipts,
-    /// The leader that new work may use.
+    /// Leader that new work may use.
     leader: RefCell<Option<ServerId>>,
-    /// Grows when work begun before must no longer count on its leader.
+    /// Incremented when earlier work must no longer rely on its leader.
     epoch: Cell<u64>,
-    /// Statements and transactions at the leader in this epoch.
-    using: Cell<usize>,
-    /// Since when the leader leads, as far as this host knows.
+    /// Number of statements and transactions that use the leader in this epoch.
+    active_uses: Cell<usize>,
+    /// Time since which the leader leads, as far as this host knows.
     led_since: Cell<Option<Instant>>,
-    /// Since when there has been no leader.
-    since: Cell<Option<Instant>>,
-    changed: Notify,
-    gave_up: Notify,
+    /// Time since which the group has no leader; `None` while it has one.
+    leaderless_since: Cell<Option<Instant>>,
+    leader_changed: Notify,
+    epoch_end: Notify,
 }
 
-/// The right to use the leader for one statement or transaction.
+/// Use of the leader by one statement or transaction; ends when dropped.
 pub struct LeaderUse {
     group: Rc<Group>,
     epoch: u64,
-    /// The leader.
+    /// Server that leads.
     pub server: ServerId,
 }
 
-/// Where a read may run.
+/// Requirement that a read has on its server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Requirement {
-    /// At the leader only.
+    /// The server is the leader.
     Leader,
-    /// Anywhere where the log reaches the point.
+    /// The server's log has reached this position.
     Log(Point),
 }
 
 impl Group {
-    /// A group of which nothing is known but that it has been there since `now`.
+    /// Creates a group without a leader since `now`.
     pub fn new(id: GroupId, now: Instant) -> Rc<Self> {
         Rc::new(Self {
             id,
@@ -87,84 +88,87 @@
             led_since: Cell::default(),
             leader: RefCell::default(),
             epoch: Cell::default(),
-            using: Cell::default(),
-            since: Cell::new(Some(now)),
-            changed: Notify::new(),
-            gave_up: Notify::new(),
+            active_uses: Cell::default(),
+            leaderless_since: Cell::new(Some(now)),
+            leader_changed: Notify::new(),
+            epoch_end: Notify::new(),
         })
     }
 
-    /// The leader that new work may use.
+    /// Returns the leader that new work may use.
     pub fn leader(&self) -> Option<ServerId> {
         self.leader.borrow().clone()
     }
 
-    /// Sets the leader; true when it is another one than before.
+    /// Sets the leader. Returns whether it differs from the previous one.
     pub fn set_leader(&self, leader: Option<ServerId>, now: Instant) -> bool {
         if *self.leader.borrow() == leader {
             return false;
         }
-        let gone = leader.is_none();
+        let leaderless = leader.is_none();
         *self.leader.borrow_mut() = leader;
-        self.since.set(gone.then_some(now));
-        if !gone {
-            // Work of the former leader, and what was known of its log, end with it.
+        self.leaderless_since.set(leaderless.then_some(now));
+        if !leaderless {
+            // Work at the former leader and the state of its log are void.
             self.end_epoch();
             *self.ages.borrow_mut() = Ages::default();
             self.seen.set(None);
             self.suspicion.borrow_mut().answered();
-            // The first leader that a host hears of has led before.
+            // The first leader that a host learns of was leading before.
             let known = self.led_since.get().is_some();
             self.led_since.set(Some(if known {
                 now
             } else {
-                now.checked_sub(LONG_AGO).unwrap_or(now)
+                now.checked_sub(INITIAL_LEADERSHIP).unwrap_or(now)
             }));
             self.receipts.reset();
-            self.changed.notify_waiters();
+            self.leader_changed.notify_waiters();
         }
         true
     }
 
-    /// Since when the leader leads, as far as this host knows.
+    /// Returns the time since which the leader leads, as far as this host knows.
     pub fn led_since(&self) -> Option<Instant> {
         self.led_since.get()
     }
 
-    /// How long there has been no leader.
+    /// Returns how long the group has had no leader; zero while it has one.
     pub fn leaderless_for(&self, now: Instant) -> Duration {
-        self.since.get().map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
+        self.leaderless_since
+            .get()
+            .map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// Work begun before counts on its leader no more.
+    /// Ends the epoch: work that began in it no longer relies on its leader.
     pub fn end_epoch(&self) {
         self.epoch.set(self.epoch.get() + 1);
-        self.using.set(0);
-        self.gave_up.notify_waiters();
+        self.active_uses.set(0);
+        self.epoch_end.notify_waiters();
     }
 
-    /// Whether nothing runs at the leader.
+    /// Returns whether no statement or transaction uses the leader.
     pub fn is_idle(&self) -> bool {
-        self.using.get() == 0
+        self.active_uses.get() == 0
     }
 
-    /// Begins to use the leader.
+    /// Begins to use the leader; `None` without one.
     pub fn begin(self: &Rc<Self>) -> Option<LeaderUse> {
         let server = self.leader()?;
-        self.using.set(self.using.get() + 1);
+        self.active_uses.set(self.active_uses.get() + 1);
         Some(LeaderUse { group: self.clone(), epoch: self.epoch.get(), server })
     }
 
-    /// Waits until there is a leader again, until the deadline at most.
+    /// Waits until the group has a new leader, until the deadline at most.
     pub async fn wait_leader(&self, deadline: monoio::time::Instant) {
-        // The caller looks again either way.
-        let _ = monoio::time::timeout_at(deadline, self.changed.notified()).await;
+        // The calling function checks again in either case.
+        let _ = monoio::time::timeout_at(deadline, self.leader_changed.notified()).await;
     }
 
-    /// What a read must be shown that came at `now`, after a session wrote up to `floor`.
+    /// Returns the requirement of a read that arrived at `now`, in a session that has written
+    /// up to `floor`.
     ///
-    /// A point of an earlier term than the leader's may have been taken back; what
-    /// remains of that term is in every log that reaches the leader's own.
+    /// A position of an earlier term than the leader's may have been rolled back. The part of
+    /// that term that was kept is in every log that has reached the leader's own term.
     pub fn requirement(
         &self,
         currency: Currency,
@@ -190,14 +194,15 @@
 }
 
 impl LeaderUse {
-    /// Waits until work of this epoch counts no more.
+    /// Waits until the epoch of this use has ended.
     pub async fn epoch_ended(&self) {
         while self.holds() {
-            self.group.gave_up.notified().await;
+            self.group.epoch_end.notified().await;
         }
     }
 
-    /// Whether the leader is still the one that was meant, as far as the group knows.
+    /// Returns whether the epoch of this use lasts, so that its leader still leads as far as
+    /// the group knows.
     pub fn holds(&self) -> bool {
         self.group.epoch.get() == self.epoch
     }
@@ -206,7 +211,7 @@
 impl Drop for LeaderUse {
     fn drop(&mut self) {
         if self.holds() {
-            self.group.using.set(self.group.using.get().saturating_sub(1));
+            self.group.active_uses.set(self.group.active_uses.get().saturating_sub(1));
         }
     }
 }
