--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetching a configuration from a host that knows a newer one.
+//! Fetch of a newer configuration from another host.
 
 use std::{rc::Rc, time::Instant};
 
@@ -12,10 +12,11 @@
 
 use crate::{compression, follow, host::Host};
 
-/// Begins to fetch a configuration over that link, or goes on with one that was begun;
-/// nothing while one is being fetched.
+/// Starts to fetch a configuration over a link, or resumes an interrupted fetch. Does nothing
+/// while a fetch is running.
 ///
-/// One that cannot be read here is not fetched again: it would fill the link for ever.
+/// A version that this host cannot decode is not fetched again: repeated fetches would
+/// occupy the link permanently.
 pub fn begin(host: &Rc<Host>, link: &Rc<Link>, revision: Revision) {
     let known = host.version().max(host.unreadable_version.get());
     if revision <= known || host.is_fetching.replace(true) {
@@ -25,16 +26,17 @@
     monoio::spawn(async move {
         let fetch = host.fetch.take().filter(|fetch| fetch.revision > host.version());
         let fetch = fetch.unwrap_or_else(|| Fetch::new(revision));
-        *host.fetch.borrow_mut() = run(&host, &link, fetch).await;
+        *host.fetch.borrow_mut() = fetch_pieces(&host, &link, fetch).await;
         host.is_fetching.set(false);
     });
 }
 
-/// Fetches over one link until all has come; otherwise what is left to be gone on with.
-async fn run(host: &Rc<Host>, link: &Link, mut fetch: Fetch) -> Option<Fetch> {
-    let began = host.now();
+/// Fetches the remaining pieces over one link. Returns the unfinished fetch, for resuming, if
+/// a piece is not received.
+async fn fetch_pieces(host: &Rc<Host>, link: &Link, mut fetch: Fetch) -> Option<Fetch> {
+    let started = host.now();
     loop {
-        let asked = host.now();
+        let requested = host.now();
         let answer = link.ask(Question::Piece(fetch.wanted()), pieces::WITHIN).await;
         let piece = match answer {
             Ok(Answer::Piece(piece)) => piece,
@@ -42,24 +44,24 @@
             Err(error) => {
                 fetch.miss();
                 host.metrics.unanswered.inc();
-                note_miss(host, link, &fetch, asked, &error);
+                log_miss(host, link, &fetch, requested, &error);
                 return Some(fetch);
             }
         };
         let Some(piece) = piece else {
-            info!(version = fetch.revision.0, from = %link.host, "configuration: not to be had there");
+            info!(version = fetch.revision.0, from = %link.host, "configuration: version not available there");
             return None;
         };
-        match take(host, &mut fetch, piece, asked) {
+        match accept_piece(host, &mut fetch, piece, requested) {
             Progress::More => {}
-            Progress::Whole(packed) => {
-                let ms = (host.now() - began).as_millis() as u64;
+            Progress::Whole(compressed) => {
+                let ms = (host.now() - started).as_millis() as u64;
                 info!(
-                    version = fetch.revision.0, from = %link.host, bytes = packed.len(),
+                    version = fetch.revision.0, from = %link.host, bytes = compressed.len(),
                     pieces = fetch.pieces, missed = fetch.missed, ms,
-                    "configuration: told by another host"
+                    "configuration: fetched from another host"
                 );
-                if !adopt(host, packed) {
+                if !adopt(host, compressed) {
                     host.unreadable_version.set(fetch.revision);
                 }
                 if host.version() == fetch.revision {
@@ -69,41 +71,41 @@
             }
             Progress::Anew => {
                 let version = fetch.revision.0;
-                info!(version, from = %link.host, "configuration: pieces do not fit, fetching anew");
+                info!(version, from = %link.host, "configuration: digest mismatch, restarting the fetch");
             }
         }
     }
 }
 
-/// Puts a configuration in force that has been fetched; false when it cannot be read.
-fn adopt(host: &Host, packed: Bytes) -> bool {
-    match compression::decompress(&packed) {
-        Ok(raw) => follow::adopt(host, &raw, |_| packed),
+/// Activates a fetched configuration. Returns false if it cannot be decoded.
+fn adopt(host: &Host, compressed: Bytes) -> bool {
+    match compression::decompress(&compressed) {
+        Ok(raw) => follow::adopt(host, &raw, |_| compressed),
         Err(error) => {
-            warn!(error = %format_args!("{error:#}"), "configuration: cannot be decompressed");
+            warn!(error = %format_args!("{error:#}"), "configuration: decompression failed");
             false
         }
     }
 }
 
-fn take(host: &Host, fetch: &mut Fetch, piece: Piece, asked: Instant) -> Progress {
-    host.metrics.heard.inc_by(piece.bytes.len() as u64);
-    fetch.take(piece, host.now() - asked)
+fn accept_piece(host: &Host, fetch: &mut Fetch, piece: Piece, requested: Instant) -> Progress {
+    host.metrics.received_bytes.inc_by(piece.bytes.len() as u64);
+    fetch.take(piece, host.now() - requested)
 }
 
-fn note_miss(host: &Host, link: &Link, fetch: &Fetch, asked: Instant, error: &anyhow::Error) {
-    let (wanted, ms) = (fetch.wanted(), (host.now() - asked).as_millis() as u64);
+fn log_miss(host: &Host, link: &Link, fetch: &Fetch, requested: Instant, error: &anyhow::Error) {
+    let (wanted, ms) = (fetch.wanted(), (host.now() - requested).as_millis() as u64);
     let error = format_args!("{error:#}");
     info!(
         version = wanted.revision.0, at = wanted.from.0, from = %link.host, ms, %error,
-        "configuration: a piece did not come"
+        "configuration: piece not received"
     );
 }
 
-/// The piece that another host wants.
+/// Returns the piece that another host requests; `None` if this host does not have it.
 pub fn piece(host: &Host, wanted: pieces::Wanted) -> Option<Piece> {
     let piece = host.documents.borrow().piece(wanted);
     let bytes = piece.as_ref().map_or(0, |piece| piece.bytes.len());
-    host.metrics.told.inc_by(bytes as u64);
+    host.metrics.sent_bytes.inc_by(bytes as u64);
     piece
 }
--- a/components/proxy/src/metrics.rs
+++ b/components/proxy/src/metrics.rs
@@ -14,7 +14,7 @@
     registry::Registry,
 };
 
-/// Latencies from 1 ms to 8 s, each bucket twice the one before.
+/// Returns a histogram of latencies from 1 ms to 8 s, in buckets of doubling width.
 fn latencies() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 14))
 }
@@ -34,15 +34,15 @@
     registry: Registry,
     latency: Family<AccountLabel, Histogram, fn() -> Histogram>,
     outcomes: Family<OutcomeLabel, Counter>,
-    /// Statements sent to servers a second time.
+    /// Number of statements sent to a server again.
     pub retries: Counter,
-    /// Bytes of configurations told to other hosts.
-    pub told: Counter,
-    /// Bytes of configurations that other hosts told and that were taken.
-    pub heard: Counter,
-    /// Failure domains that are evacuated.
+    /// Bytes of configurations sent to other hosts.
+    pub sent_bytes: Counter,
+    /// Bytes of configurations received from other hosts.
+    pub received_bytes: Counter,
+    /// Number of evacuated failure domains.
     pub evacuated: Gauge,
-    /// Questions for what is new that other hosts did not answer in time.
+    /// Number of requests for newer state that other hosts did not answer in time.
     pub unanswered: Counter,
 }
 
@@ -59,16 +59,16 @@
         );
         registry.register("statements", "Statements by outcome", outcomes.clone());
         registry.register("retries", "Statements sent to a server again", retries.clone());
-        let (told, heard, unanswered) = <(Counter, Counter, Counter)>::default();
+        let (sent_bytes, received_bytes, unanswered) = <(Counter, Counter, Counter)>::default();
         registry.register(
             "configuration_told_bytes",
             "Bytes of configurations told to other hosts",
-            told.clone(),
+            sent_bytes.clone(),
         );
         registry.register(
             "configuration_heard_bytes",
             "Bytes of configurations that other hosts told in time",
-            heard.clone(),
+            received_bytes.clone(),
         );
         registry.register(
             "news_unanswered",
@@ -81,19 +81,28 @@
             "Failure domains whose servers are sent nothing",
             evacuated.clone(),
         );
-        Self { registry, latency, outcomes, retries, told, heard, evacuated, unanswered }
+        Self {
+            registry,
+            latency,
+            outcomes,
+            retries,
+            sent_bytes,
+            received_bytes,
+            evacuated,
+            unanswered,
+        }
     }
 }
 
 impl Metrics {
-    /// Notes an answered statement.
+    /// Records the outcome and latency of a statement.
     pub fn record_statement(&self, account: &AccountId, outcome: &'static str, took: Duration) {
         let label = AccountLabel { account: account.to_string() };
         self.latency.get_or_create(&label).observe(took.as_secs_f64());
         self.outcomes.get_or_create(&OutcomeLabel { outcome }).inc();
     }
 
-    /// All of them, in the text format.
+    /// Returns all metrics in the Prometheus text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         text::encode(&mut text, &self.registry).expect("writing to memory");
