--- a/components/proxy/src/clock.rs
+++ b/components/proxy/src/clock.rs
@@ -1,15 +1,15 @@
-//! A steady clock that counts the time a machine was suspended.
+//! Monotonic clock that includes the time for which the machine was suspended.
 
 use std::time::{Duration, Instant, SystemTime};
 
 use bergamottrack_coordination::Clock;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The machine's steady clock, suspended time included.
+/// Monotonic clock of the machine that includes suspended time.
 ///
-/// Guards against a lease that outlives its end: the usual steady clock stands
-/// still while a machine is suspended, so a host that wakes would find its lease
-/// as fresh as before, while another leader was promoted.
+/// Prevents the use of an expired lease: the usual monotonic clock stops while a machine is
+/// suspended, so after resuming, a host would see its lease as valid as before although
+/// another leader may have been promoted.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
     start: Instant,
@@ -17,7 +17,7 @@
 }
 
 impl BootClock {
-    /// The clock.
+    /// Creates a clock that starts at the current [`Instant`].
     pub fn new() -> Self {
         Self { start: Instant::now(), offset: since_boot() }
     }
