--- a/components/proxy/src/compression.rs
+++ b/components/proxy/src/compression.rs
@@ -1,7 +1,8 @@
-//! Configurations as they travel between hosts: compressed.
+//! Compression of configurations for transfer between hosts.
 //!
-//! A host that tells all others of its failure domain sends a tenth of the bytes so, which
-//! is what lets a small one do it, and callers of small hosts wait the less for their links.
+//! Compression cuts the bytes that a host sends to all others of its failure domain to a
+//! tenth, so that a small host can do it, and callers of small hosts wait less for their
+//! links.
 
 use std::io::{Read, Write};
 
@@ -9,22 +10,22 @@
 use bytes::Bytes;
 use flate2::{Compression, read::ZlibDecoder, write::ZlibEncoder};
 
-/// The most bytes of a configuration; what claims to be more is damaged.
-const MOST: u64 = 64 << 20;
+/// Maximum size of a decompressed configuration, in bytes; larger input counts as corrupt.
+const MAX_SIZE: u64 = 64 << 20;
 
-/// Compresses a configuration. The fastest way: the best one saves a fifth of the bytes for
-/// twice the time.
+/// Compresses a configuration at the fastest level: the best level saves a fifth of the
+/// bytes but takes twice the time.
 pub fn compress(raw: &[u8]) -> Bytes {
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(raw).expect("writing to memory");
     encoder.finish().expect("writing to memory").into()
 }
 
-/// What was compressed. Fails on bytes that are damaged or claim to hold too much.
+/// Decompresses a configuration. Fails on corrupt input and on output of more than 64 MiB.
 pub fn decompress(compressed: &[u8]) -> anyhow::Result<Vec<u8>> {
     let mut raw = Vec::new();
-    let mut decoder = ZlibDecoder::new(compressed).take(MOST + 1);
+    let mut decoder = ZlibDecoder::new(compressed).take(MAX_SIZE + 1);
     decoder.read_to_end(&mut raw).context("decompressing a configuration")?;
-    anyhow::ensure!(raw.len() as u64 <= MOST, "a configuration of more than {MOST} bytes");
+    anyhow::ensure!(raw.len() as u64 <= MAX_SIZE, "configuration exceeds {MAX_SIZE} bytes");
     Ok(raw)
 }
