--- a/components/proxy/src/lib.rs
+++ b/components/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sessions over pooled connections to backend servers, and who leads each group.
+//! Sessions over pooled connections to backend servers, and failover of group leaders.
 
 pub mod backend;
 pub mod caller;
