--- a/components/proxy/tests/compression.rs
+++ b/components/proxy/tests/compression.rs
@@ -1,9 +1,10 @@
-//! Configurations as they travel between hosts.
+//! Compression of configurations for transfer between hosts.
 
 use bergamottrack_proxy::compression::{compress, decompress};
 use serde_json::json;
 
-/// As many databases as one host tells its whole failure domain of, with names drawn.
+/// Returns a configuration like those that a host sends to its whole failure domain, with
+/// pseudo-random names.
 fn configuration(databases: u32) -> Vec<u8> {
     let kinds = ["primary", "bounded_staleness", "read_own_writes"];
     let route = |n: u32| {
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn what_is_packed_is_a_sixth_at_most_and_comes_out_whole() {
+fn compression_shrinks_to_a_sixth_and_is_lossless() {
     let raw = configuration(4000);
     let compressed = compress(&raw);
     assert!(compressed.len() < raw.len() / 6, "{} of {}", compressed.len(), raw.len());
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn damaged_bytes_are_refused() {
+fn corrupt_input_is_refused() {
     let compressed = compress(&configuration(100));
     assert!(decompress(&compressed[..compressed.len() / 2]).is_err());
     let mut damaged = compressed.to_vec();
@@ -36,9 +37,9 @@
     assert!(decompress(b"{\"version\":7}").is_err());
 }
 
-/// A few hundred KB that would take all of a small host's memory.
+/// Guards against input of a few hundred KB whose output would exhaust a small host's memory.
 #[test]
-fn what_would_fill_the_memory_is_refused() {
+fn input_that_exceeds_the_maximum_size_is_refused() {
     let compressed = compress(&vec![b' '; (64 << 20) + 1]);
     assert!(compressed.len() < 1 << 20);
     assert!(decompress(&compressed).is_err());
--- a/components/proxy/tests/follow.rs
+++ b/components/proxy/tests/follow.rs
@@ -1,4 +1,4 @@
-//! The list of servers, as its rows leave it.
+//! Server list as derived from rows of the store.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use bergamottrack_proxy::follow;
 use serde_json::json;
 
-/// What the store's clock showed.
+/// Store time of the rows.
 const CLOCK: Duration = Duration::from_secs(100);
 
-fn there(id: &str, version: u64) -> Row {
+fn present(id: &str, version: u64) -> Row {
     let entry = json!({"service": "bookings", "zone": "north", "address": "192.0.2.7:8465",
         "version": "v1", "slots": 5, "state": "ready", "coldRemainingMs": 0,
         "databaseRole": "replica", "sequence": 1, "born": 1});
@@ -25,24 +25,25 @@
     name.parse().unwrap()
 }
 
-/// Callers were told for seconds that a group has no leader, though it was well. Its
-/// entry had lapsed in an outage of the store and was back; a host that heard of both
-/// changes at once took the earlier one for the last and dropped the server.
+/// Guards against a healthy leader being dropped from the list, so that callers are refused
+/// for seconds. Its entry expires in a store outage and returns; a host that receives both
+/// changes in one batch must apply the later one.
 #[test]
-fn an_entry_that_lapsed_and_is_back_is_there() {
-    let rows = [removed("s1", 10), removed("s2", 11), there("s1", 12)];
+fn entry_that_expired_and_returned_is_listed() {
+    let rows = [removed("s1", 10), removed("s2", 11), present("s1", 12)];
     let (listed, missing) = follow::left(&rows, Vec::new(), CLOCK);
     assert_eq!(listed.iter().map(|listed| &listed.id).collect::<Vec<_>>(), [&id("s1")]);
     assert_eq!(missing, [id("s2")]);
-    let (listed, missing) = follow::left(&[there("s1", 12), removed("s1", 13)], Vec::new(), CLOCK);
-    assert!(listed.is_empty(), "the last change counts, whichever it is");
+    let (listed, missing) =
+        follow::left(&[present("s1", 12), removed("s1", 13)], Vec::new(), CLOCK);
+    assert!(listed.is_empty(), "the last change of a server applies, whichever it is");
     assert_eq!(missing, [id("s1")]);
 }
 
-/// The whole list is read anew. Servers that are not in it must not stay for ever.
+/// Guards against removed servers that stay listed after the whole list is read again.
 #[test]
-fn servers_without_a_row_are_missing_in_a_whole_list() {
-    let (listed, missing) = follow::left(&[there("s1", 12)], vec![id("s1"), id("s2")], CLOCK);
+fn servers_without_a_row_in_a_whole_list_are_missing() {
+    let (listed, missing) = follow::left(&[present("s1", 12)], vec![id("s1"), id("s2")], CLOCK);
     assert_eq!(listed.len(), 1);
     assert_eq!(missing, [id("s2")]);
 }
