--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -73,7 +73,7 @@
     pub settings: Settings,
     /// Monotonic clock that includes suspended time.
     pub clock: Rc<dyn Clock>,
-    /// Start of the process; origin of the clock values sent to other hosts.
+    /// Start of the host; origin of the clock values sent to other hosts.
     pub started: Instant,
     /// Latest clock value received from each host, and the local time of its arrival.
     pub peer_clocks: RefCell<HashMap<HostId, (Stamp, Instant)>>,
@@ -109,7 +109,7 @@
     pub hub_majority: Cell<Option<Instant>>,
     /// Hosts with an outstanding request for newer state, and its start.
     pub requested: RefCell<HashMap<HostId, Instant>>,
-    /// Time of the last message from each host, and the version of its row at that time.
+    /// Time of the last contact from each host, and the version of its row at that time.
     pub last_contact: RefCell<HashMap<HostId, (Instant, Option<u64>)>>,
     /// Connection pools of the backend servers, by server.
     pub pools: RefCell<HashMap<ServerId, Rc<Pool>>>,
