--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -181,7 +181,7 @@
     pool: &Rc<Pool>,
     deadline: Instant,
 ) -> Option<Result<ServerAnswer, ProbeResult>> {
-    let link = host.settled_holder(pool).await?;
+    let link = host.connect_holder(pool).await?;
     let mut line = BytesMut::new();
     wire::put_status(&mut line);
     let timeout = deadline.saturating_duration_since(Instant::now()).min(HOLDER_TIMEOUT);
--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -25,11 +25,11 @@
         monoio::time::sleep(Duration::from_secs(1)).await;
         let now = host.now();
         record_row_versions(&host, now);
-        let was_isolated = std::mem::replace(&mut isolated, !host.hears_majority());
+        let was_isolated = std::mem::replace(&mut isolated, !host.reaches_majority());
         if was_isolated && !isolated {
             // This host was the one cut off. Without a reset, hosts that were well all the time
             // would be evicted once the cut has healed.
-            host.heard.borrow_mut().values_mut().for_each(|(at, _)| *at = now);
+            host.last_contact.borrow_mut().values_mut().for_each(|(at, _)| *at = now);
         }
         if !host.leased() {
             continue;
@@ -45,13 +45,13 @@
 
 /// Counts a new version of a host's row as contact: the host runs, though no message arrives.
 fn record_row_versions(host: &Host, now: Instant) {
-    let held = host.held.borrow();
-    let mut heard = host.heard.borrow_mut();
-    heard.retain(|id, _| held.view().members.contains_key(id));
-    for (id, row) in &held.view().members {
+    let leased_view = host.leased_view.borrow();
+    let mut last_contact = host.last_contact.borrow_mut();
+    last_contact.retain(|id, _| leased_view.view().members.contains_key(id));
+    for (id, row) in &leased_view.view().members {
         let version = Some(row.version);
-        if heard.get(id).is_none_or(|(_, before)| *before != version) {
-            heard.insert(id.clone(), (now, version));
+        if last_contact.get(id).is_none_or(|(_, before)| *before != version) {
+            last_contact.insert(id.clone(), (now, version));
         }
     }
 }
@@ -62,12 +62,14 @@
     if !host.is_hub() {
         return None;
     }
-    let heard = host.heard.borrow();
+    let last_contact = host.last_contact.borrow();
     let neighbours = host.neighbours.borrow();
-    let held = host.held.borrow();
-    let view = held.view();
+    let leased_view = host.leased_view.borrow();
+    let view = leased_view.view();
     let silent = |id: &HostId| {
-        heard.get(id).is_some_and(|(at, _)| now.saturating_duration_since(*at) > SILENCE_TIMEOUT)
+        last_contact
+            .get(id)
+            .is_some_and(|(at, _)| now.saturating_duration_since(*at) > SILENCE_TIMEOUT)
     };
     for (id, row) in &view.members {
         let expect = vec![(fleet::member_key(id), row.version)];
--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -188,7 +188,7 @@
         sent_at: Instant,
     ) -> anyhow::Result<()> {
         let release = LeaseRelease::new(&view, &host.settings.host, host.now());
-        fleet::learn(host, view.clone(), sent_at);
+        fleet::apply_view(host, view.clone(), sent_at);
         let release = Rc::new(RefCell::new(release));
         let waiting = release.borrow().waiting().to_vec();
         for id in waiting {
@@ -397,7 +397,7 @@
                 let row = view.groups.get(&group.id);
                 if row.is_none_or(|row| row.version != self.intent) {
                     let row = row.cloned();
-                    fleet::learn(host, view, sent_at);
+                    fleet::apply_view(host, view, sent_at);
                     row.into_iter().for_each(|row| notify_hosts(host, &group.id, &row));
                     return Ok(());
                 }
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use tracing::{debug, info, warn};
 
-use crate::{host::Host, packed, placement};
+use crate::{compression, host::Host, placement};
 
 /// Timeout of a call to the store until its answer begins, added to the wait of a long poll.
 /// On the store's slowest days an answer takes sixty times as long as usual, 250 ms.
@@ -60,7 +60,8 @@
     let mut unreachable = false;
     // In a large fleet a new host receives the tables from its hub: the store has capacity for
     // the calls of a few hosts a second, not of all at once.
-    let first_read = host.now() + if host.may_be_hub() { Duration::ZERO } else { HUB_TIMEOUT };
+    let first_read =
+        host.now() + if host.is_hub_candidate() { Duration::ZERO } else { HUB_TIMEOUT };
     loop {
         if !needed() || (after.is_none() && host.now() < first_read) {
             monoio::time::sleep(CHECK_INTERVAL).await;
@@ -124,24 +125,24 @@
         let plans = rows.rows.iter().filter(|row| &*row.key == configuration::KEY && !row.removed);
         let mut readable = true;
         for row in plans {
-            readable &= adopt(&host, &row.value, packed::pack);
+            readable &= adopt(&host, &row.value, compression::compress);
         }
         if readable {
-            host.shelf.borrow_mut().confirm(rows.clock);
+            host.documents.borrow_mut().confirm(rows.clock);
         }
     };
     let pace = freshness::PollIntervals::for_bound(host.settings.apply.min(host.settings.evacuate));
-    let needed = || host.is_reader() || host.plan_age().is_none_or(|age| age > pace.read);
+    let needed = || host.reads_store() || host.plan_age().is_none_or(|age| age > pace.read);
     follow(&host, Table::Configuration, pace.wait, needed, apply).await
 }
 
 /// Decodes a configuration and puts it in force if it is newer; returns false if it cannot be
-/// decoded. `pack` packs it for other hosts.
-pub fn adopt(host: &Host, raw: &[u8], pack: impl FnOnce(&[u8]) -> Bytes) -> bool {
+/// decoded. `compress` packs it for other hosts.
+pub fn adopt(host: &Host, raw: &[u8], compress: impl FnOnce(&[u8]) -> Bytes) -> bool {
     match configuration::decode(raw) {
         Ok(plan) if host.plan().is_some_and(|known| plan.version <= known.version) => true,
         Ok(plan) => {
-            host.set_plan(plan, pack(raw));
+            host.set_plan(plan, compress(raw));
             true
         }
         Err(error) => {
@@ -160,15 +161,15 @@
         let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
         let expected = if whole { known } else { Vec::new() };
         let (listed, missing) = resolve_entries(&rows.rows, expected, rows.clock);
-        listed.into_iter().for_each(|listed| host.list(listed));
+        listed.into_iter().for_each(|listed| host.upsert_server(listed));
         missing.into_iter().for_each(|id| schedule_removal(&host, id));
         host.servers_clock.set(host.servers_clock.get().max(rows.clock));
-        host.stamp_servers();
+        host.update_servers_stamp();
         host.refresh();
     };
     let needed = || {
-        let age = host.age_of(host.servers_clock.get());
-        host.is_reader() || age.is_none_or(|age| age > MAX_SERVERS_AGE)
+        let age = host.store_age(host.servers_clock.get());
+        host.reads_store() || age.is_none_or(|age| age > MAX_SERVERS_AGE)
     };
     follow(&host, Table::Servers, SERVERS_POLL_TIMEOUT, needed, apply).await
 }
@@ -182,8 +183,8 @@
     let is_listed = |id: &ServerId| listed.iter().any(|listed| listed.id == *id);
     let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
     known.into_iter().filter(|id| !is_listed(id)).for_each(|id| schedule_removal(host, id));
-    listed.into_iter().for_each(|listed| host.list(listed));
-    host.stamp_servers();
+    listed.into_iter().for_each(|listed| host.upsert_server(listed));
+    host.update_servers_stamp();
     host.refresh();
 }
 
@@ -243,8 +244,8 @@
     monoio::time::sleep(MISSING_ENTRY_TTL).await;
     let still_missing = host.missing.borrow().get(&id) == Some(&occurrence);
     if still_missing {
-        host.unlist(&id);
-        host.stamp_servers();
+        host.remove_server(&id);
+        host.update_servers_stamp();
         host.refresh();
     }
 }
--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -141,7 +141,7 @@
         return Err(NotSent::Evacuated);
     }
     if let Some(work) = errand.work.filter(|_| !errand.opens) {
-        let idle = host.works.idle.borrow_mut().remove(&(from.clone(), work));
+        let idle = host.remote_transactions.idle.borrow_mut().remove(&(from.clone(), work));
         let idle = idle.ok_or(NotSent::Closed)?;
         let until = monoio::time::Instant::now() + errand.within();
         let permit = pool.enter_in_transaction(until).await.map_err(conn::queue_full)?;
@@ -221,7 +221,7 @@
     match open {
         Some(work) => {
             let transaction = IdleTransaction { leased, since: host.now(), watch };
-            host.works.store((from, work), transaction);
+            host.remote_transactions.store((from, work), transaction);
         }
         None if leased.backend().is_clean(answer) => leased.give_back(),
         None => {}
--- a/components/proxy/src/lib.rs
+++ b/components/proxy/src/lib.rs
@@ -1,8 +1,9 @@
-//! Sessions over pooled connections to backend servers, and who leads each group.
+//! Sessions over pooled connections to backend servers, and failover of group leaders.
 
 pub mod backend;
 pub mod caller;
 pub mod clock;
+pub mod compression;
 pub mod confirm;
 pub mod conn;
 pub mod eviction;
@@ -14,10 +15,9 @@
 pub mod gossip;
 pub mod group;
 pub mod host;
-pub mod measure;
+pub mod metrics;
 pub mod monitor;
 pub mod operation;
-pub mod packed;
 pub mod placement;
 pub mod pool;
 pub mod positions;
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -59,20 +59,20 @@
 }
 
 fn check(host: &Rc<Host>, group: &Rc<Group>) {
-    if group.moved.get() || host.servers(&group.id).is_empty() {
+    if group.in_failover.get() || host.servers(&group.id).is_empty() {
         return;
     }
     let now = host.now();
-    let leadership = host.held.borrow().leadership(&group.id).map(|row| row.value.clone());
+    let leadership = host.leased_view.borrow().leadership(&group.id).map(|row| row.value.clone());
     if let Some(Leadership::Moving { holder, since, planned, from, .. }) = leadership {
-        if !group.probed.replace(true) {
+        if !group.probing.replace(true) {
             let takeover = take_over(host.clone(), group.clone(), holder, since, planned, from);
             monoio::spawn(takeover);
         }
         return;
     }
     let Some(leader) = group.leader() else {
-        if group.leaderless(now) > LEADERLESS_TIMEOUT {
+        if group.leaderless_for(now) > LEADERLESS_TIMEOUT {
             start_failover(host, group, None, false, "the group has no known leader");
         }
         return;
@@ -95,11 +95,13 @@
     let silent = pool.health.borrow().unanswered_for(now).max(pool.exchanges.borrow().lasts(now));
     let probes = silent > suspicion::SILENCE_TIMEOUT
         || group.suspicion.borrow().advice(now) == Advice::AskReplicas;
-    if probes && !group.probed.replace(true) {
+    if probes && !group.probing.replace(true) {
         monoio::spawn(probe(host.clone(), group.clone(), pool, now));
     }
-    let led = group.led();
-    if led.is_some_and(|led| group.receipts.state.borrow().is_partitioned(led, now)) {
+    let led_since = group.led_since();
+    if led_since
+        .is_some_and(|led_since| group.receipts.state.borrow().is_partitioned(led_since, now))
+    {
         return start_failover(
             host,
             group,
@@ -146,7 +148,7 @@
     match holder_last_contact(&host, &leader).await {
         Some(elapsed) if elapsed < suspicion::SILENCE_TIMEOUT => {
             group.suspicion.borrow_mut().answered();
-            group.probed.set(false);
+            group.probing.set(false);
             return;
         }
         Some(elapsed) if elapsed < suspicion::HOLDER_GRACE => {
@@ -155,13 +157,13 @@
                 "leader: silent, probing is left to the holder of its connections"
             );
             group.suspicion.borrow_mut().reset_silence();
-            group.probed.set(false);
+            group.probing.set(false);
             return;
         }
         _ => monoio::time::sleep(probe_delay(&host, &group)).await,
     }
     if group.leader().as_ref() != Some(&server) {
-        group.probed.set(false);
+        group.probing.set(false);
         return;
     }
     let replicas = host.servers(&group.id);
@@ -193,7 +195,7 @@
             info!(group = %group.id, %server, ?advice, "leader: no answer to a status request");
         }
     }
-    group.probed.set(false);
+    group.probing.set(false);
 }
 
 /// Returns the time since a server last answered the host that holds its connections; `None`
@@ -212,8 +214,8 @@
 
 /// Returns the delay after which this host acts on a group's leader, by its rank among all hosts.
 fn probe_delay(host: &Host, group: &Group) -> Duration {
-    let held = host.held.borrow();
-    let hosts: Vec<_> = held.view().members.keys().cloned().collect();
+    let leased_view = host.leased_view.borrow();
+    let hosts: Vec<_> = leased_view.view().members.keys().cloned().collect();
     let order = rendezvous::order(group.id.as_str(), &hosts);
     let rank = order.iter().position(|id| **id == host.settings.host);
     suspicion::stagger_delay(rank.unwrap_or(hosts.len()))
@@ -254,8 +256,8 @@
 
 /// Returns the time of the store's clock, or up to a few milliseconds more.
 pub fn store_now(host: &Host) -> Duration {
-    let held = host.held.borrow();
-    held.view().clock + held.age(host.now()).unwrap_or_default()
+    let leased_view = host.leased_view.borrow();
+    leased_view.view().clock + leased_view.age(host.now()).unwrap_or_default()
 }
 
 /// Takes over a failover if the host that runs it is dead or has exceeded its time limit, [`FAILOVER_TTL`].
@@ -273,7 +275,7 @@
         monoio::time::sleep(TAKEOVER_DELAY).await;
     }
     let late = store_now(&host) > since + FAILOVER_TTL + FAILOVER_MARGIN;
-    let pending = host.held.borrow().leadership(&group.id).is_some_and(
+    let pending = host.leased_view.borrow().leadership(&group.id).is_some_and(
         |row| matches!(&row.value, Leadership::Moving { since: now, .. } if *now == since),
     );
     if pending && (late || dead) {
@@ -282,13 +284,13 @@
     } else {
         monoio::time::sleep(TAKEOVER_DELAY).await;
     }
-    group.probed.set(false);
+    group.probing.set(false);
 }
 
 /// Whether no process of the host runs: its machine refuses connections.
 pub async fn is_dead(host: &Host, id: &HostId) -> bool {
-    let Some(peer) = host.peer(id) else { return false };
-    let dial = monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer)).await;
+    let Some(peer_address) = host.peer_address(id) else { return false };
+    let dial = monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer_address)).await;
     matches!(dial, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
@@ -299,21 +301,21 @@
     planned: bool,
     why: &'static str,
 ) {
-    group.moved.set(true);
+    group.in_failover.set(true);
     let from_text = from.as_ref().map(tracing::field::display);
     info!(group = %group.id, from = from_text, planned, why, "leader: failover scheduled");
     let (host, group) = (host.clone(), group.clone());
     // The decision was made on this row: an intent that another host has written meanwhile
     // must not be overwritten.
-    let before = host.held.borrow().leadership(&group.id).cloned();
+    let before = host.leased_view.borrow().leadership(&group.id).cloned();
     monoio::spawn(async move {
         // Hosts decide at the same time; the first to write the intent runs the failover.
         let delay = probe_delay(&host, &group) + Duration::from_millis(rand::random_range(0..40));
         monoio::time::sleep(delay).await;
-        let version = host.held.borrow().leadership(&group.id).map(|row| row.version);
+        let version = host.leased_view.borrow().leadership(&group.id).map(|row| row.version);
         if version != before.as_ref().map(|row| row.version) {
             info!(group = %group.id, "leader: another host runs the failover");
-            group.moved.set(false);
+            group.in_failover.set(false);
             return;
         }
         let failover = Failover::begin(&host, &group, before, from, planned).await;
@@ -334,6 +336,6 @@
         }
         host.look.notify_one();
         monoio::time::sleep(CHECK_INTERVAL).await;
-        group.moved.set(false);
+        group.in_failover.set(false);
     });
 }
--- a/components/proxy/src/operation.rs
+++ b/components/proxy/src/operation.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     confirm,
-    group::{Group, Use},
+    group::{Group, LeaderUse},
     host::Host,
     placement,
     pool::Pool,
@@ -150,11 +150,11 @@
         if !host.leased() {
             return Err(Refusal::busy("this host cannot show who leads"));
         }
-        let stalled = operation.group.leaderless(host.now()) > FAILOVER_STALL_TIMEOUT;
+        let stalled = operation.group.leaderless_for(host.now()) > FAILOVER_STALL_TIMEOUT;
         if stalled || Instant::now() >= until {
             return Err(Refusal::busy("the group has no leader now"));
         }
-        operation.group.wait_changed(until).await;
+        operation.group.wait_leader(until).await;
     }
 }
 
@@ -221,7 +221,7 @@
     host: &Rc<Host>,
     operation: &Operation,
     answer: &ServerAnswer,
-    usage: Option<&Use>,
+    usage: Option<&LeaderUse>,
 ) -> Result<(), &'static str> {
     let (None, Some(commit)) = (answer.failure(), answer.point) else { return Ok(()) };
     confirm::wait(host, &operation.group, commit).await?;
@@ -276,7 +276,7 @@
         for (i, target) in targets.into_iter().take(count).enumerate() {
             attempts += 1;
             if attempts > 1 {
-                host.measures.retries.inc();
+                host.metrics.retries.inc();
             }
             let info = TargetInfo::new(&target);
             match attempt(host, operation, session, request, target, i + 1 == count).await {
@@ -300,7 +300,7 @@
         if last_refusal.overloaded || attempts >= MAX_ATTEMPTS || Instant::now() >= until {
             return Err(last_refusal);
         }
-        operation.group.wait_changed(until.min(Instant::now() + RETRY_DELAY)).await;
+        operation.group.wait_leader(until.min(Instant::now() + RETRY_DELAY)).await;
     }
 }
 
@@ -318,7 +318,7 @@
         for target in targets.into_iter().take(MAX_ATTEMPTS - attempts) {
             attempts += 1;
             if attempts > 1 {
-                host.measures.retries.inc();
+                host.metrics.retries.inc();
             }
             let info = TargetInfo::new(&target);
             match begin(host, operation, session, target).await {
@@ -335,7 +335,7 @@
         if last_refusal.overloaded || attempts >= MAX_ATTEMPTS || Instant::now() >= until {
             return Err(last_refusal);
         }
-        operation.group.wait_changed(until.min(Instant::now() + RETRY_DELAY)).await;
+        operation.group.wait_leader(until.min(Instant::now() + RETRY_DELAY)).await;
     }
 }
 
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -36,8 +36,8 @@
     if homes.is_unrestricted() {
         return true;
     }
-    let held = host.held.borrow();
-    let member = held.view().members.get(holder);
+    let leased_view = host.leased_view.borrow();
+    let member = leased_view.view().members.get(holder);
     member.is_some_and(|member| homes.allow(region(host, &member.value.domain)))
 }
 
@@ -48,7 +48,7 @@
     pool: &pool::Pool,
     homes: &homes::Homes,
 ) -> Option<Rc<link::Link>> {
-    let link = host.settled_holder(pool).await?;
+    let link = host.connect_holder(pool).await?;
     may_forward(host, &link.host, homes).then_some(link)
 }
 
@@ -133,7 +133,7 @@
         return;
     }
     let (from, clock) = (from.map(tracing::field::display), after.clock());
-    let age_ms = host.age_of(clock).map(|age| age.as_millis() as u64);
+    let age_ms = host.store_age(clock).map(|age| age.as_millis() as u64);
     let has_servers = |domain: &ids::FailureDomain| {
         host.pools.borrow().values().any(|pool| pool.listed.borrow().domain == *domain)
     };
@@ -144,7 +144,7 @@
     for (domain, version) in old.difference(&new) {
         info!(%domain, version, age_ms, from, "evacuation: withdrawn");
     }
-    host.measures.evacuated.set(new.len() as i64);
+    host.metrics.evacuated.set(new.len() as i64);
     let pools = host.pools.borrow();
     let evacuated = |pool: &&Rc<pool::Pool>| {
         new.iter().any(|(domain, _)| *domain == pool.listed.borrow().domain)
--- a/components/proxy/src/positions.rs
+++ b/components/proxy/src/positions.rs
@@ -60,7 +60,7 @@
 pub fn apply_heartbeat(host: &Host, beat: &Heartbeat) {
     // A clock reading of an earlier process of this host has another origin.
     if let Some(echo) = beat.echo.filter(|echo| echo.run == host.run) {
-        apply(host, host.began + echo.clock, &beat.seen);
+        apply(host, host.started + echo.clock, &beat.seen);
     }
 }
 
--- a/components/proxy/src/session.rs
+++ b/components/proxy/src/session.rs
@@ -328,7 +328,7 @@
         if !self.host.may_serve() {
             return Err(Refusal::busy("this host cannot show that its configuration is in force"));
         }
-        let (route, account) = self.host.find(&self.database, &self.key);
+        let (route, account) = self.host.resolve(&self.database, &self.key);
         let Some(route) = route else {
             return Err(Refusal::new(Failure::NoDatabase, "there is no such database"));
         };
@@ -412,7 +412,7 @@
             }
             Err(refusal) => ("refused", 0, refusal.reason),
         };
-        self.host.measures.answered(&operation.account, outcome, took);
+        self.host.metrics.record_statement(&operation.account, outcome, took);
         let point = answer.as_ref().ok().and_then(|(answer, _)| answer.point);
         info!(
             id = %request.id, verb, account = %operation.account, group = %operation.group.id,
--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     conn::{self, Conn, QueueParams},
-    group::{Need, Use},
+    group::{LeaderUse, Requirement},
     host::Host,
     operation::{Operation, Refusal},
     placement,
@@ -35,7 +35,7 @@
     /// Log position that the server must have reached; `None` at the leader.
     pub required_position: Option<Point>,
     /// Permission to use the server as leader, if it is the leader.
-    pub usage: Option<Use>,
+    pub usage: Option<LeaderUse>,
 }
 
 /// Description of a target for the log.
@@ -67,7 +67,7 @@
     /// The connection.
     pub conn: Conn,
     /// Permission to use the leader, if the server is the leader.
-    pub usage: Option<Use>,
+    pub usage: Option<LeaderUse>,
     /// Log position that the server must have reached; `None` at the leader.
     pub required_position: Option<Point>,
     /// Whether the transaction has sent a write.
@@ -77,15 +77,15 @@
 /// Selects the servers that may run the operation now, best first; may return none.
 pub fn select(host: &Host, operation: &Operation) -> Vec<Target> {
     let now = host.now();
-    let need = match operation.access {
-        Access::Write => Need::Leader,
-        Access::Read => operation.group.need(operation.currency, operation.last_write, now),
+    let requirement = match operation.access {
+        Access::Write => Requirement::Leader,
+        Access::Read => operation.group.requirement(operation.currency, operation.last_write, now),
     };
     let leader =
         host.begin(&operation.group).filter(|usage| leader_allowed(host, operation, usage));
-    let required_position = match need {
-        Need::Log(point) => Some(point),
-        Need::Leader => None,
+    let required_position = match requirement {
+        Requirement::Log(point) => Some(point),
+        Requirement::Leader => None,
     };
     let Some(required_position) = required_position else {
         let target = leader.and_then(|usage| {
@@ -164,7 +164,7 @@
 }
 
 /// Returns whether the leader's location allows it to run the operation.
-fn leader_allowed(host: &Host, operation: &Operation, usage: &Use) -> bool {
+fn leader_allowed(host: &Host, operation: &Operation, usage: &LeaderUse) -> bool {
     let pool = host.server(&usage.server);
     pool.is_some_and(|pool| {
         !placement::is_forbidden(host, &pool) && placement::is_home(host, &pool, &operation.homes)
@@ -268,7 +268,7 @@
     pool.health.borrow_mut().begin(sent_at);
     let revoked = async {
         match &execution.usage {
-            Some(usage) => usage.given_up().await,
+            Some(usage) => usage.epoch_ended().await,
             None => std::future::pending().await,
         }
     };
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -49,7 +49,7 @@
 /// Decides on this host whether the account's rate limit admits a request.
 pub fn admit(host: &Host, account: &AccountId, rate: Rate, burst: Burst) -> Ruling {
     let now = host.now();
-    host.admits.set(Some(now));
+    host.last_admission.set(Some(now));
     host.demand.borrow_mut().take(account, rate, burst, now)
 }
 
@@ -74,7 +74,7 @@
 /// `REPORT_DURATION` after it admitted a request in place of one.
 pub fn is_reporter(host: &Host) -> bool {
     let recent = |at| host.now().saturating_duration_since(at) < REPORT_DURATION;
-    host.is_hub() || host.admits.get().is_some_and(recent)
+    host.is_hub() || host.last_admission.get().is_some_and(recent)
 }
 
 /// Frees the rate shares of hub candidates whose process is gone, so that this host can use the
