--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -64,7 +64,7 @@
         Ok(_) => None,
         Err(error) => {
             let error = format_args!("{error:#}");
-            info!(id, hub = %link.host, account = %account.id, %error, "rates: no answer from hub, trying the next one");
+            info!(id, hub = %link.host, account = %account.id, %error, "rates: no answer from hub, asking the next host");
             None
         }
     }
