--- a/components/coordination/src/bucket.rs
+++ b/components/coordination/src/bucket.rs
@@ -1,14 +1,13 @@
-//! One account's tokens at one host, and the loans between hosts.
+//! Token bucket of one account at one host, with loans between hosts.
 //!
-//! What is promised: over any time `t` all hosts together hand out at most
-//! `rate * t + burst` tokens. Why it holds: call the stock the sum of all
-//! hosts' own tokens and of all lent tokens that can still be spent. It grows
-//! only by refilling, by `rate` in all. A host that lends deducts before it
-//! answers, and counts the loan against its own ceiling for as long as the loan
-//! can be spent; so own tokens and loans of a host never exceed its part of the
-//! burst, and the stock never exceeds the whole. A lost message loses tokens.
-//! A doubled or late one makes none: a loan is received once, under the number
-//! that it was asked with, and only while that question is open.
+//! Invariant: over any time `t` all hosts together hand out at most `rate * t + burst`
+//! tokens. Proof: let the stock be the sum of all hosts' own tokens and of all lent tokens
+//! that can still be spent. The stock grows only by refilling, by `rate` in total. A lender
+//! deducts tokens before it answers, and counts the loan against its own ceiling for as
+//! long as the loan can be spent; so the own tokens and loans of a host never exceed its
+//! part of the burst, and the stock never exceeds the whole burst. A lost message loses
+//! tokens. A duplicated or late message creates none: a loan is received once, under the id
+//! of its request, and only while that request is pending.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -17,27 +16,27 @@
 
 use crate::{HostId, shares::Share};
 
-/// How long a loan may be spent, from when it was asked for.
-pub const SPENT_WITHIN: Duration = Duration::from_millis(400);
+/// Time after the request during which a loan may be spent.
+pub const LOAN_TTL: Duration = Duration::from_millis(400);
 
-/// How long a host that lends counts a loan against its ceiling, from when it
-/// lent. Longer than [`SPENT_WITHIN`] by what two clocks may differ; the loan
-/// was asked for before it was lent.
-pub const HELD_FOR: Duration = Duration::from_millis(500);
+/// Time after lending during which the lender counts a loan against its ceiling. Longer
+/// than [`LOAN_TTL`] by the possible difference of two clocks; the loan is always requested
+/// before it is lent.
+pub const LENDER_HOLD_TTL: Duration = Duration::from_millis(500);
 
-/// The time over which demand is measured and for which tokens are borrowed ahead.
-pub const AHEAD: Duration = Duration::from_millis(200);
+/// Time over which demand is measured, and for which tokens are borrowed in advance.
+pub const DEMAND_WINDOW: Duration = Duration::from_millis(200);
 
-/// Number of a loan; each question of a host has its own.
-pub type LoanNo = u64;
+/// Id of a loan; each loan request of a host has its own.
+pub type LoanId = u64;
 
 /// Tokens lent to another host.
 #[derive(Clone, Debug)]
 struct Lent {
     borrower: HostId,
-    no: LoanNo,
+    id: LoanId,
     tokens: f64,
-    /// Until when it counts against the ceiling.
+    /// Time until which the loan counts against the ceiling.
     until: Instant,
 }
 
@@ -45,84 +44,86 @@
 #[derive(Clone, Debug)]
 struct Borrowed {
     lender: HostId,
-    no: LoanNo,
+    id: LoanId,
     tokens: f64,
-    /// Until when it may be spent.
+    /// Time until which the loan may be spent.
     until: Instant,
 }
 
-/// A question that waits for its answer.
+/// A pending loan request.
 #[derive(Clone, Debug)]
-struct Asked {
+struct LoanRequest {
     lender: HostId,
-    at: Instant,
+    sent: Instant,
 }
 
-/// One account's tokens at one host.
+/// Token bucket of one account at one host.
 #[derive(Debug)]
 pub struct Bucket {
     share: Share,
-    /// Own tokens; with `lent` at most the share's burst.
+    /// Own tokens; together with `lent` at most the burst of `share`.
     level: f64,
-    /// Up to when `level` has been refilled.
-    filled: Instant,
-    /// Loans that may still be spent elsewhere, in order of their ends.
+    /// Time up to which `level` has been refilled.
+    refilled: Instant,
+    /// Loans that may still be spent by other hosts, ordered by end time.
     lent: VecDeque<Lent>,
-    /// Loans that may be spent here, in order of their ends.
+    /// Loans that may be spent here, ordered by end time.
     borrowed: Vec<Borrowed>,
-    asked: HashMap<LoanNo, Asked>,
-    /// Loans of which nothing will be spent any more, by lender.
-    finished: HashMap<HostId, Vec<LoanNo>>,
-    next_no: LoanNo,
-    /// Tokens wanted, fading over [`AHEAD`].
+    pending: HashMap<LoanId, LoanRequest>,
+    /// Ended loans not yet reported to their lenders, by lender.
+    ended: HashMap<HostId, Vec<LoanId>>,
+    next_id: LoanId,
+    /// Demand in tokens, decaying with time constant [`DEMAND_WINDOW`].
     demand: f64,
-    wanted: Instant,
+    /// Time of the last request that counted as demand.
+    last_demand: Instant,
 }
 
 impl Bucket {
-    /// An empty bucket. `first_no` is random, so that a restarted host's loans
-    /// are not taken for those of before.
-    pub fn new(share: Share, first_no: LoanNo, now: Instant) -> Self {
+    /// Creates an empty bucket. `first_id` must be random, so that loans of a restarted
+    /// host are not mistaken for those before the restart.
+    pub fn new(share: Share, first_id: LoanId, now: Instant) -> Self {
         Self {
             share,
             level: 0.0,
-            filled: now,
+            refilled: now,
             lent: VecDeque::new(),
             borrowed: Vec::new(),
-            asked: HashMap::new(),
-            finished: HashMap::new(),
-            next_no: first_no,
+            pending: HashMap::new(),
+            ended: HashMap::new(),
+            next_id: first_id,
             demand: 0.0,
-            wanted: now,
+            last_demand: now,
         }
     }
 
-    /// Fills it; only for an account of which nobody can have used anything.
+    /// Fills the bucket; allowed only if no host can have used tokens of the account yet.
     pub fn fill(&mut self) {
         self.level = self.ceiling();
     }
 
-    /// Sets this host's part; what stands above it is dropped at once.
+    /// Sets this host's part of the contract; tokens above its burst are dropped
+    /// immediately.
     pub fn set_share(&mut self, share: Share, now: Instant) {
         self.refill(now);
         self.share = share;
         self.level = self.level.min(self.ceiling());
     }
 
-    /// This host's part.
+    /// Returns this host's part of the contract.
     pub fn share(&self) -> Share {
         self.share
     }
 
-    /// Takes one token, if there is one. Each call counts as demand.
+    /// Takes one token, if available. Each call counts as demand.
     pub fn take(&mut self, now: Instant) -> bool {
         self.demand = self.demand(now) + 1.0;
-        self.wanted = now;
-        self.retake(now)
+        self.last_demand = now;
+        self.take_counted(now)
     }
 
-    /// Takes one token for a request that has been counted as demand.
-    pub fn retake(&mut self, now: Instant) -> bool {
+    /// Takes one token for a request that was already counted as demand.
+    pub fn take_counted(&mut self, now: Instant) -> bool {
         if self.tokens(now) < 1.0 {
             return false;
         }
@@ -133,84 +134,86 @@
             due -= part;
         }
         self.level -= due;
-        self.finish(|loan| loan.tokens <= 0.0);
+        self.end_loans(|loan| loan.tokens <= 0.0);
         true
     }
 
-    /// Tokens that can be spent now.
+    /// Returns the number of tokens that can be spent now, borrowed ones included.
     pub fn tokens(&mut self, now: Instant) -> f64 {
         self.refill(now);
-        self.finish(|loan| now >= loan.until);
+        self.end_loans(|loan| now >= loan.until);
         self.level + self.borrowed.iter().map(|loan| loan.tokens).sum::<f64>()
     }
 
-    /// Tokens to borrow for `waiting` requests and those expected soon.
+    /// Returns the number of tokens to borrow for `waiting` requests and the demand
+    /// expected in the next [`DEMAND_WINDOW`].
     pub fn want(&mut self, waiting: usize, now: Instant) -> f64 {
-        let soon = self.demand(now) - self.share.rate.0 * AHEAD.as_secs_f64();
-        (waiting as f64 + soon.max(0.0) - self.tokens(now)).max(0.0).ceil()
+        let shortage = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
+        (waiting as f64 + shortage.max(0.0) - self.tokens(now)).max(0.0).ceil()
     }
 
-    /// Begins to ask `lender`; gives the loan's number, and the numbers of that
-    /// lender's loans that are over.
-    pub fn ask(&mut self, lender: &HostId, now: Instant) -> (LoanNo, Vec<LoanNo>) {
-        let no = self.next_no;
-        self.next_no = self.next_no.wrapping_add(1);
-        self.asked.insert(no, Asked { lender: lender.clone(), at: now });
-        (no, self.finished.remove(lender).unwrap_or_default())
+    /// Starts a loan request to `lender`; returns the id of the loan, and the ids of ended
+    /// loans of that lender.
+    pub fn ask(&mut self, lender: &HostId, now: Instant) -> (LoanId, Vec<LoanId>) {
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1);
+        self.pending.insert(id, LoanRequest { lender: lender.clone(), sent: now });
+        (id, self.ended.remove(lender).unwrap_or_default())
     }
 
-    /// Receives a loan. One that was not asked for, was received before or
-    /// comes too late is dropped.
-    pub fn receive(&mut self, no: LoanNo, tokens: f64, now: Instant) {
-        let Some(asked) = self.asked.remove(&no) else { return };
-        let until = asked.at + SPENT_WITHIN;
+    /// Adds a loan. A loan that was not requested, was already received or arrives too late
+    /// is dropped.
+    pub fn receive(&mut self, id: LoanId, tokens: f64, now: Instant) {
+        let Some(request) = self.pending.remove(&id) else { return };
+        let until = request.sent + LOAN_TTL;
         if now >= until || tokens <= 0.0 {
-            return self.finished.entry(asked.lender).or_default().push(no);
+            return self.ended.entry(request.lender).or_default().push(id);
         }
-        let place = self.borrowed.partition_point(|loan| loan.until <= until);
-        self.borrowed.insert(place, Borrowed { lender: asked.lender, no, tokens, until });
+        let index = self.borrowed.partition_point(|loan| loan.until <= until);
+        self.borrowed.insert(index, Borrowed { lender: request.lender, id, tokens, until });
     }
 
-    /// Gives a question up: its answer will be dropped.
-    pub fn abandon(&mut self, no: LoanNo) {
-        if let Some(asked) = self.asked.remove(&no) {
-            self.finished.entry(asked.lender).or_default().push(no);
+    /// Abandons a loan request; its answer will be dropped.
+    pub fn abandon(&mut self, id: LoanId) {
+        if let Some(request) = self.pending.remove(&id) {
+            self.ended.entry(request.lender).or_default().push(id);
         }
     }
 
-    /// Lends up to `wanted` tokens, but not what is wanted here soon. The
-    /// borrower's loans that are over count against the ceiling no longer.
+    /// Lends up to `requested` tokens, excluding those needed here soon. Loans in `ended`
+    /// no longer count against the ceiling.
     ///
-    /// Only whole tokens: parts of one would lie at several hosts and run out
-    /// there before they make a whole.
+    /// Lends whole tokens only: fractions would be spread over several hosts and expire
+    /// there before they add up to a whole token.
     pub fn lend(
         &mut self,
         borrower: &HostId,
-        no: LoanNo,
-        wanted: f64,
-        over: &[LoanNo],
+        id: LoanId,
+        requested: f64,
+        ended: &[LoanId],
         now: Instant,
     ) -> f64 {
         self.refill(now);
-        self.lent.retain(|loan| loan.borrower != *borrower || !over.contains(&loan.no));
-        let tokens = self.spare(now).min(wanted).floor();
+        self.lent.retain(|loan| loan.borrower != *borrower || !ended.contains(&loan.id));
+        let tokens = self.spare(now).min(requested).floor();
         if tokens.is_nan() || tokens < 1.0 {
             return 0.0;
         }
         self.level -= tokens;
-        let (borrower, until) = (borrower.clone(), now + HELD_FOR);
-        self.lent.push_back(Lent { borrower, no, tokens, until });
+        let (borrower, until) = (borrower.clone(), now + LENDER_HOLD_TTL);
+        self.lent.push_back(Lent { borrower, id, tokens, until });
         tokens
     }
 
-    /// Own tokens that are not expected to be wanted here soon.
+    /// Returns the number of own tokens not expected to be needed here soon.
     pub fn spare(&mut self, now: Instant) -> f64 {
         self.refill(now);
-        let soon = self.demand(now) - self.share.rate.0 * AHEAD.as_secs_f64();
-        (self.level - soon.max(0.0)).max(0.0)
+        let shortage = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
+        (self.level - shortage.max(0.0)).max(0.0)
     }
 
-    /// How long until this host's own tokens make a whole one.
+    /// Returns the time until refilling makes a whole token available, at most 1 h; `None`
+    /// if the rate is zero.
     pub fn until_next(&mut self, now: Instant) -> Option<Duration> {
         let lacking = (1.0 - self.tokens(now)).max(0.0);
         let rate = self.share.rate.0;
@@ -218,8 +221,8 @@
     }
 
     fn demand(&self, now: Instant) -> f64 {
-        let since = now.saturating_duration_since(self.wanted);
-        self.demand * (-since.as_secs_f64() / AHEAD.as_secs_f64()).exp()
+        let since = now.saturating_duration_since(self.last_demand);
+        self.demand * (-since.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp()
     }
 
     fn ceiling(&self) -> f64 {
@@ -237,18 +240,18 @@
     }
 
     fn grow(&mut self, until: Instant) {
-        let since = until.saturating_duration_since(self.filled);
+        let since = until.saturating_duration_since(self.refilled);
         let level = self.level + self.share.rate.0 * since.as_secs_f64();
         self.level = level.min(self.ceiling());
-        self.filled = self.filled.max(until);
+        self.refilled = self.refilled.max(until);
     }
 
-    fn finish(&mut self, over: impl Fn(&Borrowed) -> bool) {
-        let finished = &mut self.finished;
+    fn end_loans(&mut self, has_ended: impl Fn(&Borrowed) -> bool) {
+        let ended = &mut self.ended;
         self.borrowed.retain(|loan| {
-            let over = over(loan);
+            let over = has_ended(loan);
             if over {
-                finished.entry(loan.lender.clone()).or_default().push(loan.no);
+                ended.entry(loan.lender.clone()).or_default().push(loan.id);
             }
             !over
         });
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -7,10 +7,10 @@
 use bergamottrack_coordination::{
     AccountId, Burst, FailureDomain, GroupId, HostId, Point, Rate, Refusal, RequestId, Revision,
     ServerId,
-    bucket::LoanNo,
+    bucket::LoanId,
     changes::Changes,
     demand, evacuation,
-    freshness::Vouch,
+    freshness::FreshnessVote,
     outcome::Outcome,
     pieces,
     token::Secret,
@@ -152,7 +152,7 @@
     /// What the host knows that the asker does not.
     Newest(Known),
     /// A piece of a configuration.
-    Piece(pieces::Wanted),
+    Piece(pieces::PieceRequest),
     /// How long ago did this server last answer the host anything?
     Silence(ServerId),
     /// Run this at a server whose connections the host holds.
@@ -189,11 +189,11 @@
     /// The account.
     pub account: AccountId,
     /// Number of the loan.
-    pub no: LoanNo,
+    pub no: LoanId,
     /// Tokens wanted.
     pub tokens: f64,
     /// Earlier loans of the host that is asked, of which nothing will be spent any more.
-    pub over: Vec<LoanNo>,
+    pub over: Vec<LoanId>,
 }
 
 /// The answer to a question.
@@ -204,7 +204,7 @@
     /// The host is there, but being stopped: it is to get nothing new.
     Leaving,
     /// What the host can vouch for.
-    Vouch(Vouch),
+    Vouch(FreshnessVote),
     /// What the host reports of itself.
     Report(Box<HostReport>),
     /// The newest revision that the host knows.
@@ -241,7 +241,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Heartbeat {
     /// What callers ask for that this host gives tokens to; none if it gives none.
-    pub asked: Option<demand::Asked>,
+    pub asked: Option<demand::Report>,
     /// What it knows.
     pub known: Known,
     /// Whether it hears most of the fleet.
--- /dev/null
+++ b/components/proxy/src/compression.rs
@@ -0,0 +1,31 @@
+//! Compression of configurations for transfer between hosts.
+//!
+//! Compression cuts the bytes that a host sends to all others of its failure domain to a
+//! tenth, so that a small host can do it, and callers of small hosts wait less for their
+//! links.
+
+use std::io::{Read, Write};
+
+use anyhow::Context;
+use bytes::Bytes;
+use flate2::{Compression, read::ZlibDecoder, write::ZlibEncoder};
+
+/// Maximum size of a decompressed configuration, in bytes; larger input counts as corrupt.
+const MAX_SIZE: u64 = 64 << 20;
+
+/// Compresses a configuration at the fastest level: the best level saves a fifth of the
+/// bytes but takes twice the time.
+pub fn compress(raw: &[u8]) -> Bytes {
+    let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
+    encoder.write_all(raw).expect("writing to memory");
+    encoder.finish().expect("writing to memory").into()
+}
+
+/// Decompresses a configuration. Fails on corrupt input and on output of more than 64 MiB.
+pub fn decompress(compressed: &[u8]) -> anyhow::Result<Vec<u8>> {
+    let mut raw = Vec::new();
+    let mut decoder = ZlibDecoder::new(compressed).take(MAX_SIZE + 1);
+    decoder.read_to_end(&mut raw).context("decompressing a configuration")?;
+    anyhow::ensure!(raw.len() as u64 <= MAX_SIZE, "configuration exceeds {MAX_SIZE} bytes");
+    Ok(raw)
+}
--- a/components/proxy/src/change.rs
+++ b/components/proxy/src/failover.rs
@@ -1,4 +1,4 @@
-//! A change of leader that this host makes, from the intent to the new leader.
+//! A failover run by this host, from the intent to the new leader.
 
 use std::{
     cell::RefCell,
@@ -13,11 +13,11 @@
 };
 use bergamottrack_coordination::{
     GroupId, HostId, Point, ServerId, Term,
-    duty::{self, CALL_BY, CALL_WITHIN},
+    duty::{self, CALL_DEADLINE, CALL_TIMEOUT},
     evacuation,
     succession::{self, Next, Order, Standing, Terms},
     suspicion,
-    view::{Leadership, Release, TURN, Versioned, View},
+    view::{FAILOVER_TTL, Leadership, LeaseRelease, Versioned, View},
 };
 use bergamottrack_model::{Role, Status};
 use bergamottrack_peer::{Answer, Question};
@@ -25,45 +25,47 @@
 use futures_util::future;
 use tracing::{info, warn};
 
-use crate::{fleet, follow::STORE_WITHIN, group::Group, host::Host, lead, placement, pool::Pool};
+use crate::{
+    fleet, follow::STORE_TIMEOUT, group::Group, host::Host, monitor, placement, pool::Pool,
+};
 
-/// How long a promoted server may take to lead before it is asked for again.
-const LEADS_WITHIN: Duration = Duration::from_millis(3000);
+/// Time for a promoted server to become leader before the promotion is requested again.
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// How often an old leader is asked whether it is back, while its leases end.
-const BACK_EVERY: Duration = Duration::from_millis(300);
+/// Interval between status requests to the former leader while the leases on it expire.
+const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How often the store is asked for releases of hosts that cannot be reached.
-const NOTED_EVERY: Duration = Duration::from_millis(500);
+/// Interval between reads of the store for releases by hosts out of reach.
+const RELEASE_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often a promoted server is asked whether it leads.
-const LEADS_EVERY: Duration = Duration::from_millis(40);
+/// Interval between status requests to the successor.
+const STATUS_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long the successor of a leaving leader may take to receive all of its log.
-const CAUGHT_UP_WITHIN: Duration = Duration::from_millis(1500);
+/// Time for the successor of a leaving leader to receive all of its log.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long another host may take to let its work at the leader end.
-const ACT_WITHIN: Duration = Duration::from_millis(1800);
+/// Time for another host to let its statements at the leader end and to answer.
+const ACT_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// How often a host is tried that a link is being made to.
-const DIAL_EVERY: Duration = Duration::from_millis(20);
+/// Interval between attempts to reach a host whose link is being set up.
+const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A change of leader that this host makes.
-pub struct Move {
+/// A failover that this host runs.
+pub struct Failover {
     client: Client,
+    /// The leader to replace, if one is known.
     from: Option<ServerId>,
     planned: bool,
-    /// Version of the intent.
+    /// Version of the intent's row in the store.
     intent: u64,
-    /// What the store says of the group's terms; only the holder of the intent
-    /// changes it.
+    /// The group's terms as stored; only the host that wrote the intent changes them.
     terms: Terms,
-    /// When this host's turn ends.
-    until: Instant,
+    /// Time by which this host must finish; another one may take over later.
+    deadline: Instant,
 }
 
-impl Move {
-    /// Writes the intent; `None` when another host was first.
+impl Failover {
+    /// Writes the intent; `None` if another host was first.
     pub async fn begin(
         host: &Rc<Host>,
         group: &Rc<Group>,
@@ -74,7 +76,7 @@
         let client = Client::new(host.settings.store);
         let key = fleet::group_key(&group.id);
         let now = host.now();
-        let (holder, since) = (host.settings.host.clone(), lead::store_now(host));
+        let (holder, since) = (host.settings.host.clone(), monitor::store_now(host));
         let term = before.as_ref().map(|row| row.value.term()).unwrap_or_default();
         let moving = Leadership::Moving { from: from.clone(), holder, since, planned, term };
         let change = Change {
@@ -82,44 +84,47 @@
             put: vec![(key, serde_json::to_vec(&moving)?)],
             remove: Vec::new(),
         };
-        let verdict = store::change(&client, &change, STORE_WITHIN).await;
+        let verdict = store::change(&client, &change, STORE_TIMEOUT).await;
         let intent = match verdict {
             Ok(Verdict::Applied(version)) => Some(version),
             Ok(Verdict::Conflict) => None,
-            Ok(Verdict::Refused) => bail!("the store has no capacity"),
-            // The answer is lost; what the store holds tells.
+            Ok(Verdict::Refused) => bail!("store refused to write the intent: no capacity"),
+            // The answer was lost: the row shows whether the write was applied.
             Err(error) => {
                 let view = fleet::read(&client).await.context(error)?;
                 let row = view.groups.get(&group.id);
                 row.filter(|row| row.value == moving).map(|row| row.version)
             }
         };
-        let until = now + TURN;
+        let deadline = now + FAILOVER_TTL;
         let terms = Terms { known: term, ..Terms::default() };
-        Ok(intent.map(|intent| Self { client, from, planned, intent, terms, until }))
+        Ok(intent.map(|intent| Self { client, from, planned, intent, terms, deadline }))
     }
 
-    /// Brings the change to its end.
+    /// Runs the failover to its end.
     pub async fn run(mut self, host: &Rc<Host>, group: &Rc<Group>) -> anyhow::Result<()> {
-        let (began, asked) = (host.now(), host.now());
+        let (began, sent_at) = (host.now(), host.now());
         let view = self.read_view(host).await?;
         self.terms = view.terms(&group.id);
-        let back = monoio::select! {
-            released = self.wait_released(host, group, view, asked) => released.map(|()| None),
-            back = self.wait_back(host) => Ok(Some(back)),
+        let recovered = monoio::select! {
+            released = self.wait_released(host, group, view, sent_at) => released.map(|()| None),
+            recovered = self.wait_recovery(host) => Ok(Some(recovered)),
         };
-        if let Some((leader, term)) = back? {
-            info!(group = %group.id, %leader, %term, intent = self.intent, "leader: back before it was replaced");
+        if let Some((leader, term)) = recovered? {
+            info!(
+                group = %group.id, %leader, %term, intent = self.intent,
+                "leader: former leader recovered and stays"
+            );
             return self.finish(host, group, leader, term).await;
         }
         let released = host.now();
-        while host.now() < self.until {
-            match self.settle(host, group).await {
+        while host.now() < self.deadline {
+            match self.install_leader(host, group).await {
                 Ok(Some((leader, term))) => {
-                    let (free, all) = (released - began, host.now() - began);
+                    let (release, total) = (released - began, host.now() - began);
                     info!(
                         group = %group.id, %leader, %term, intent = self.intent,
-                        released_ms = free.as_millis() as u64, ms = all.as_millis() as u64,
+                        released_ms = release.as_millis() as u64, ms = total.as_millis() as u64,
                         "leader: replaced"
                     );
                     return self.finish(host, group, leader, term).await;
@@ -127,41 +132,44 @@
                 Ok(None) => {}
                 Err(error) => {
                     let error = format_args!("{error:#}");
-                    info!(group = %group.id, %error, "leader: no successor yet");
+                    info!(group = %group.id, %error, "leader: no successor found, trying again");
                 }
             }
-            monoio::time::sleep(lead::LOOK_EVERY).await;
+            monoio::time::sleep(monitor::CHECK_INTERVAL).await;
         }
-        bail!("the turn is over")
+        bail!("failover not finished within its time limit")
     }
 
-    /// Reads the view with the intent in it.
+    /// Reads a view that contains the intent.
     async fn read_view(&self, host: &Host) -> anyhow::Result<View> {
         let view = loop {
             match fleet::read(&self.client).await {
                 Ok(view) => break view,
-                Err(error) if host.now() > self.until => return Err(error),
-                Err(_) => monoio::time::sleep(lead::LOOK_EVERY).await,
+                Err(error) if host.now() > self.deadline => return Err(error),
+                Err(_) => monoio::time::sleep(monitor::CHECK_INTERVAL).await,
             }
         };
-        anyhow::ensure!(view.version >= self.intent, "the store went back");
+        anyhow::ensure!(
+            view.version >= self.intent,
+            "store returned a view of a lower version than the intent"
+        );
         Ok(view)
     }
 
-    /// Waits until the old leader answers again and still leads, in a term that no
-    /// promotion has closed.
+    /// Waits until the former leader answers again and still leads, in a term that no promotion
+    /// has closed.
     ///
-    /// While others may still count on it nobody else can lead; when it is back
+    /// While other hosts may still hold leases on it no other server can lead. If it recovers
     /// first, keeping it ends the gap and loses nothing that was acknowledged.
-    async fn wait_back(&self, host: &Host) -> (ServerId, Term) {
+    async fn wait_recovery(&self, host: &Host) -> (ServerId, Term) {
         loop {
-            monoio::time::sleep(BACK_EVERY).await;
+            monoio::time::sleep(RECOVERY_CHECK_INTERVAL).await;
             let Some(from) = self.from.as_ref().filter(|_| !self.planned) else { continue };
             let Some(pool) = host.server(from) else { continue };
             if placement::of(host, &pool) != evacuation::Placement::Allowed {
                 continue;
             }
-            if let Ok(status) = lead::status(host, &pool, suspicion::PROBE_WITHIN).await
+            if let Ok(status) = monitor::status(host, &pool, suspicion::PROBE_TIMEOUT).await
                 && status.role == Role::Primary
                 && self.terms.allow(status.term)
             {
@@ -170,55 +178,61 @@
         }
     }
 
-    /// Waits until no host counts on the old leader, by a view that was asked for at
-    /// `asked` and has the intent in it.
+    /// Waits until no host uses the former leader any more; `view` contains the intent and was
+    /// requested at `sent_at`.
     async fn wait_released(
         &self,
         host: &Rc<Host>,
         group: &Group,
         view: View,
-        asked: Instant,
+        sent_at: Instant,
     ) -> anyhow::Result<()> {
-        let release = Release::new(&view, &host.settings.host, host.now());
-        fleet::learn(host, view.clone(), asked);
+        let release = LeaseRelease::new(&view, &host.settings.host, host.now());
+        fleet::apply_view(host, view.clone(), sent_at);
         let release = Rc::new(RefCell::new(release));
-        let others = release.borrow().waiting().to_vec();
-        for id in others {
+        let waiting = release.borrow().waiting().to_vec();
+        for id in waiting {
             let row = view.groups.get(&group.id).cloned();
-            let row = row.context("the intent is not in the view")?;
-            monoio::spawn(ask_release(host.clone(), id, group.id.clone(), row, release.clone()));
+            let row = row.context("view does not contain the intent")?;
+            monoio::spawn(request_release(
+                host.clone(),
+                id,
+                group.id.clone(),
+                row,
+                release.clone(),
+            ));
         }
-        let mut noted = host.now();
+        let mut last_read = host.now();
         loop {
             let now = host.now();
             let own = group.released.get() >= self.intent;
-            let others = release.borrow().is_over(now);
-            if others && (own || now >= release.borrow().over) {
+            let others_released = release.borrow().is_over(now);
+            if others_released && (own || now >= release.borrow().deadline) {
                 return Ok(());
             }
-            if now >= noted + NOTED_EVERY {
-                // Hosts that this one cannot reach tell it by the store.
+            if now >= last_read + RELEASE_READ_INTERVAL {
+                // Hosts that this one cannot reach release the leader through the store.
                 if let Ok(view) = fleet::read(&self.client).await {
                     release.borrow_mut().note(&view, self.intent);
                 }
-                noted = host.now();
+                last_read = host.now();
             }
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 
-    /// Finds out who is to lead and sees to it; `None` when nobody can yet.
-    async fn settle(
+    /// Selects the next leader and promotes it if needed; `None` while no server can lead.
+    async fn install_leader(
         &self,
         host: &Rc<Host>,
         group: &Rc<Group>,
     ) -> anyhow::Result<Option<(ServerId, Term)>> {
         let mut pools = host.servers(&group.id);
         pools.retain(|pool| !placement::is_forbidden(host, pool));
-        // A leader that is not there for the one who replaces it would only cost time.
+        // A status request to a leader that does not answer would only cost time.
         pools.retain(|pool| self.planned || Some(&pool.listed.borrow().id) != self.from.as_ref());
         let order = if self.planned { Order::Placement } else { Order::Log };
-        let next = self.successor(host, group, &pools, order).await;
+        let next = self.select_successor(host, group, &pools, order).await;
         match next {
             Next::Adopt(leader, term) => Ok(Some((leader, term))),
             Next::Nobody => Ok(None),
@@ -227,7 +241,7 @@
                 if let Some(last) = last
                     && !wait_caught_up(host, &pool, last).await
                     && let Next::Promote { successor, after, .. } =
-                        self.successor(host, group, &pools, Order::Log).await
+                        self.select_successor(host, group, &pools, Order::Log).await
                     && let Some(pool) = host.server(&successor)
                 {
                     return self.promote(host, group, &pool, after).await;
@@ -237,24 +251,28 @@
         }
     }
 
-    /// Asks the servers how they stand and works out which one leads next.
-    async fn successor(
+    /// Requests the status of the servers and selects the next leader.
+    async fn select_successor(
         &self,
         host: &Host,
         group: &Group,
         pools: &[Rc<Pool>],
         order: Order,
     ) -> Next {
-        let asks = pools.iter().map(|pool| lead::status(host, pool, suspicion::PROBE_WITHIN));
-        let statuses = future::join_all(asks).await;
-        let told: Vec<Standing> = pools
+        let requests =
+            pools.iter().map(|pool| monitor::status(host, pool, suspicion::PROBE_TIMEOUT));
+        let statuses = future::join_all(requests).await;
+        let standings: Vec<Standing> = pools
             .iter()
             .zip(statuses)
             .filter_map(|(pool, status)| Some(standing(host, pool, status.ok()?)))
             .collect();
-        let leaves = self.from.as_ref().filter(|_| self.planned);
-        let next = succession::next(&told, self.terms, leaves, order);
-        info!(group = %group.id, intent = self.intent, terms = ?self.terms, ?told, ?next, "leader: successor");
+        let leaving = self.from.as_ref().filter(|_| self.planned);
+        let next = succession::next(&standings, self.terms, leaving, order);
+        info!(
+            group = %group.id, intent = self.intent, terms = ?self.terms, told = ?standings, ?next,
+            "leader: next step of the failover selected"
+        );
         next
     }
 
@@ -266,43 +284,48 @@
         after: Term,
     ) -> anyhow::Result<Option<(ServerId, Term)>> {
         let server = pool.listed.borrow().id.clone();
-        let Some((token, by)) = self.take_duty(host, group, after).await? else { return Ok(None) };
-        // Guards against a holder that was held up: another may call by now.
-        anyhow::ensure!(host.now() < by, "the time for the call is over");
+        let Some((token, call_by)) = self.acquire_duty(host, group, after).await? else {
+            return Ok(None);
+        };
+        // Guards against a host that was suspended: another one may call by now.
+        anyhow::ensure!(
+            host.now() < call_by,
+            "promotion not requested: time to begin the call is over"
+        );
         let duty = promotion::Duty { holder: &host.settings.host, token };
         let (address, id) = (host.settings.promoter, &group.id);
-        let said = promotion::promote(address, duty, id, &server, CALL_WITHIN).await;
-        let error = said.as_ref().err().map(tracing::field::display);
-        let answer = said.as_ref().ok();
-        info!(group = %id, %server, token, ?answer, error, "promotion: asked for");
-        let nothing = matches!(said, Ok(Promoted::Refused | Promoted::Unavailable));
-        if said.is_ok() {
-            // Without an answer the call may still be on its way.
-            self.free_duty(host, group, token, nothing).await;
+        let promoted = promotion::promote(address, duty, id, &server, CALL_TIMEOUT).await;
+        let error = promoted.as_ref().err().map(tracing::field::display);
+        let answer = promoted.as_ref().ok();
+        info!(group = %id, %server, token, ?answer, error, "promotion: requested");
+        let rejected = matches!(promoted, Ok(Promoted::Refused | Promoted::Unavailable));
+        if promoted.is_ok() {
+            // Without an answer the call may still be in flight.
+            self.release_duty(host, group, token, rejected).await;
         }
-        if nothing {
+        if rejected {
             return Ok(None);
         }
-        let until = host.now() + LEADS_WITHIN;
-        while host.now() < until {
-            if let Ok(status) = lead::status(host, pool, suspicion::PROBE_WITHIN).await
+        let deadline = host.now() + PROMOTION_TIMEOUT;
+        while host.now() < deadline {
+            if let Ok(status) = monitor::status(host, pool, suspicion::PROBE_TIMEOUT).await
                 && status.role == Role::Primary
                 && status.term > after
             {
                 return Ok(Some((server, status.term)));
             }
-            monoio::time::sleep(LEADS_EVERY).await;
+            monoio::time::sleep(STATUS_INTERVAL).await;
         }
         Ok(None)
     }
 
-    /// Takes the duty of calling and closes the terms up to `after`; `None` while
-    /// another host has it. Gives the token and the time by which the call must begin.
+    /// Acquires the duty to call for promotions and closes the terms up to `after`. Returns the
+    /// token and the time by which the call must begin; `None` while another host has the duty.
     ///
-    /// Closing them before the call guards against a host that takes the change over
-    /// from one that called and died: it would find the old leader, which has not heard
-    /// of the promotion, and take it up again.
-    async fn take_duty(
+    /// Closing the terms before the call guards against a host that takes the failover over from
+    /// one that called and died: it would find the former leader, which has not been notified of
+    /// the promotion, and adopt it again.
+    async fn acquire_duty(
         &self,
         host: &Host,
         group: &Group,
@@ -314,42 +337,45 @@
             return Ok(None);
         }
         let since = view.clock + (host.now() - began);
-        let taken = duty::Duty { holder: host.settings.host.clone(), since, free: false };
+        let acquired = duty::Duty { holder: host.settings.host.clone(), since, free: false };
         let change = Change {
             expect: vec![
                 (fleet::DUTY.into(), view.duty.map_or(0, |row| row.version)),
                 (fleet::group_key(&group.id), self.intent),
             ],
             put: vec![
-                (fleet::DUTY.into(), serde_json::to_vec(&taken)?),
+                (fleet::DUTY.into(), serde_json::to_vec(&acquired)?),
                 (fleet::closed_key(&group.id), serde_json::to_vec(&after)?),
             ],
             remove: Vec::new(),
         };
-        let verdict = store::change(&self.client, &change, STORE_WITHIN).await?;
+        let verdict = store::change(&self.client, &change, STORE_TIMEOUT).await?;
         let Verdict::Applied(token) = verdict else { return Ok(None) };
-        info!(group = %group.id, token, closed = %after, "duty: taken");
-        Ok(Some((token, began + CALL_BY)))
+        info!(group = %group.id, token, closed = %after, "duty: acquired");
+        Ok(Some((token, began + CALL_DEADLINE)))
     }
 
-    /// Gives the duty back; where nothing was done the terms are as open as before.
-    async fn free_duty(&self, host: &Host, group: &Group, token: u64, nothing: bool) {
+    /// Releases the duty; reopens the terms that were closed for a call that was `rejected`.
+    async fn release_duty(&self, host: &Host, group: &Group, token: u64, rejected: bool) {
         let holder = host.settings.host.clone();
-        let freed = duty::Duty { holder, since: Duration::ZERO, free: true };
+        let released = duty::Duty { holder, since: Duration::ZERO, free: true };
         let mut put =
-            vec![(fleet::DUTY.into(), serde_json::to_vec(&freed).expect("writing to memory"))];
-        if nothing {
+            vec![(fleet::DUTY.into(), serde_json::to_vec(&released).expect("writing to memory"))];
+        if rejected {
             let closed = serde_json::to_vec(&self.terms.closed).expect("writing to memory");
             put.push((fleet::closed_key(&group.id), closed));
         }
         let change = Change { expect: vec![(fleet::DUTY.into(), token)], put, remove: Vec::new() };
-        if let Err(error) = store::change(&self.client, &change, STORE_WITHIN).await {
-            // It is free by itself after a few seconds.
-            info!(token, error = %format_args!("{error:#}"), "duty: not given back");
+        if let Err(error) = store::change(&self.client, &change, STORE_TIMEOUT).await {
+            // The duty expires after a few seconds.
+            info!(
+                token, error = %format_args!("{error:#}"),
+                "duty: release not written, it will expire"
+            );
         }
     }
 
-    /// Writes who leads now and tells all hosts.
+    /// Writes the leader to the store and notifies all hosts.
     async fn finish(
         &self,
         host: &Rc<Host>,
@@ -365,21 +391,21 @@
             remove: Vec::new(),
         };
         loop {
-            let verdict = store::change(&self.client, &change, STORE_WITHIN).await;
-            let asked = host.now();
+            let verdict = store::change(&self.client, &change, STORE_TIMEOUT).await;
+            let sent_at = host.now();
             if let Ok(view) = fleet::read(&self.client).await {
                 let row = view.groups.get(&group.id);
                 if row.is_none_or(|row| row.version != self.intent) {
                     let row = row.cloned();
-                    fleet::learn(host, view, asked);
-                    row.into_iter().for_each(|row| tell(host, &group.id, &row));
+                    fleet::apply_view(host, view, sent_at);
+                    row.into_iter().for_each(|row| notify_hosts(host, &group.id, &row));
                     return Ok(());
                 }
             }
-            if host.now() > self.until {
-                bail!("the new leader could not be written down: {verdict:?}");
+            if host.now() > self.deadline {
+                bail!("new leader not written to the store: {verdict:?}");
             }
-            monoio::time::sleep(lead::LOOK_EVERY).await;
+            monoio::time::sleep(monitor::CHECK_INTERVAL).await;
         }
     }
 }
@@ -398,68 +424,71 @@
     }
 }
 
-/// Waits until a replica has received the leaving leader's whole log, so that
-/// nothing that was acknowledged is lost; false if it has not. One that receives nothing any more is not
-/// waited for: it is cut off, and what it lacks was confirmed to nobody.
+/// Waits until a replica has received the leaving leader's log up to `last`, so that nothing
+/// acknowledged is lost; returns false if it has not.
+///
+/// Stops early for a replica that receives nothing any more: it is cut off from the leader, and
+/// no caller got a confirmation of what it lacks.
 async fn wait_caught_up(host: &Host, pool: &Pool, last: Point) -> bool {
-    let until = host.now() + CAUGHT_UP_WITHIN;
+    let deadline = host.now() + CATCH_UP_TIMEOUT;
     let mut newest: Option<(Point, Instant)> = None;
-    while host.now() < until {
-        match lead::status(host, pool, suspicion::PROBE_WITHIN).await {
+    while host.now() < deadline {
+        match monitor::status(host, pool, suspicion::PROBE_TIMEOUT).await {
             Ok(status) if status.received >= last => return true,
             Ok(status) if newest.is_none_or(|(point, _)| status.received > point) => {
                 newest = Some((status.received, host.now()));
             }
             _ => {}
         }
-        if newest.is_some_and(|(_, since)| host.now() - since > suspicion::STILL_FOR) {
+        if newest.is_some_and(|(_, since)| host.now() - since > suspicion::REPLICA_STALL_TIMEOUT) {
             break;
         }
-        monoio::time::sleep(LEADS_EVERY).await;
+        monoio::time::sleep(STATUS_INTERVAL).await;
     }
     let server = pool.listed.borrow().id.clone();
-    warn!(%server, %last, "leader: the successor has not received all");
+    warn!(%server, %last, "leader: successor has not received the leader's whole log");
     false
 }
 
-/// Tells who leads a group to all hosts that can be reached.
-fn tell(host: &Rc<Host>, id: &GroupId, row: &Versioned<Leadership>) {
+/// Sends a group's row to all hosts in reach.
+fn notify_hosts(host: &Rc<Host>, id: &GroupId, row: &Versioned<Leadership>) {
     let links = host.mesh.links().into_iter().chain(host.mesh.guests());
     for link in links.filter(|link| link.is_up()) {
         let act = Question::Act { group: id.clone(), row: row.clone() };
         monoio::spawn(async move {
-            // A host that is not reached hears of it from its hub or the store.
-            let _ = link.ask(act, ACT_WITHIN).await;
+            // A host out of reach receives the row from its hub or the store.
+            let _ = link.ask(act, ACT_TIMEOUT).await;
         });
     }
 }
 
-/// Has a host give its leases on the old leader back, as long as that is waited for.
-async fn ask_release(
+/// Requests a host's release of the former leader, until it is given or no longer needed.
+async fn request_release(
     host: Rc<Host>,
     id: HostId,
     group: GroupId,
     row: Versioned<Leadership>,
-    release: Rc<RefCell<Release>>,
+    release: Rc<RefCell<LeaseRelease>>,
 ) {
     while !release.borrow().is_over(host.now()) {
         let link = host.reach(&id);
         let was_up = link.as_ref().is_some_and(|link| link.is_up());
-        let gave_back = match link.filter(|_| was_up) {
+        let released = match link.filter(|_| was_up) {
             Some(link) => {
                 let act = Question::Act { group: group.clone(), row: row.clone() };
-                let answer = link.ask(act, ACT_WITHIN).await;
+                let answer = link.ask(act, ACT_TIMEOUT).await;
                 matches!(answer, Ok(Answer::Acting(version)) if version >= row.version)
             }
-            None => lead::is_dead(&host, &id).await,
+            None => monitor::is_dead(&host, &id).await,
         };
-        if gave_back {
-            release.borrow_mut().gave_back(&id);
+        if released {
+            release.borrow_mut().returned(&id);
             return;
         }
-        monoio::time::sleep(if was_up { lead::LOOK_EVERY } else { DIAL_EVERY }).await;
+        monoio::time::sleep(if was_up { monitor::CHECK_INTERVAL } else { LINK_CHECK_INTERVAL })
+            .await;
     }
     if release.borrow().waiting().contains(&id) {
-        info!(host = %id, "leader: a host did not give its lease back");
+        info!(host = %id, "leader: host did not release the former leader, its lease has expired");
     }
 }
--- /dev/null
+++ b/components/proxy/src/forward.rs
@@ -0,0 +1,235 @@
+//! Forwarded statements: other hosts' statements that run on connections held by this host.
+
+use std::{
+    cell::RefCell,
+    collections::HashMap,
+    rc::Rc,
+    time::{Duration, Instant},
+};
+
+use bergamottrack_coordination::HostId;
+use bergamottrack_model::{ServerAnswer, State};
+use bergamottrack_peer::{
+    Answer, Errand, NotSent, Relayed, WorkNo,
+    accept::{Replier, Watch},
+};
+use tracing::info;
+
+use crate::{
+    conn,
+    host::{Host, Phase},
+    monitor, placement,
+    pool::{Leased, Permit, Pool},
+};
+
+/// Idle timeout of other hosts' transactions if the configuration sets none. The host of the
+/// caller ends an idle transaction sooner; this one is for hosts that vanish.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// How much longer than the configured idle timeout a transaction is kept, so that the caller's
+/// host ends it first.
+const IDLE_MARGIN: Duration = Duration::from_secs(2);
+
+/// A transaction of another host between two of its statements.
+struct IdleTransaction {
+    leased: Leased,
+    since: Instant,
+    /// Link by which its statements are forwarded.
+    watch: Watch,
+}
+
+/// Transactions of other hosts on connections held by this host.
+#[derive(Default)]
+pub struct RemoteTransactions {
+    idle: RefCell<HashMap<(HostId, WorkNo), IdleTransaction>>,
+    /// Transactions cancelled while one of their statements was running, with the time of the
+    /// cancellation.
+    cancelled: RefCell<HashMap<(HostId, WorkNo), Instant>>,
+}
+
+impl RemoteTransactions {
+    /// Returns the number of idle transactions.
+    pub fn count(&self) -> usize {
+        self.idle.borrow().len()
+    }
+
+    /// Closes the connections of idle transactions that have exceeded the idle timeout, whose link
+    /// is closed, or whose server may not be sent anything any more.
+    ///
+    /// Guards against a host that dies within a transaction: the transaction's locks would be held
+    /// for as long as this host runs.
+    pub fn sweep(
+        &self,
+        idle_timeout: Option<Duration>,
+        now: Instant,
+        is_forbidden: impl Fn(&Pool) -> bool,
+    ) {
+        let timeout = idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| timeout + IDLE_MARGIN);
+        self.idle.borrow_mut().retain(|(host, work), transaction| {
+            let why = if !transaction.watch.is_open()
+                || now.duration_since(transaction.since) >= timeout
+            {
+                "its host is gone or did not end it"
+            } else if is_forbidden(transaction.leased.pool()) {
+                "its server's failure domain is evacuated"
+            } else {
+                return true;
+            };
+            info!(%host, work, why, "relay: idle transaction closed");
+            false
+        });
+        let mut cancelled = self.cancelled.borrow_mut();
+        cancelled.retain(|_, since| now.duration_since(*since) < timeout);
+    }
+
+    /// Cancels a transaction by closing its connection, after the answer if one of its statements
+    /// is running.
+    pub fn cancel(&self, host: &HostId, work: WorkNo, now: Instant) {
+        let key = (host.clone(), work);
+        if self.idle.borrow_mut().remove(&key).is_none() {
+            self.cancelled.borrow_mut().insert(key, now);
+        }
+    }
+
+    /// Stores a transaction until its next statement, unless it has been cancelled meanwhile.
+    fn store(&self, key: (HostId, WorkNo), transaction: IdleTransaction) {
+        if self.cancelled.borrow_mut().remove(&key).is_none() {
+            self.idle.borrow_mut().insert(key, transaction);
+        }
+    }
+}
+
+/// Runs a forwarded statement and replies with the result.
+pub async fn serve(host: Rc<Host>, from: HostId, errand: Errand, replier: Replier) {
+    let watch = replier.watch();
+    let relayed = match acquire(&host, &from, &errand).await {
+        Ok((leased, permit)) => run(&host, from, errand, leased, permit, watch).await,
+        Err(reason) => {
+            record_failure(&host, &errand, reason);
+            Relayed::NotSent(reason)
+        }
+    };
+    replier.reply(Answer::Relayed(relayed));
+}
+
+/// Records a failed connection to a leader with the group's failure detector.
+///
+/// Guards against a leader that closes every connection: other hosts leave its detection to this
+/// one, the holder, which may send it no statements of its own.
+fn record_failure(host: &Host, errand: &Errand, reason: NotSent) {
+    let Some(pool) = host.server(&errand.server) else { return };
+    let group = host.group(&pool.listed.borrow().group);
+    if group.leader().as_ref() != Some(&errand.server) {
+        return;
+    }
+    match reason {
+        NotSent::Dead => group.suspicion.borrow_mut().refused(host.now()),
+        NotSent::Silent => group.suspicion.borrow_mut().silent(host.now()),
+        _ => {}
+    }
+}
+
+/// Acquires the connection for a forwarded statement: that of its open transaction, or one from
+/// the pool. There is no permit for statements that are not bound to an account.
+async fn acquire(
+    host: &Host,
+    from: &HostId,
+    errand: &Errand,
+) -> Result<(Leased, Option<Permit>), NotSent> {
+    let pool = host.server(&errand.server).ok_or(NotSent::Unlisted)?;
+    if placement::is_forbidden(host, &pool) {
+        return Err(NotSent::Evacuated);
+    }
+    if let Some(work) = errand.work.filter(|_| !errand.opens) {
+        let idle = host.remote_transactions.idle.borrow_mut().remove(&(from.clone(), work));
+        let idle = idle.ok_or(NotSent::Closed)?;
+        let until = monoio::time::Instant::now() + errand.within();
+        let permit = pool.enter_in_transaction(until).await.map_err(conn::queue_full)?;
+        return Ok((idle.leased, Some(permit)));
+    }
+    if *host.phase.borrow() == Phase::Closing {
+        return Err(NotSent::Leaving);
+    }
+    let until = monoio::time::Instant::now() + errand.within();
+    let Some(account) = &errand.account else {
+        let leased = pool.lease_any(&monitor::any_account(host), until).await;
+        return Ok((leased.map_err(conn::not_sent)?, None));
+    };
+    let permit = pool.enter(errand.priority, errand.patience(), host.now()).await;
+    let permit = permit.map_err(conn::queue_full)?;
+    let leased = pool.lease(account, &errand.values, until).await;
+    let leased = leased.map_err(conn::not_sent)?;
+    // The server may have been evacuated while the statement was queued.
+    if placement::is_forbidden(host, &pool) {
+        return Err(NotSent::Evacuated);
+    }
+    Ok((leased, Some(permit)))
+}
+
+async fn run(
+    host: &Host,
+    from: HostId,
+    errand: Errand,
+    mut leased: Leased,
+    permit: Option<Permit>,
+    watch: Watch,
+) -> Relayed {
+    let backend = leased.backend();
+    if errand.account.is_some() {
+        let shape = errand.shape.as_ref();
+        backend.put(&errand.values, shape, |out| out.extend_from_slice(&errand.line));
+    } else {
+        backend.out.extend_from_slice(&errand.line);
+    }
+    let sent_at = Instant::now();
+    let pool = leased.pool().clone();
+    pool.exchanges.borrow_mut().begin(host.now());
+    let answer = monoio::time::timeout(errand.within(), leased.backend().exchange()).await;
+    pool.exchanges.borrow_mut().end(matches!(answer, Ok(Ok(_))), host.now());
+    match answer {
+        Ok(Ok(answer)) => {
+            if let Some(permit) = permit {
+                permit.latency.set(Some(sent_at.elapsed()));
+            }
+            release(host, from, &errand, leased, &answer, watch);
+            Relayed::Answered(answer)
+        }
+        Ok(Err(error)) => {
+            let error = format_args!("{error:#}");
+            info!(server = %errand.server, %from, %error, "relay: connection to server lost");
+            leased.pool().record_disconnect();
+            Relayed::Lost
+        }
+        Err(_) => {
+            record_timeout(leased.pool(), &errand);
+            Relayed::Late
+        }
+    }
+}
+
+/// Stores the connection if a transaction is open. Otherwise returns it to the pool, or closes it
+/// if it is not clean.
+fn release(
+    host: &Host,
+    from: HostId,
+    errand: &Errand,
+    mut leased: Leased,
+    answer: &ServerAnswer,
+    watch: Watch,
+) {
+    let open = errand.work.filter(|_| answer.state != State::Idle);
+    match open {
+        Some(work) => {
+            let transaction = IdleTransaction { leased, since: host.now(), watch };
+            host.remote_transactions.store((from, work), transaction);
+        }
+        None if leased.backend().is_clean(answer) => leased.give_back(),
+        None => {}
+    }
+}
+
+/// Logs a timeout and closes the idle connections to the server.
+fn record_timeout(pool: &Pool, errand: &Errand) {
+    info!(server = %errand.server, ms = errand.within_ms, "relay: the server did not answer in time");
+    pool.drop_idle();
+}
--- a/components/proxy/src/lib.rs
+++ b/components/proxy/src/lib.rs
@@ -1,29 +1,29 @@
-//! Sessions over pooled connections to backend servers, and who leads each group.
+//! Sessions over pooled connections to backend servers, and failover of group leaders.
 
 pub mod backend;
 pub mod caller;
-pub mod change;
 pub mod clock;
+pub mod compression;
 pub mod confirm;
 pub mod conn;
+pub mod eviction;
+pub mod failover;
 pub mod fetch;
 pub mod fleet;
 pub mod follow;
+pub mod forward;
 pub mod gossip;
 pub mod group;
 pub mod host;
-pub mod job;
-pub mod lead;
-pub mod measure;
-pub mod packed;
-pub mod place;
+pub mod metrics;
+pub mod monitor;
+pub mod operation;
 pub mod placement;
 pub mod pool;
 pub mod positions;
-pub mod relay;
 pub mod serve;
-pub mod silent;
-pub mod talk;
+pub mod session;
+pub mod target;
 pub mod tokens;
 
 pub use clock::BootClock;
--- /dev/null
+++ b/components/proxy/src/monitor.rs
@@ -0,0 +1,341 @@
+//! The leader monitor: checks the leaders of all groups and decides on failovers.
+
+use std::{
+    io,
+    rc::Rc,
+    time::{Duration, Instant},
+};
+
+use bergamottrack_adapter::wire;
+use bergamottrack_coordination::{
+    AccountId, HostId, ServerId, evacuation, rendezvous,
+    suspicion::{self, Advice},
+    view::{FAILOVER_MARGIN, FAILOVER_TTL, Leadership},
+};
+use bergamottrack_model::Status;
+use bergamottrack_peer::{Answer, Question};
+use futures_util::future;
+use monoio::net::TcpStream;
+use tracing::{info, warn};
+
+use crate::{
+    backend::{Backend, OpenError},
+    failover::Failover,
+    group::Group,
+    host::{Host, Phase},
+    placement,
+    pool::Pool,
+};
+
+/// Interval between checks of the leaders.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Timeout of a connection attempt to a host that may be dead.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Timeout of a request to the host that holds a server's connections.
+const HOLDER_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// Time without a known leader before a failover starts: at the start the list of servers
+/// fills up within one heartbeat.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(3500);
+
+/// Delay after a host was found dead before its failover is taken over: the requests that it
+/// sent last have arrived by then.
+const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
+
+/// Checks all groups, forever.
+pub async fn watch(host: Rc<Host>) {
+    loop {
+        monoio::time::sleep(CHECK_INTERVAL).await;
+        if !host.leased() || *host.phase.borrow() == Phase::Closing {
+            continue;
+        }
+        let groups: Vec<_> = host.groups.borrow().values().cloned().collect();
+        for group in groups {
+            check(&host, &group);
+        }
+    }
+}
+
+fn check(host: &Rc<Host>, group: &Rc<Group>) {
+    if group.in_failover.get() || host.servers(&group.id).is_empty() {
+        return;
+    }
+    let now = host.now();
+    let leadership = host.leased_view.borrow().leadership(&group.id).map(|row| row.value.clone());
+    if let Some(Leadership::Moving { holder, since, planned, from, .. }) = leadership {
+        if !group.probing.replace(true) {
+            let takeover = take_over(host.clone(), group.clone(), holder, since, planned, from);
+            monoio::spawn(takeover);
+        }
+        return;
+    }
+    let Some(leader) = group.leader() else {
+        if group.leaderless_for(now) > LEADERLESS_TIMEOUT {
+            start_failover(host, group, None, false, "the group has no known leader");
+        }
+        return;
+    };
+    let Some(pool) = host.server(&leader) else {
+        return start_failover(
+            host,
+            group,
+            Some(leader),
+            false,
+            "the leader is no longer in the list of servers",
+        );
+    };
+    if let Some(why) = planned_failover_reason(host, group, &pool) {
+        return start_failover(host, group, Some(leader), true, why);
+    }
+    if placement::is_forbidden(host, &pool) {
+        return;
+    }
+    let silent = pool.health.borrow().unanswered_for(now).max(pool.exchanges.borrow().lasts(now));
+    let probes = silent > suspicion::SILENCE_TIMEOUT
+        || group.suspicion.borrow().advice(now) == Advice::AskReplicas;
+    if probes && !group.probing.replace(true) {
+        monoio::spawn(probe(host.clone(), group.clone(), pool, now));
+    }
+    let led_since = group.led_since();
+    if led_since
+        .is_some_and(|led_since| group.receipts.state.borrow().is_partitioned(led_since, now))
+    {
+        return start_failover(
+            host,
+            group,
+            Some(leader),
+            true,
+            "the leader's replicas receive no log records",
+        );
+    }
+    if group.suspicion.borrow().advice(now) == Advice::Replace {
+        start_failover(
+            host,
+            group,
+            Some(leader),
+            false,
+            "the leader refuses connections or does not answer",
+        );
+    }
+}
+
+/// Returns the reason to replace a healthy leader, if there is one and another server may lead.
+fn planned_failover_reason(host: &Host, group: &Group, leader: &Rc<Pool>) -> Option<&'static str> {
+    let leaving = leader.listed.borrow().leaving;
+    let evacuated = placement::of(host, leader) != evacuation::Placement::Allowed;
+    if !leaving && !evacuated && !host.has_homes.get() {
+        return None;
+    }
+    let mut others = placement::successors(host, &group.id);
+    others.retain(|other| !Rc::ptr_eq(other, leader));
+    let max_served = others.iter().map(|other| placement::served(host, other)).max()?;
+    if leaving {
+        return Some("the leader is leaving");
+    }
+    if evacuated {
+        return Some("the leader's failure domain is evacuated");
+    }
+    let more = max_served > placement::served(host, leader);
+    more.then_some("another server may serve more databases by their homes")
+}
+
+/// Requests the status of a silent leader and the positions that its replicas have received,
+/// unless the holder of its connections had contact with it lately.
+async fn probe(host: Rc<Host>, group: Rc<Group>, leader: Rc<Pool>, since: Instant) {
+    let server = leader.listed.borrow().id.clone();
+    match holder_last_contact(&host, &leader).await {
+        Some(elapsed) if elapsed < suspicion::SILENCE_TIMEOUT => {
+            group.suspicion.borrow_mut().answered();
+            group.probing.set(false);
+            return;
+        }
+        Some(elapsed) if elapsed < suspicion::HOLDER_GRACE => {
+            info!(
+                group = %group.id, %server, silent_ms = elapsed.as_millis() as u64,
+                "leader: silent, probing is left to the holder of its connections"
+            );
+            group.suspicion.borrow_mut().reset_silence();
+            group.probing.set(false);
+            return;
+        }
+        _ => monoio::time::sleep(probe_delay(&host, &group)).await,
+    }
+    if group.leader().as_ref() != Some(&server) {
+        group.probing.set(false);
+        return;
+    }
+    let replicas = host.servers(&group.id);
+    let replicas = replicas.iter().filter(|pool| !Rc::ptr_eq(pool, &leader));
+    let replicas = replicas.filter(|pool| !placement::is_forbidden(&host, pool));
+    let replicas: Vec<_> = replicas.collect();
+    let read_positions = async || {
+        let requests = replicas.iter().map(|pool| status(&host, pool, suspicion::PROBE_TIMEOUT));
+        for status in future::join_all(requests).await.into_iter().flatten() {
+            group.suspicion.borrow_mut().received(status.received, host.now());
+        }
+    };
+    // The second reading shows whether the positions stand still.
+    let readings = async {
+        let second = monoio::time::Instant::now() + suspicion::REPLICA_STALL_TIMEOUT;
+        read_positions().await;
+        monoio::time::sleep_until(second).await;
+        read_positions().await;
+    };
+    // Concurrent: the time for which positions stand still counts from the first answer.
+    let (answer, ()) = monoio::join!(status(&host, &leader, suspicion::PROBE_TIMEOUT), readings);
+    let now = host.now();
+    match answer {
+        Ok(_) | Err(StatusError::Busy) => group.suspicion.borrow_mut().answered(),
+        Err(StatusError::Refused) => group.suspicion.borrow_mut().refused(now),
+        Err(StatusError::Silent) => {
+            group.suspicion.borrow_mut().silent(since);
+            let advice = group.suspicion.borrow().advice(now);
+            info!(group = %group.id, %server, ?advice, "leader: no answer to a status request");
+        }
+    }
+    group.probing.set(false);
+}
+
+/// Returns the time since a server last answered the host that holds its connections; `None`
+/// if this host is the holder, the holder does not reply, or the server never answered it.
+///
+/// Guards against hosts that mistake a long queue for a silent server: each of their status
+/// requests takes a connection and a slot of a server that has none to spare.
+async fn holder_last_contact(host: &Host, pool: &Pool) -> Option<Duration> {
+    let link = host.holder(pool)?;
+    let question = Question::Silence(pool.listed.borrow().id.clone());
+    match link.ask(question, HOLDER_TIMEOUT).await {
+        Ok(Answer::Silence(elapsed)) => elapsed,
+        _ => None,
+    }
+}
+
+/// Returns the delay after which this host acts on a group's leader, by its rank among all hosts.
+fn probe_delay(host: &Host, group: &Group) -> Duration {
+    let leased_view = host.leased_view.borrow();
+    let hosts: Vec<_> = leased_view.view().members.keys().cloned().collect();
+    let order = rendezvous::order(group.id.as_str(), &hosts);
+    let rank = order.iter().position(|id| **id == host.settings.host);
+    suspicion::stagger_delay(rank.unwrap_or(hosts.len()))
+}
+
+/// Reason why a server's status is not known.
+pub enum StatusError {
+    /// The server answered, but has no capacity for the request.
+    Busy,
+    /// The server's process does not run.
+    Refused,
+    /// No answer arrived in time.
+    Silent,
+}
+
+/// Requests a server's status on a connection opened for it; `timeout` includes the opening.
+pub async fn status(host: &Host, pool: &Pool, timeout: Duration) -> Result<Status, StatusError> {
+    let listed = pool.listed.borrow().clone();
+    let account = any_account(host);
+    let request = async {
+        let mut backend = Backend::open(&listed, &account).await.map_err(|error| match error {
+            OpenError::Refused => StatusError::Refused,
+            _ => StatusError::Silent,
+        })?;
+        wire::put_status(&mut backend.out);
+        let answer = backend.exchange().await.map_err(|_| StatusError::Silent)?;
+        wire::decode_status(&answer).ok_or(StatusError::Busy)
+    };
+    monoio::time::timeout(timeout, request).await.unwrap_or(Err(StatusError::Silent))
+}
+
+/// Returns an account for this host's own queries, since servers require one.
+pub fn any_account(host: &Host) -> AccountId {
+    let plan = host.plan();
+    let account = plan.as_ref().and_then(|plan| plan.accounts().next().map(|a| a.id.clone()));
+    account.unwrap_or_else(|| "-".parse().expect("the name is allowed"))
+}
+
+/// Returns the time of the store's clock, or up to a few milliseconds more.
+pub fn store_now(host: &Host) -> Duration {
+    let leased_view = host.leased_view.borrow();
+    leased_view.view().clock + leased_view.age(host.now()).unwrap_or_default()
+}
+
+/// Takes over a failover if the host that runs it is dead or has exceeded its time limit, [`FAILOVER_TTL`].
+async fn take_over(
+    host: Rc<Host>,
+    group: Rc<Group>,
+    holder: HostId,
+    since: Duration,
+    planned: bool,
+    from: Option<ServerId>,
+) {
+    let own = holder == host.settings.host;
+    let dead = own || is_dead(&host, &holder).await;
+    if dead {
+        monoio::time::sleep(TAKEOVER_DELAY).await;
+    }
+    let late = store_now(&host) > since + FAILOVER_TTL + FAILOVER_MARGIN;
+    let pending = host.leased_view.borrow().leadership(&group.id).is_some_and(
+        |row| matches!(&row.value, Leadership::Moving { since: now, .. } if *now == since),
+    );
+    if pending && (late || dead) {
+        info!(group = %group.id, %holder, late, dead, "leader: unfinished failover taken over");
+        start_failover(&host, &group, from, planned, "the previous failover did not finish");
+    } else {
+        monoio::time::sleep(TAKEOVER_DELAY).await;
+    }
+    group.probing.set(false);
+}
+
+/// Whether no process of the host runs: its machine refuses connections.
+pub async fn is_dead(host: &Host, id: &HostId) -> bool {
+    let Some(peer_address) = host.peer_address(id) else { return false };
+    let dial = monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer_address)).await;
+    matches!(dial, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
+}
+
+fn start_failover(
+    host: &Rc<Host>,
+    group: &Rc<Group>,
+    from: Option<ServerId>,
+    planned: bool,
+    why: &'static str,
+) {
+    group.in_failover.set(true);
+    let from_text = from.as_ref().map(tracing::field::display);
+    info!(group = %group.id, from = from_text, planned, why, "leader: failover scheduled");
+    let (host, group) = (host.clone(), group.clone());
+    // The decision was made on this row: an intent that another host has written meanwhile
+    // must not be overwritten.
+    let before = host.leased_view.borrow().leadership(&group.id).cloned();
+    monoio::spawn(async move {
+        // Hosts decide at the same time; the first to write the intent runs the failover.
+        let delay = probe_delay(&host, &group) + Duration::from_millis(rand::random_range(0..40));
+        monoio::time::sleep(delay).await;
+        let version = host.leased_view.borrow().leadership(&group.id).map(|row| row.version);
+        if version != before.as_ref().map(|row| row.version) {
+            info!(group = %group.id, "leader: another host runs the failover");
+            group.in_failover.set(false);
+            return;
+        }
+        let failover = Failover::begin(&host, &group, before, from, planned).await;
+        match failover {
+            Ok(Some(failover)) => {
+                if let Err(error) = failover.run(&host, &group).await {
+                    warn!(
+                        group = %group.id, error = %format_args!("{error:#}"),
+                        "leader: failover failed"
+                    );
+                }
+            }
+            Ok(None) => info!(group = %group.id, "leader: another host runs the failover"),
+            Err(error) => {
+                let error = format_args!("{error:#}");
+                info!(group = %group.id, %error, "leader: failover intent not written");
+            }
+        }
+        host.look.notify_one();
+        monoio::time::sleep(CHECK_INTERVAL).await;
+        group.in_failover.set(false);
+    });
+}
--- /dev/null
+++ b/components/proxy/src/operation.rs
@@ -0,0 +1,433 @@
+//! Running an operation, which is a single statement or a transaction: selects targets, retries
+//! at other servers where that is safe, and turns failures into answers for the caller.
+
+use std::{rc::Rc, time::Duration};
+
+use bergamottrack_adapter::wire;
+use bergamottrack_coordination::{AccountId, Fate, Point, homes};
+use bergamottrack_model::{
+    Access, Currency, Failure, Request, ServerAnswer, Session, State, Statement, statement::Shape,
+};
+use monoio::time::Instant;
+
+use crate::{
+    confirm,
+    group::{Group, LeaderUse},
+    host::Host,
+    placement,
+    pool::Pool,
+    target::{self, ExchangeError, Execution, Target, TargetInfo},
+};
+
+/// How long an operation waits for the group to get a leader. A failover in which all hosts
+/// take part ends within this time; a caller that is refused sooner would only retry into the
+/// same gap.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(900);
+
+/// Time without a leader after which new operations are refused at once: a failover that lasts
+/// this long is waiting for a silent host.
+const FAILOVER_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
+
+/// Timeout of opening a transaction, and of a read at one server while other targets remain.
+/// Longer than the slowest usual answer, so that slow reads do not run twice.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
+
+/// Timeout of a rollback, after which the connection is closed instead.
+const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Delay before an operation that all targets refused is tried again, unless the group gets a
+/// new leader first.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+
+/// Maximum number of attempts per operation.
+const MAX_ATTEMPTS: usize = 4;
+
+/// Retry delay suggested to callers where no better estimate exists.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
+
+/// Requirements of a single statement or a transaction.
+#[derive(Clone)]
+pub struct Operation {
+    /// Request id that the caller gave to the current statement.
+    pub id: Box<str>,
+    /// Client account that it runs for.
+    pub account: AccountId,
+    /// Database group that holds the database.
+    pub group: Rc<Group>,
+    /// How current the data of its reads must be.
+    pub currency: Currency,
+    /// Whether it may write.
+    pub access: Access,
+    /// Regions in which it may run.
+    pub homes: homes::Homes,
+    /// Log position of the session's last write in the group.
+    pub last_write: Option<Point>,
+    /// Time by which it must have been answered.
+    pub deadline: Instant,
+    /// Queue priority under overload; 0 is the highest.
+    pub priority: u32,
+    /// Maximum time in a server's queue.
+    pub queue_timeout: Duration,
+}
+
+/// Reason why a statement gets no answer from a backend server.
+#[derive(Clone, Debug)]
+pub struct Refusal {
+    /// Kind of failure reported to the caller.
+    pub failure: Failure,
+    /// Delay after which the caller may retry.
+    pub retry_after: Option<Duration>,
+    /// Explanation for the caller and the log.
+    pub reason: &'static str,
+    /// Whether the server is overloaded, so that a retry before `retry_after` is useless.
+    pub overloaded: bool,
+}
+
+impl Refusal {
+    /// Refusal of a statement that has not run and may be retried after the default delay.
+    pub fn busy(reason: &'static str) -> Self {
+        Self {
+            failure: Failure::Busy,
+            retry_after: Some(DEFAULT_RETRY_AFTER),
+            reason,
+            overloaded: false,
+        }
+    }
+
+    /// Refusal of a statement that has not run because the server's queue is full for `wait`.
+    pub fn overloaded(wait: Duration) -> Self {
+        let reason = "too many statements wait for the server";
+        Self { retry_after: Some(wait), overloaded: true, ..Self::busy(reason) }
+    }
+
+    /// Refusal without a retry delay, for failures where an immediate retry is either useless or
+    /// harmless.
+    pub fn new(failure: Failure, reason: &'static str) -> Self {
+        Self { failure, retry_after: None, reason, overloaded: false }
+    }
+
+    /// Formats the message for the caller.
+    pub fn text(&self) -> String {
+        let fate = match self.failure.fate() {
+            Fate::NotRun => Fate::NotRun,
+            _ => Fate::Unknown,
+        };
+        wire::refusal_text(fate, self.retry_after, self.reason)
+    }
+}
+
+/// Result of trying a statement at one server.
+enum Attempt {
+    Answered(ServerAnswer),
+    /// Nothing was kept; another server may be tried.
+    Retryable(Refusal),
+    /// The statement was sent and no valid answer was received.
+    Lost(&'static str),
+}
+
+/// Waits until at least one server can run the operation and returns the targets, best first.
+async fn wait_for_targets(host: &Host, operation: &Operation) -> Result<Vec<Target>, Refusal> {
+    let until = operation.deadline.min(Instant::now() + LEADER_TIMEOUT);
+    loop {
+        if operation.access == Access::Write && operation.group.receipts.state.borrow().is_stalled()
+        {
+            return Err(Refusal::busy("the leader's replicas receive nothing"));
+        }
+        let mut targets = target::select(host, operation);
+        if let Some(wait) = target::congestion_wait(host, operation, &targets) {
+            return Err(Refusal::overloaded(wait));
+        }
+        targets.retain(|target| {
+            let congestion = target.pool.congestion.borrow();
+            congestion.remaining(operation.priority, operation.queue_timeout, host.now()).is_none()
+        });
+        if !targets.is_empty() {
+            return Ok(targets);
+        }
+        if let Some(reason) = placement::rejection_reason(host, operation) {
+            return Err(Refusal::busy(reason));
+        }
+        if !host.leased() {
+            return Err(Refusal::busy("this host cannot show who leads"));
+        }
+        let stalled = operation.group.leaderless_for(host.now()) > FAILOVER_STALL_TIMEOUT;
+        if stalled || Instant::now() >= until {
+            return Err(Refusal::busy("the group has no leader now"));
+        }
+        operation.group.wait_leader(until).await;
+    }
+}
+
+/// Returns the access that a statement needs, or `None` if it does not run at a backend server.
+pub fn access(session: &Session, statement: &Statement) -> Option<Access> {
+    match statement {
+        Statement::Read => Some(Access::Read),
+        Statement::Write => Some(Access::Write),
+        Statement::Execute { name, .. } => {
+            session.prepared.get(name).map(|Shape { access, .. }| *access)
+        }
+        _ => None,
+    }
+}
+
+async fn attempt(
+    host: &Rc<Host>,
+    operation: &Operation,
+    session: &Session,
+    request: &Request,
+    target: Target,
+    last: bool,
+) -> Attempt {
+    let mut execution = match target::connect(host, operation, session, target).await {
+        Ok(execution) => execution,
+        Err(refusal) => return Attempt::Retryable(refusal),
+    };
+    let required_position = execution.required_position;
+    let pool = execution.conn.pool().clone();
+    target::put_statement(&mut execution, session, request, required_position);
+    let left = operation.deadline.saturating_duration_since(Instant::now());
+    let timeout =
+        if last || operation.access == Access::Write { left } else { left.min(ATTEMPT_TIMEOUT) };
+    let answer = match target::exchange(host, operation, &mut execution, timeout).await {
+        Ok(answer) => answer,
+        Err(ExchangeError::NotSent(refusal)) => return Attempt::Retryable(refusal),
+        Err(ExchangeError::Lost(reason)) => return Attempt::Lost(reason),
+    };
+    let still_leads = execution.usage.as_ref().is_none_or(|usage| host.holds(usage));
+    let Execution { conn, usage, .. } = execution;
+    conn.give_back(&answer);
+    if required_position.is_some() && answer.failure().is_none() {
+        pool.health.borrow_mut().clear_lag();
+    }
+    match retryable(host, operation, &pool, required_position, &answer) {
+        Some(refusal) => Attempt::Retryable(refusal),
+        // The answer of a leader that was replaced in the meantime proves nothing.
+        None if !still_leads => Attempt::Lost("the leader changed"),
+        None if operation.access == Access::Write => {
+            match wait_replicated(host, operation, &answer, usage.as_ref()).await {
+                Ok(()) => Attempt::Answered(answer),
+                Err(reason) => Attempt::Lost(reason),
+            }
+        }
+        None => Attempt::Answered(answer),
+    }
+}
+
+/// Waits until a second server holds the commit that an answer acknowledges.
+///
+/// Guards against an acknowledged write that is lost by a failover: the successor is the replica
+/// that has received most, which may lack a commit that only the former leader holds.
+async fn wait_replicated(
+    host: &Rc<Host>,
+    operation: &Operation,
+    answer: &ServerAnswer,
+    usage: Option<&LeaderUse>,
+) -> Result<(), &'static str> {
+    let (None, Some(commit)) = (answer.failure(), answer.point) else { return Ok(()) };
+    confirm::wait(host, &operation.group, commit).await?;
+    let still_leads = usage.is_none_or(|usage| host.holds(usage));
+    if still_leads { Ok(()) } else { Err("the leader changed") }
+}
+
+/// Returns a refusal if the server's failure means that nothing was kept and another server may
+/// be tried.
+fn retryable(
+    host: &Host,
+    operation: &Operation,
+    pool: &Pool,
+    required_position: Option<Point>,
+    answer: &ServerAnswer,
+) -> Option<Refusal> {
+    Some(Refusal::busy(match answer.failure()? {
+        Failure::Behind => {
+            if let Some(required_position) = required_position {
+                let (ages, now) = (operation.group.ages.borrow(), host.now());
+                let lag = answer.point.and_then(|shown| ages.age(shown, now));
+                let missing = lag
+                    .zip(ages.age(required_position, now))
+                    .map(|(lag, due)| lag.saturating_sub(due));
+                pool.health.borrow_mut().mark_lagging(required_position, missing, now);
+            }
+            "the replica is behind"
+        }
+        Failure::ReadOnly => "the server does not lead",
+        Failure::Busy | Failure::TooMany => "the server is busy",
+        Failure::Misdirected | Failure::UnknownName => "the server does not know the statement",
+        _ => return None,
+    }))
+}
+
+/// Runs a single statement and returns the answer and the number of attempts.
+///
+/// A read is tried at several servers. A write is tried again only if it was not sent or the
+/// server answered that nothing was kept.
+pub async fn run_statement(
+    host: &Rc<Host>,
+    operation: &Operation,
+    session: &Session,
+    request: &Request,
+) -> Result<(ServerAnswer, usize), Refusal> {
+    let until = operation.deadline.min(Instant::now() + LEADER_TIMEOUT);
+    let mut attempts = 0;
+    loop {
+        let targets = wait_for_targets(host, operation).await?;
+        let mut last_refusal = Refusal::busy("no server can be asked");
+        let count = targets.len().min(MAX_ATTEMPTS - attempts);
+        for (i, target) in targets.into_iter().take(count).enumerate() {
+            attempts += 1;
+            if attempts > 1 {
+                host.metrics.retries.inc();
+            }
+            let info = TargetInfo::new(&target);
+            match attempt(host, operation, session, request, target, i + 1 == count).await {
+                Attempt::Answered(answer) => return Ok((answer, attempts)),
+                Attempt::Retryable(refusal) => {
+                    info.log(operation, refusal.reason);
+                    last_refusal = refusal;
+                }
+                Attempt::Lost(reason) if operation.access == Access::Write => {
+                    return Err(Refusal::new(Failure::Uncertain, reason));
+                }
+                Attempt::Lost(reason) => {
+                    info.log(operation, reason);
+                    last_refusal = Refusal::new(Failure::TimedOut, reason);
+                }
+            }
+            if Instant::now() >= operation.deadline {
+                return Err(last_refusal);
+            }
+        }
+        if last_refusal.overloaded || attempts >= MAX_ATTEMPTS || Instant::now() >= until {
+            return Err(last_refusal);
+        }
+        operation.group.wait_leader(until.min(Instant::now() + RETRY_DELAY)).await;
+    }
+}
+
+/// Opens a transaction at one of the operation's targets.
+pub async fn open_transaction(
+    host: &Rc<Host>,
+    operation: &Operation,
+    session: &Session,
+) -> Result<Execution, Refusal> {
+    let until = operation.deadline.min(Instant::now() + LEADER_TIMEOUT);
+    let mut attempts = 0;
+    loop {
+        let targets = wait_for_targets(host, operation).await?;
+        let mut last_refusal = Refusal::busy("no server can be asked");
+        for target in targets.into_iter().take(MAX_ATTEMPTS - attempts) {
+            attempts += 1;
+            if attempts > 1 {
+                host.metrics.retries.inc();
+            }
+            let info = TargetInfo::new(&target);
+            match begin(host, operation, session, target).await {
+                Ok(execution) => return Ok(execution),
+                Err(refusal) => {
+                    info.log(operation, refusal.reason);
+                    last_refusal = refusal;
+                }
+            }
+            if Instant::now() >= operation.deadline {
+                return Err(last_refusal);
+            }
+        }
+        if last_refusal.overloaded || attempts >= MAX_ATTEMPTS || Instant::now() >= until {
+            return Err(last_refusal);
+        }
+        operation.group.wait_leader(until.min(Instant::now() + RETRY_DELAY)).await;
+    }
+}
+
+async fn begin(
+    host: &Rc<Host>,
+    operation: &Operation,
+    session: &Session,
+    target: Target,
+) -> Result<Execution, Refusal> {
+    let mut execution = target::connect(host, operation, session, target).await?;
+    let pool = execution.conn.pool().clone();
+    let required_position = execution.required_position;
+    execution.conn.begin_transaction();
+    execution
+        .conn
+        .put(session, None, |out| wire::put_begin(operation.access, required_position, out));
+    let left = operation.deadline.saturating_duration_since(Instant::now());
+    let answer = target::exchange(host, operation, &mut execution, left.min(ATTEMPT_TIMEOUT)).await;
+    let answer = answer.map_err(|error| match error {
+        ExchangeError::NotSent(refusal) => refusal,
+        // Only the opening statement was sent, so the transaction can be opened elsewhere.
+        ExchangeError::Lost(reason) => Refusal::busy(reason),
+    })?;
+    if answer.state == State::Open && answer.failure().is_none() {
+        if required_position.is_some() {
+            pool.health.borrow_mut().clear_lag();
+        }
+        return Ok(execution);
+    }
+    execution.conn.give_back(&answer);
+    let refusal = retryable(host, operation, &pool, required_position, &answer);
+    Err(refusal.unwrap_or(Refusal::busy("the server opened no transaction")))
+}
+
+/// Result of a statement within a transaction.
+pub enum StepOutcome {
+    /// The server answered.
+    Answered(ServerAnswer),
+    /// The statement may have been sent and has no valid answer; the connection must be closed.
+    Lost(&'static str),
+    /// The statement was not sent, and the transaction is over.
+    NotSent(Refusal),
+}
+
+/// Runs a statement on the transaction's connection.
+pub async fn run_step(
+    host: &Rc<Host>,
+    operation: &Operation,
+    session: &Session,
+    request: &Request,
+    execution: &mut Execution,
+) -> StepOutcome {
+    if execution.usage.as_ref().is_some_and(|usage| !host.holds(usage)) {
+        return StepOutcome::Lost("the leader changed");
+    }
+    if placement::is_forbidden(host, execution.conn.pool()) {
+        return StepOutcome::NotSent(Refusal::busy("the server's failure domain is evacuated"));
+    }
+    execution.wrote |= access(session, &request.statement) == Some(Access::Write);
+    target::put_statement(execution, session, request, None);
+    let left = operation.deadline.saturating_duration_since(Instant::now());
+    match target::exchange(host, operation, execution, left).await {
+        Ok(answer) if execution.usage.as_ref().is_none_or(|usage| host.holds(usage)) => {
+            let commits = execution.wrote && request.statement == Statement::Commit;
+            if commits
+                && let Err(reason) =
+                    wait_replicated(host, operation, &answer, execution.usage.as_ref()).await
+            {
+                return StepOutcome::Lost(reason);
+            }
+            StepOutcome::Answered(answer)
+        }
+        Ok(_) => StepOutcome::Lost("the leader changed"),
+        Err(ExchangeError::NotSent(refusal)) => StepOutcome::NotSent(refusal),
+        Err(ExchangeError::Lost(reason)) => StepOutcome::Lost(reason),
+    }
+}
+
+/// Rolls a transaction back in a separate task and returns its connection to the pool.
+///
+/// If nothing may be sent to the server, the connection is closed, which rolls back too.
+pub fn roll_back(host: &Host, execution: Execution) {
+    let Execution { mut conn, usage, .. } = execution;
+    if placement::is_forbidden(host, conn.pool()) {
+        return;
+    }
+    monoio::spawn(async move {
+        conn.put_without_session(wire::put_rollback);
+        // Dropping the connection without an answer closes it, which rolls back too.
+        if let Ok(answer) = conn.exchange(ROLLBACK_TIMEOUT).await {
+            conn.give_back(&answer);
+        }
+        drop(usage);
+    });
+}
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a host's tasks and ends them in order.
+//! Startup of a host's tasks and its orderly shutdown.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,7 +13,7 @@
 use anyhow::Context;
 use bergamottrack_adapter::probes;
 use bergamottrack_contract as contract;
-use bergamottrack_coordination::{Clock, demand::Demand, token::Secret, view::Held};
+use bergamottrack_coordination::{Clock, demand::Demand, token::Secret, view::LocalView};
 use bergamottrack_model::Settings;
 use bergamottrack_operator::serve::{self as http, Handler, Reply};
 use bergamottrack_peer::{
@@ -27,42 +27,42 @@
 use tracing::{info, warn};
 
 use crate::{
-    BootClock, caller, fleet, follow, gossip,
+    BootClock, caller, eviction, fleet, follow, gossip,
     host::{Host, Phase},
-    lead,
-    measure::Measures,
-    silent,
+    metrics::Metrics,
+    monitor,
 };
 
-/// How often signals are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Poll interval of signal flags and, during shutdown, of open sessions.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long callers are brought here after the readiness has changed: the
-/// platform asks once a second and believes the second answer.
-const STILL_BROUGHT: Duration = Duration::from_millis(2300);
+/// How long new callers still arrive after the readiness has changed: the platform polls it once
+/// a second and acts on the second answer.
+const READINESS_DELAY: Duration = Duration::from_millis(2300);
 
-/// How long before the process would be killed it ends by itself.
-const END_BEFORE: Duration = Duration::from_millis(900);
+/// How long before the end of the grace period, when the process would be killed, it exits by
+/// itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(900);
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted, per listener.
 const BACKLOG: i32 = 1024;
 
-/// The signals that a host acts on.
+/// Flags that the process's signal handlers set.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    /// Stop as planned.
+    /// Requests an orderly shutdown.
     pub stop: Arc<AtomicBool>,
-    /// Read the settings again.
+    /// Requests that the settings are read again.
     pub reload: Arc<AtomicBool>,
 }
 
-/// Runs a host until it is told to stop. `reread` reads the settings again.
+/// Runs a host until a shutdown is requested. `reread` reads the settings again.
 pub async fn run(
     settings: Settings,
     signals: Signals,
     reread: impl Fn() -> anyhow::Result<Settings>,
 ) -> anyhow::Result<()> {
-    // Before all else: a host that others find refusing connections runs no more.
+    // The listeners come first: other hosts take a host that refuses connections for dead.
     let peers = listen(settings.peers).context("listening for other hosts")?;
     let callers = listen(settings.callers).context("listening for callers")?;
     let state: Rc<RefCell<Option<Rc<Host>>>> = Rc::default();
@@ -70,25 +70,25 @@
     monoio::spawn(http::serve(settings.metrics, metrics(state.clone())));
     let client = Client::new(settings.store);
     let (run, clock) = (rand::random(), Rc::new(BootClock::new()));
-    let entered = monoio::select! {
-        entered = fleet::enter(&settings, &*clock, &client) => entered,
-        // Counted in perhaps, and without any use of a leader.
-        _ = raised(&signals.stop) => return fleet::leave(&settings).await,
+    let membership = monoio::select! {
+        membership = fleet::ensure_member(&settings, &*clock, &client) => membership,
+        // The host may have joined the view already; it has not used any leader yet.
+        _ = wait_raised(&signals.stop) => return fleet::leave(&settings).await,
     };
-    let host = new_host(settings, run, clock, &entered.secret);
+    let host = new_host(settings, run, clock, &membership.secret);
     *state.borrow_mut() = Some(host.clone());
     info!(host = %host.settings.host, run = host.run, "host: started");
-    host.store_clock.borrow_mut().note(entered.asked, entered.view.clock);
-    fleet::learn(&host, entered.view, entered.asked);
+    host.store_clock.borrow_mut().note(membership.requested, membership.view.clock);
+    fleet::apply_view(&host, membership.view, membership.requested);
     monoio::spawn(accept_peers(peers, host.clone()));
     monoio::spawn(fleet::follow(host.clone()));
     monoio::spawn(gossip::send_heartbeats(host.clone()));
-    monoio::spawn(gossip::ask_hosts(host.clone()));
-    monoio::spawn(silent::take_out_silent(host.clone()));
+    monoio::spawn(gossip::poll_peers(host.clone()));
+    monoio::spawn(eviction::evict_silent(host.clone()));
     monoio::spawn(follow::configuration(host.clone()));
     monoio::spawn(follow::servers(host.clone()));
-    monoio::spawn(lead::watch(host.clone()));
-    monoio::spawn(host.clone().trim());
+    monoio::spawn(monitor::watch(host.clone()));
+    monoio::spawn(host.clone().maintain_pools());
     monoio::select! {
         _ = accept_callers(callers, host.clone()) => {}
         _ = watch_signals(&host, &signals, reread) => {}
@@ -103,23 +103,23 @@
         peer: settings.peers,
     };
     let secret = Secret::new(secret.as_bytes());
-    let began = clock.now();
+    let started = clock.now();
     let routes = contract::Routes::new(&[]);
-    let mesh = Mesh::with_pace(me, secret, clock.clone(), routes, fleet::PACE);
-    let demand = Demand::new(settings.tolerance, run, began);
+    let mesh = Mesh::with_pace(me, secret, clock.clone(), routes, fleet::LINK_PACE);
+    let demand = Demand::new(settings.tolerance, run, started);
     Rc::new(Host {
-        held: RefCell::new(Held::new(settings.host.clone(), fleet::place(&settings))),
+        leased_view: RefCell::new(LocalView::new(settings.host.clone(), fleet::place(&settings))),
         settings,
         clock,
         run,
-        began,
-        clocks: RefCell::default(),
+        started,
+        peer_clocks: RefCell::default(),
         plan: RefCell::default(),
-        by_rate: RefCell::new(Rc::new([])),
-        shelf: RefCell::default(),
+        accounts_by_rate: RefCell::new(Rc::new([])),
+        documents: RefCell::default(),
         fetch: RefCell::default(),
-        fetches: Cell::default(),
-        unreadable: Cell::default(),
+        is_fetching: Cell::default(),
+        unreadable_version: Cell::default(),
         newest: Cell::default(),
         store_clock: RefCell::default(),
         servers_clock: Cell::default(),
@@ -128,20 +128,20 @@
         servers_stamp: Cell::default(),
         neighbours: RefCell::default(),
         hub_majority: Cell::default(),
-        asked: RefCell::default(),
-        heard: RefCell::default(),
+        requested: RefCell::default(),
+        last_contact: RefCell::default(),
         pools: RefCell::default(),
         by_group: RefCell::default(),
         holders_stamp: Cell::default(),
         has_homes: Cell::default(),
         groups: RefCell::default(),
         mesh,
-        works: Default::default(),
-        admits: Cell::default(),
+        remote_transactions: Default::default(),
+        last_admission: Cell::default(),
         demand: RefCell::new(demand),
         phase: watch::Sender::new(Phase::Serving),
         look: Notify::new(),
-        measures: Measures::default(),
+        metrics: Metrics::default(),
         sessions: Cell::default(),
     })
 }
@@ -172,17 +172,17 @@
     }
 }
 
-/// Whether new callers should be brought to this host.
+/// Returns whether the platform should send new callers to this host.
 fn is_ready(host: &Host) -> bool {
     *host.phase.borrow() == Phase::Serving && host.may_serve() && host.leased()
 }
 
 fn readiness(state: Rc<RefCell<Option<Rc<Host>>>>) -> Rc<Handler> {
-    let was = Cell::new(false);
+    let last = Cell::new(false);
     Rc::new(move |request| {
         let ready = state.borrow().as_ref().is_some_and(|host| is_ready(host));
-        if was.replace(ready) != ready {
-            note_readiness(state.borrow().as_deref(), ready);
+        if last.replace(ready) != ready {
+            log_readiness(state.borrow().as_deref(), ready);
         }
         let status = match &*request.path {
             probes::READINESS_PATH if ready => StatusCode::OK,
@@ -193,7 +193,7 @@
     })
 }
 
-fn note_readiness(host: Option<&Host>, ready: bool) {
+fn log_readiness(host: Option<&Host>, ready: bool) {
     info!(
         ready,
         leased = host.map(Host::leased),
@@ -206,14 +206,14 @@
 
 fn metrics(state: Rc<RefCell<Option<Rc<Host>>>>) -> Rc<Handler> {
     Rc::new(move |_| {
-        let text = state.borrow().as_ref().map(|host| host.measures.encode());
+        let text = state.borrow().as_ref().map(|host| host.metrics.encode());
         Box::pin(async move { Reply::text(StatusCode::OK, text.unwrap_or_default()) })
     })
 }
 
-async fn raised(flag: &AtomicBool) {
+async fn wait_raised(flag: &AtomicBool) {
     while !flag.load(Ordering::Relaxed) {
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -224,37 +224,38 @@
 ) {
     while !signals.stop.load(Ordering::Relaxed) {
         if signals.reload.swap(false, Ordering::Relaxed) {
-            // What the platform may change in a file is read where it is used; what
-            // stands for the life of a process is only checked.
+            // Files that the platform may change are read where they are used. Settings that are
+            // fixed for the life of the process are only validated here.
             match reread() {
                 Ok(settings) => info!(host = %settings.host, "host: settings read again"),
-                Err(error) => warn!(error = %format_args!("{error:#}"), "host: settings not read"),
+                Err(error) => warn!(error = %format_args!("{error:#}"), "host: settings rejected"),
             }
         }
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     stop(host).await;
 }
 
-/// Serves on while callers are still brought here, then closes sessions between
-/// transactions and ends with the last one, or before the process is killed.
+/// Shuts the host down: serves on while new callers still arrive, then closes sessions between
+/// transactions, and returns when the last one has ended or shortly before the process would be
+/// killed.
 async fn stop(host: &Rc<Host>) {
-    let began = Instant::now();
-    let end = host.settings.grace.saturating_sub(END_BEFORE);
+    let started = Instant::now();
+    let limit = host.settings.grace.saturating_sub(EXIT_MARGIN);
     info!(sessions = host.sessions.get(), "host: stopping");
     host.phase.send_replace(Phase::Leaving);
-    monoio::time::sleep(STILL_BROUGHT.min(end / 2)).await;
+    monoio::time::sleep(READINESS_DELAY.min(limit / 2)).await;
     host.phase.send_replace(Phase::Closing);
-    while host.sessions.get() + host.works.count() > 0 && began.elapsed() < end {
-        monoio::time::sleep(LOOK_EVERY).await;
+    while host.sessions.get() + host.remote_transactions.count() > 0 && started.elapsed() < limit {
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     let cut = host.sessions.get();
-    // From here on no leader is used, so nobody has to wait for this host.
-    match monoio::time::timeout(END_BEFORE / 2, fleet::leave(&host.settings)).await {
+    // No leader is used from here on, so other hosts need not wait for this one.
+    match monoio::time::timeout(EXIT_MARGIN / 2, fleet::leave(&host.settings)).await {
         Ok(Ok(())) => info!(cut, "host: stopped"),
         Ok(Err(error)) => {
-            info!(cut, error = %format_args!("{error:#}"), "host: stopped, still in the view");
+            info!(cut, error = %format_args!("{error:#}"), "host: stopped without leaving the view");
         }
-        Err(_) => info!(cut, "host: stopped, still in the view"),
+        Err(_) => info!(cut, "host: stopped without leaving the view"),
     }
 }
