--- a/components/home/src/backend.rs
+++ b/components/home/src/backend.rs
@@ -18,7 +18,7 @@
 };
 use tokio::io::{ReadHalf, WriteHalf};
 
-use crate::border;
+use crate::protocol;
 
 /// The most bytes that one message of a server may have.
 const MAX_MESSAGE: usize = 64 << 20;
@@ -89,7 +89,7 @@
         let mut startup = Startup::default();
         startup.protocol_number_major = 3;
         startup.protocol_number_minor = 0;
-        startup.parameters.insert("user".into(), border::USER.into());
+        startup.parameters.insert("user".into(), protocol::USER.into());
         startup.parameters.insert("database".into(), group.to_string());
         conn.send(&frame::bytes(&startup)).await?;
         conn.await_ready().await?;
@@ -224,8 +224,10 @@
 /// What a server says, beside an answer, that the answer shows or has reached.
 pub fn point(frame: &Frame) -> Option<Point> {
     match frame.backend().ok()? {
-        PgWireBackendMessage::ParameterStatus(setting) if setting.name == border::POINT_SETTING => {
-            border::parse_point(&setting.value).ok()
+        PgWireBackendMessage::ParameterStatus(setting)
+            if setting.name == protocol::POINT_SETTING =>
+        {
+            protocol::parse_point(&setting.value).ok()
         }
         _ => None,
     }
--- a/components/home/src/group.rs
+++ b/components/home/src/group.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Notify;
 use tracing::{info, warn};
 
-use crate::{outcome::Key, promotion, server::Server, watch};
+use crate::{monitor, outcome::Key, promotion, server::Server};
 
 /// When a caller may come back while a group has no primary.
 pub const COME_BACK: Duration = Duration::from_millis(200);
@@ -102,7 +102,7 @@
             clock,
         });
         for server in &home.servers {
-            monoio::spawn(watch::watch(home.clone(), server.clone()));
+            monoio::spawn(monitor::watch(home.clone(), server.clone()));
         }
         monoio::spawn(promotion::run(home.clone()));
         home
--- a/components/home/src/lib.rs
+++ b/components/home/src/lib.rs
@@ -2,19 +2,19 @@
 
 pub mod backend;
 pub mod batch;
-pub mod border;
+pub mod execution;
 pub mod group;
 pub mod handover;
 pub mod homes;
+mod monitor;
 pub mod outcome;
 pub mod pool;
 pub mod promotion;
+pub mod protocol;
 pub mod queue;
 pub mod report;
 pub mod route;
 pub mod serve;
 pub mod server;
-pub mod turn;
-mod watch;
 
 pub use homes::Homes;
--- a/components/home/src/watch.rs
+++ b/components/home/src/monitor.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     backend::{self, Conn},
-    border,
     group::GroupHome,
+    protocol,
     server::{Seen, Server},
 };
 
@@ -43,10 +43,10 @@
 
 async fn follow(group: &GroupHome, server: &Server, up: &mut bool) -> anyhow::Result<()> {
     let mut conn = Conn::connect(&server.contract, &group.id, CONNECT_WITHIN).await?;
-    conn.text(border::LISTEN_STATUS).await?;
+    conn.text(protocol::LISTEN_STATUS).await?;
     while !group.is_over() {
         let asked = group.clock.now();
-        conn.ask(border::SHOW_STATUS).await?;
+        conn.ask(protocol::SHOW_STATUS).await?;
         let answer = read_answer(group, server, &mut conn, asked);
         monoio::time::timeout(group.silence(), answer).await.context("no answer to a probe")??;
         if !std::mem::replace(up, true) {
@@ -101,7 +101,7 @@
     };
     let asked = server.seen.get().map(|seen| seen.asked);
     match asked {
-        Some(asked) if told.channel == border::STATUS_CHANNEL => {
+        Some(asked) if told.channel == protocol::STATUS_CHANNEL => {
             note(group, server, &told.payload, asked)
         }
         _ => Ok(()),
@@ -114,7 +114,7 @@
     text: &str,
     asked: std::time::Instant,
 ) -> anyhow::Result<()> {
-    let status = border::parse_status(text)?;
+    let status = protocol::parse_status(text)?;
     let before = server.seen.replace(Some(Seen { status, asked }));
     server.last.set(Some(status));
     server.heard.set(Some(group.clock.now()));
--- a/components/home/src/outcome.rs
+++ b/components/home/src/outcome.rs
@@ -20,10 +20,10 @@
 
 use crate::{
     backend::{Conn, Reply},
-    border,
+    execution::{self, Answer, Failure, Turn},
     group::{COME_BACK, GroupHome},
+    protocol,
     serve::{self, Place},
-    turn::{self, Answer, Failure, Turn},
 };
 
 const TABLE: &str = "bergamottrack_outcomes";
@@ -80,7 +80,7 @@
             Ok(point) if self.home.confirm(turn.server, point, turn.deadline).await => {
                 done("the request ran before, under the same id")
             }
-            _ => turn::unconfirmed(),
+            _ => execution::unconfirmed(),
         }
     }
 
@@ -164,7 +164,7 @@
             answer.pending.extend_from_slice(&bytes);
         }
         if standing == Standing::Open && reply.error.is_none() && reply.point.is_none() {
-            return Err(turn::unconfirmed().into());
+            return Err(execution::unconfirmed().into());
         }
         Ok(Standing::Idle)
     }
@@ -250,8 +250,8 @@
 
 /// The last record that the server holds as primary.
 async fn held(conn: &mut Conn) -> anyhow::Result<Point> {
-    let text = conn.text(border::SHOW_STATUS).await?.unwrap_or_default();
-    let status = border::parse_status(&text)?;
+    let text = conn.text(protocol::SHOW_STATUS).await?.unwrap_or_default();
+    let status = protocol::parse_status(&text)?;
     ensure!(status.leads(), "the server does not lead");
     Ok(status.held)
 }
@@ -307,7 +307,7 @@
     match found {
         None => Ok(None),
         Some((outcome, point)) if home.confirm(server, point, deadline).await => Ok(Some(outcome)),
-        Some(_) => Err(turn::unconfirmed()),
+        Some(_) => Err(execution::unconfirmed()),
     }
 }
 
--- a/components/home/src/promotion.rs
+++ b/components/home/src/promotion.rs
@@ -21,7 +21,9 @@
 use futures_util::{StreamExt, stream::FuturesUnordered};
 use tracing::{debug, info, warn};
 
-use crate::{backend::Conn, border, group::GroupHome, handover::Handover, server::Server, watch};
+use crate::{
+    backend::Conn, group::GroupHome, handover::Handover, monitor, protocol, server::Server,
+};
 
 /// How often the group's leadership is looked at.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
@@ -117,8 +119,8 @@
     let place = promises.iter().position(|p| rank(&p.server) == chosen).context("no successor")?;
     let Promise { server, mut conn, .. } = promises.swap_remove(place);
     let asked = home.clock.now();
-    let text = conn.text_within(&border::promote(term, &holder), PROMOTE_WITHIN).await?;
-    watch::note(home, &server, &text, asked)?;
+    let text = conn.text_within(&protocol::promote(term, &holder), PROMOTE_WITHIN).await?;
+    monitor::note(home, &server, &text, asked)?;
     home.servers.iter().for_each(|server| server.probe.notify_one());
     let took = home.clock.now().saturating_duration_since(asked);
     home.metrics.promotion(&home.id, Phase::Notice, detect);
@@ -192,9 +194,9 @@
 ) -> anyhow::Result<Promise> {
     let asked = home.clock.now();
     let mut conn = Conn::connect(&server.contract, &home.id, PROMISE_WITHIN).await?;
-    let text = conn.text_within(&border::promise(term, holder), PROMISE_WITHIN).await?;
-    let status = border::parse_status(&text)?;
-    watch::note(home, &server, &text, asked)?;
+    let text = conn.text_within(&protocol::promise(term, holder), PROMISE_WITHIN).await?;
+    let status = protocol::parse_status(&text)?;
+    monitor::note(home, &server, &text, asked)?;
     Ok(Promise { server, conn, status })
 }
 
--- a/components/home/src/serve.rs
+++ b/components/home/src/serve.rs
@@ -14,13 +14,13 @@
 use crate::{
     backend::{self, Conn},
     batch::Batch,
+    execution::{Answer, Failure, Turn},
     group::{COME_BACK, GroupHome},
     outcome::{self, Key, Running},
     pool::{self, Taken},
     queue::{NoSlot, Slot},
     route::Need,
     server::Server,
-    turn::{Answer, Failure, Turn},
 };
 
 /// Before a server that could not be connected to is chosen again.
