--- a/components/home/src/backend.rs
+++ b/components/home/src/backend.rs
@@ -21,7 +21,7 @@
 use crate::protocol;
 
 /// The most bytes that one message of a server may have.
-const MAX_MESSAGE: usize = 64 << 20;
+const MAX_MESSAGE_LEN: usize = 64 << 20;
 
 /// The other end closed the connection.
 #[derive(Clone, Copy, Debug)]
@@ -39,12 +39,12 @@
 ///
 /// A server that is there but takes no more connections says so in words, and
 /// one that hangs says nothing: neither counts.
-pub fn is_refusal(error: &anyhow::Error) -> bool {
+pub fn is_process_gone(error: &anyhow::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset};
-    let gone = [BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset];
+    let kinds = [BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset];
     error.chain().any(|cause| {
         cause.is::<Closed>()
-            || cause.downcast_ref::<io::Error>().is_some_and(|e| gone.contains(&e.kind()))
+            || cause.downcast_ref::<io::Error>().is_some_and(|e| kinds.contains(&e.kind()))
     })
 }
 
@@ -53,7 +53,7 @@
     reader: PgReader<ReadHalf<TcpStreamPoll>>,
     writer: PgWriter<WriteHalf<TcpStreamPoll>>,
     server: BackendServer,
-    key: Option<BackendKeyData>,
+    cancel_key: Option<BackendKeyData>,
     /// Whether a cancel was sent for it.
     cancelled: Cell<bool>,
     /// What the server last said that its answers here show or have reached; it
@@ -66,23 +66,23 @@
     pub async fn connect(
         server: &BackendServer,
         group: &GroupId,
-        within: Duration,
+        timeout: Duration,
     ) -> anyhow::Result<Self> {
-        monoio::time::timeout(within, Self::open(server, group))
+        monoio::time::timeout(timeout, Self::open(server, group))
             .await
-            .with_context(|| format!("connecting to {}: no answer in {within:?}", server.id))?
+            .with_context(|| format!("connecting to {}: no answer in {timeout:?}", server.id))?
             .with_context(|| format!("connecting to {}", server.id))
     }
 
     async fn open(server: &BackendServer, group: &GroupId) -> anyhow::Result<Self> {
         let stream = TcpStream::connect(server.address).await?;
         stream.set_nodelay(true)?;
-        let (reader, writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE);
+        let (reader, writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE_LEN);
         let mut conn = Self {
             reader,
             writer,
             server: server.clone(),
-            key: None,
+            cancel_key: None,
             cancelled: Cell::default(),
             point: None,
         };
@@ -100,13 +100,13 @@
         loop {
             match self.next().await?.backend()? {
                 PgWireBackendMessage::ReadyForQuery(_) => return Ok(()),
-                PgWireBackendMessage::BackendKeyData(key) => self.key = Some(key),
+                PgWireBackendMessage::BackendKeyData(key) => self.cancel_key = Some(key),
                 PgWireBackendMessage::Authentication(Authentication::Ok) => {}
                 PgWireBackendMessage::Authentication(_) => {
                     bail!("the server asks for a password")
                 }
                 PgWireBackendMessage::ErrorResponse(error) => {
-                    bail!("the server refused: {}", text_of(&error.fields))
+                    bail!("the server refused: {}", error_message(&error.fields))
                 }
                 _ => {}
             }
@@ -132,12 +132,12 @@
     }
 
     /// Sends a statement without waiting for its answer.
-    pub async fn ask(&mut self, sql: &str) -> anyhow::Result<()> {
+    pub async fn send_query(&mut self, sql: &str) -> anyhow::Result<()> {
         self.send(&query(sql)).await
     }
 
     /// Runs a statement and gives the first column of its first row.
-    pub async fn text(&mut self, sql: &str) -> anyhow::Result<Option<Box<str>>> {
+    pub async fn query_text(&mut self, sql: &str) -> anyhow::Result<Option<Box<str>>> {
         let reply = self.run(sql).await?;
         match reply.error {
             Some(error) => bail!("{} answered: {}", self.server.id, error.text),
@@ -146,17 +146,21 @@
     }
 
     /// Runs a statement that gives one text, within a time.
-    pub async fn text_within(&mut self, sql: &str, within: Duration) -> anyhow::Result<Box<str>> {
-        let text = monoio::time::timeout(within, self.text(sql)).await;
-        text.with_context(|| format!("{sql} at {}: no answer in {within:?}", self.server.id))??
+    pub async fn query_text_timeout(
+        &mut self,
+        sql: &str,
+        timeout: Duration,
+    ) -> anyhow::Result<Box<str>> {
+        let text = monoio::time::timeout(timeout, self.query_text(sql)).await;
+        text.with_context(|| format!("{sql} at {}: no answer in {timeout:?}", self.server.id))??
             .with_context(|| format!("{sql} at {}: an empty answer", self.server.id))
     }
 
     /// Runs a statement and reads its whole answer.
     pub async fn run(&mut self, sql: &str) -> anyhow::Result<Reply> {
-        self.ask(sql).await?;
+        self.send_query(sql).await?;
         let mut reply = Reply::default();
-        while !reply.take(&self.next().await?) {}
+        while !reply.add_frame(&self.next().await?) {}
         Ok(reply)
     }
 
@@ -166,16 +170,16 @@
     }
 
     /// Asks the server, over a connection of its own, to cancel what runs here.
-    pub async fn cancel(&self, within: Duration) -> anyhow::Result<()> {
-        let Some(key) = &self.key else { return Ok(()) };
+    pub async fn cancel(&self, timeout: Duration) -> anyhow::Result<()> {
+        let Some(key) = &self.cancel_key else { return Ok(()) };
         self.cancelled.set(true);
         let request = frame::bytes(&CancelRequest::new(key.pid, key.secret_key.clone()));
         let send = async {
             let stream = TcpStream::connect(self.server.address).await?;
-            let (_reader, mut writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE);
+            let (_reader, mut writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE_LEN);
             writer.send(&request).await
         };
-        monoio::time::timeout(within, send)
+        monoio::time::timeout(timeout, send)
             .await
             .with_context(|| format!("cancelling at {}: no answer", self.server.id))?
             .with_context(|| format!("cancelling at {}", self.server.id))
@@ -203,18 +207,18 @@
     /// What the server says that it has reached.
     pub point: Option<Point>,
     /// Whether a transaction is open afterwards, failed or not.
-    pub open: bool,
+    pub in_transaction: bool,
 }
 
 impl Reply {
     /// Takes one message of the answer; true when it is the last.
-    fn take(&mut self, frame: &Frame) -> bool {
+    fn add_frame(&mut self, frame: &Frame) -> bool {
         match frame.tag {
             b'D' if self.first.is_none() => self.first = first_column(frame),
             b'C' => self.tag = complete_tag(frame),
             b'E' if self.error.is_none() => self.error = Some(server_error(frame)),
-            b'S' => self.point = point(frame).or(self.point),
-            b'Z' => self.open = frame.body().first() != Some(&b'I'),
+            b'S' => self.point = reported_point(frame).or(self.point),
+            b'Z' => self.in_transaction = frame.body().first() != Some(&b'I'),
             _ => {}
         }
         frame.tag == b'Z'
@@ -222,7 +226,7 @@
 }
 
 /// What a server says, beside an answer, that the answer shows or has reached.
-pub fn point(frame: &Frame) -> Option<Point> {
+pub fn reported_point(frame: &Frame) -> Option<Point> {
     match frame.backend().ok()? {
         PgWireBackendMessage::ParameterStatus(setting)
             if setting.name == protocol::POINT_SETTING =>
@@ -264,7 +268,7 @@
 /// The message of an error, for people.
 pub fn error_text(frame: &Frame) -> String {
     match frame.backend() {
-        Ok(PgWireBackendMessage::ErrorResponse(error)) => text_of(&error.fields),
+        Ok(PgWireBackendMessage::ErrorResponse(error)) => error_message(&error.fields),
         _ => "an error that could not be read".into(),
     }
 }
@@ -279,7 +283,7 @@
     }
 }
 
-fn text_of(fields: &[(u8, String)]) -> String {
+fn error_message(fields: &[(u8, String)]) -> String {
     let message = fields.iter().find(|(kind, _)| *kind == b'M');
     message.map_or_else(|| "an error without a message".into(), |(_, text)| text.clone())
 }
--- a/components/home/src/execution.rs
+++ b/components/home/src/execution.rs
@@ -11,17 +11,17 @@
 use crate::{
     backend::{self, Conn},
     batch::Batch,
-    group::{COME_BACK, GroupHome},
-    route::Need,
+    group::{GroupHome, RETRY_DELAY},
+    route::Requirement,
     server::Server,
 };
 
 /// Rows are handed on once this many bytes are together.
-const PART_LEN: usize = 16 * 1024;
+const FLUSH_THRESHOLD: usize = 16 * 1024;
 
 /// Bytes handed on that the entry may not have passed on yet; then the server
 /// is not read any further.
-const WINDOW: u64 = 256 * 1024;
+const MAX_UNACKNOWLEDGED: u64 = 256 * 1024;
 
 /// An exchange that ended without an answer.
 pub struct Failure {
@@ -29,17 +29,17 @@
     pub refusal: Refusal,
     /// Whether it changed nothing and the caller has seen nothing, so that it
     /// may be run again on another server.
-    pub again: bool,
+    pub retryable: bool,
 }
 
 impl From<Refusal> for Failure {
     fn from(refusal: Refusal) -> Self {
-        Self { refusal, again: false }
+        Self { refusal, retryable: false }
     }
 }
 
 /// One batch of messages and its answer.
-pub struct Turn<'a> {
+pub struct Execution<'a> {
     /// The group.
     pub home: &'a GroupHome,
     /// The server that runs it.
@@ -49,11 +49,11 @@
     /// What the exchange needs.
     pub intent: &'a Intent,
     /// What the answer must show.
-    pub need: Need,
+    pub requirement: Requirement,
     /// When the exchange came.
-    pub since: Instant,
+    pub arrived: Instant,
     /// Whether a transaction that the caller ends itself was open before.
-    pub within: bool,
+    pub in_transaction: bool,
     /// When the caller stops waiting.
     pub deadline: Instant,
 }
@@ -70,18 +70,18 @@
     /// Whether it was checked that it shows enough.
     checked: bool,
     /// Whether part of it was handed on.
-    parted: bool,
+    partly_sent: bool,
     /// Whether it holds a row or the end of a statement.
-    data: bool,
+    has_data: bool,
     /// Whether a statement has ended in it.
-    complete: bool,
+    statement_ended: bool,
     /// Bytes handed on that the entry has not passed on yet.
-    ahead: u64,
+    unacknowledged: u64,
     /// Bytes that the caller has taken.
-    taken: u64,
+    acknowledged: u64,
 }
 
-impl Turn<'_> {
+impl Execution<'_> {
     /// Sends the batch and reads its answer up to the end.
     pub async fn run(
         &self,
@@ -90,59 +90,59 @@
         batch: &Batch,
     ) -> Result<(Standing, Answer), Failure> {
         let mut answer = Answer::default();
-        let result = self.read(conn, side, batch, &mut answer).await;
+        let result = self.read_answer(conn, side, batch, &mut answer).await;
         match result {
             Ok(standing) => Ok((standing, answer)),
             Err(refusal) => Err(self.failure(refusal, batch, &answer)),
         }
     }
 
-    async fn read(
+    async fn read_answer(
         &self,
         conn: &mut Conn,
         side: &mut HomeSide,
         batch: &Batch,
         answer: &mut Answer,
     ) -> Result<Standing, Refusal> {
-        conn.send(&batch.raw).await.map_err(|error| self.lost(error))?;
+        conn.send(&batch.raw).await.map_err(|error| self.connection_lost(error))?;
         loop {
             let frame = monoio::select! {
-                frame = conn.next(), if answer.ahead < WINDOW => {
-                    frame.map_err(|error| self.lost(error))?
+                frame = conn.next(), if answer.unacknowledged < MAX_UNACKNOWLEDGED => {
+                    frame.map_err(|error| self.connection_lost(error))?
                 }
                 item = side.recv() => {
-                    self.meanwhile(item, conn, answer).await?;
+                    self.handle_message(item, conn, answer).await?;
                     continue;
                 }
-                _ = self.home.unfit(self.server, self.intent, self.term) => {
+                _ = self.home.wait_unusable(self.server, self.intent, self.term) => {
                     let message = format!("{} was lost or replaced", self.server.contract.id);
                     return Err(refusal(Reason::Lost, &message));
                 }
-                _ = monoio::time::sleep_until((self.deadline + pace::transfer_time(answer.taken)).into()) => {
+                _ = monoio::time::sleep_until((self.deadline + pace::transfer_time(answer.acknowledged)).into()) => {
                     return Err(refusal(Reason::Deadline, "the deadline passed"));
                 }
             };
-            if let Some(standing) = take(frame, conn, answer) {
+            if let Some(standing) = add_frame(frame, conn, answer) {
                 self.check(conn, answer).await?;
                 return Ok(standing);
             }
-            if answer.pending.len() >= PART_LEN {
+            if answer.pending.len() >= FLUSH_THRESHOLD {
                 self.check(conn, answer).await?;
-                self.hand_on(side, answer);
+                self.send_part(side, answer);
             }
         }
     }
 
     /// Hands on what is long enough, but never the end of a write's statement:
     /// a caller that saw it could take the write for done before it is confirmed.
-    fn hand_on(&self, side: &HomeSide, answer: &mut Answer) {
-        let held_back = answer.complete && matches!(self.intent, Intent::Write);
+    fn send_part(&self, side: &HomeSide, answer: &mut Answer) {
+        let held_back = answer.statement_ended && matches!(self.intent, Intent::Write);
         if held_back {
             return;
         }
         let part = answer.pending.split().freeze();
-        answer.ahead += part.len() as u64;
-        answer.parted = true;
+        answer.unacknowledged += part.len() as u64;
+        answer.partly_sent = true;
         side.send(ToEntry::Part(part));
     }
 
@@ -151,7 +151,7 @@
         if std::mem::replace(&mut answer.checked, true) {
             return Ok(());
         }
-        self.check_point(conn, answer)?;
+        self.check_requirement(conn, answer)?;
         self.check_current().await
     }
 
@@ -160,13 +160,13 @@
     /// The watch chose the server from what it last said; a server that took
     /// records back since, or another one at its address, would answer from the
     /// past. The point that comes with the answer, before its rows, decides.
-    fn check_point(&self, conn: &Conn, answer: &Answer) -> Result<(), Refusal> {
-        let shown = conn.point.is_some_and(|point| self.need.is_met(point));
+    fn check_requirement(&self, conn: &Conn, answer: &Answer) -> Result<(), Refusal> {
+        let shown = conn.point.is_some_and(|point| self.requirement.is_met(point));
         // A batch that only prepares or describes shows no data.
-        if self.need.is_open() || !answer.data || shown {
+        if self.requirement.is_unconstrained() || !answer.has_data || shown {
             return Ok(());
         }
-        self.server.seen.set(None);
+        self.server.reading.set(None);
         self.server.probe.notify_one();
         let message = format!("{} shows less than was asked for", self.server.contract.id);
         Err(refusal(Reason::Lost, &message))
@@ -175,16 +175,16 @@
     /// Refuses a read that had to be current when its primary cannot be shown
     /// to have led after the exchange came.
     async fn check_current(&self) -> Result<(), Refusal> {
-        if !self.need.current {
+        if !self.requirement.current {
             return Ok(());
         }
-        match self.home.is_current(self.server, self.since, self.deadline).await {
+        match self.home.is_current(self.server, self.arrived, self.deadline).await {
             true => Ok(()),
             false => Err(refusal(Reason::TooOld, "no server can show that its data is current")),
         }
     }
 
-    async fn meanwhile(
+    async fn handle_message(
         &self,
         item: Option<ToHome>,
         conn: &Conn,
@@ -192,15 +192,15 @@
     ) -> Result<(), Refusal> {
         match item {
             Some(ToHome::Cancel) => {
-                let within = self.home.silence();
-                if let Err(error) = conn.cancel(within).await {
+                let timeout = self.home.silence_timeout();
+                if let Err(error) = conn.cancel(timeout).await {
                     debug!("home: a cancel failed: {error:#}.");
                 }
                 Ok(())
             }
             Some(ToHome::Credit(bytes)) => {
-                answer.ahead = answer.ahead.saturating_sub(bytes);
-                answer.taken += bytes;
+                answer.unacknowledged = answer.unacknowledged.saturating_sub(bytes);
+                answer.acknowledged += bytes;
                 Ok(())
             }
             Some(ToHome::More { .. }) => Ok(()),
@@ -215,9 +215,9 @@
         standing: Standing,
         answer: Answer,
     ) -> Result<(), Failure> {
-        let point = self.settle(standing, answer.point).await?;
+        let point = self.await_confirmation(standing, answer.point).await?;
         let replica = !matches!(self.intent, Intent::Write)
-            && self.server.seen.get().is_some_and(|seen| !seen.status.leads());
+            && self.server.reading.get().is_some_and(|seen| !seen.status.leads());
         let frames: Bytes = answer.pending.freeze();
         side.send(ToEntry::Turn { frames, standing, point, replica });
         Ok(())
@@ -226,7 +226,7 @@
     /// Only a confirmed write may be acknowledged: a commit that the primary
     /// alone holds is lost with it, and a primary that was replaced without
     /// knowing still commits. No other server holds such a record in its term.
-    async fn settle(
+    async fn await_confirmation(
         &self,
         standing: Standing,
         point: Option<Point>,
@@ -240,19 +240,22 @@
         Err(unconfirmed())
     }
 
-    fn lost(&self, error: anyhow::Error) -> Refusal {
+    fn connection_lost(&self, error: anyhow::Error) -> Refusal {
         refusal(Reason::Lost, &format!("{error:#}"))
     }
 
     /// Says what became of a batch whose answer did not come to its end.
     fn failure(&self, refusal: Refusal, batch: &Batch, answer: &Answer) -> Failure {
-        let reads = matches!(self.intent, Intent::Read { .. });
+        let read_only = matches!(self.intent, Intent::Read { .. });
         // The connection is closed now, so the server rolls back what is open:
         // a batch that cannot have ended its transaction has changed nothing.
-        let undone = if self.within { !batch.may_end() } else { batch.only_begins() };
-        let fate = if reads || undone { Fate::NotRun } else { Fate::Unknown };
-        let gone = refusal.reason == Reason::Lost;
-        Failure { again: reads && gone && !answer.parted, refusal: Refusal { fate, ..refusal } }
+        let undone = if self.in_transaction { !batch.may_end() } else { batch.only_begins() };
+        let fate = if read_only || undone { Fate::NotRun } else { Fate::Unknown };
+        let lost = refusal.reason == Reason::Lost;
+        Failure {
+            retryable: read_only && lost && !answer.partly_sent,
+            refusal: Refusal { fate, ..refusal },
+        }
     }
 }
 
@@ -262,22 +265,22 @@
 }
 
 fn refusal(reason: Reason, message: &str) -> Refusal {
-    Refusal::unknown(reason, Some(COME_BACK), message)
+    Refusal::unknown(reason, Some(RETRY_DELAY), message)
 }
 
 /// Takes one message of the answer; the standing when it is the last one.
-fn take(frame: Frame, conn: &mut Conn, answer: &mut Answer) -> Option<Standing> {
+fn add_frame(frame: Frame, conn: &mut Conn, answer: &mut Answer) -> Option<Standing> {
     match frame.tag {
         b'Z' => return Some(standing(&frame)),
         b'S' => {
-            if let Some(point) = backend::point(&frame) {
+            if let Some(point) = backend::reported_point(&frame) {
                 answer.point = Some(point);
                 conn.point = Some(point);
                 return None;
             }
         }
-        b'C' => (answer.complete, answer.data) = (true, true),
-        b'D' => answer.data = true,
+        b'C' => (answer.statement_ended, answer.has_data) = (true, true),
+        b'D' => answer.has_data = true,
         b'E' => answer.failed = true,
         _ => {}
     }
--- a/components/home/src/homes.rs
+++ b/components/home/src/homes.rs
@@ -19,70 +19,75 @@
 use tracing::{debug, info};
 
 use crate::{
-    group::{COME_BACK, COME_BACK_LATER, GroupHome},
-    outcome::{self, Key},
+    group::{GroupHome, LONG_RETRY_DELAY, RETRY_DELAY},
+    outcome::{self, RequestKey},
     serve,
 };
 
 /// How often the ranking of the hosts is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const RANK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How often the platform's list of machines is read.
-const LIST_EVERY: Duration = Duration::from_secs(1);
+const MACHINES_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a home that does not rank first is kept after its last exchange.
-const KEEP_FOR: Duration = Duration::from_secs(2);
+const UNUSED_HOME_TTL: Duration = Duration::from_secs(2);
 
 /// The groups whose home this host is, or was asked to be.
 pub struct Homes {
     /// This host.
-    me: HostId,
+    host: HostId,
     clock: Rc<dyn Clock>,
     routes: Routes,
     metrics: Rc<Metrics>,
     groups: RefCell<HashMap<GroupId, (Group, Rc<GroupHome>)>>,
     /// Backend servers that leave, by the platform's list.
-    listed: RefCell<HashSet<Box<str>>>,
+    leaving_servers: RefCell<HashSet<Box<str>>>,
 }
 
 impl Homes {
     /// A host that is home to no group yet.
-    pub fn new(me: HostId, clock: Rc<dyn Clock>, routes: Routes, metrics: Rc<Metrics>) -> Rc<Self> {
+    pub fn new(
+        host: HostId,
+        clock: Rc<dyn Clock>,
+        routes: Routes,
+        metrics: Rc<Metrics>,
+    ) -> Rc<Self> {
         Rc::new(Self {
-            me,
+            host,
             clock,
             routes,
             metrics,
             groups: RefCell::default(),
-            listed: RefCell::default(),
+            leaving_servers: RefCell::default(),
         })
     }
 
     /// The home of a group, started if it is not there yet.
-    pub fn home(&self, config: &Config, id: &GroupId) -> Option<Rc<GroupHome>> {
+    pub fn get_or_start(&self, config: &Config, id: &GroupId) -> Option<Rc<GroupHome>> {
         let contract = config.group(id)?;
         let mut groups = self.groups.borrow_mut();
         if let Some((known, home)) = groups.get(id)
-            && is_same(known, contract)
+            && same_servers(known, contract)
         {
             return Some(home.clone());
         }
-        let mut reached = contract.clone();
-        for server in &mut reached.servers {
+        let mut routed = contract.clone();
+        for server in &mut routed.servers {
             server.address = self.routes.to(server.address);
         }
         let home = GroupHome::start(
-            &reached,
+            &routed,
             config.policy.clone(),
             self.clock.clone(),
-            self.me.clone(),
+            self.host.clone(),
             self.metrics.clone(),
         );
-        home.take_over(&config.policy, contract, &self.listed.borrow());
-        let before = groups.insert(id.clone(), (contract.clone(), home.clone()));
-        if let Some((_, before)) = before {
-            home.first.set(before.first.get());
-            before.closed.set(true);
+        home.apply_config(&config.policy, contract, &self.leaving_servers.borrow());
+        let previous = groups.insert(id.clone(), (contract.clone(), home.clone()));
+        if let Some((_, previous)) = previous {
+            home.ranks_first.set(previous.ranks_first.get());
+            previous.closed.set(true);
         }
         Some(home)
     }
@@ -94,16 +99,16 @@
 
     /// Keeps the homes of the groups for which this host ranks first, so that
     /// they are watched also when no caller comes; ends with the process.
-    pub async fn keep(self: Rc<Self>, current: Rc<Current>, mesh: Rc<Mesh>) {
-        let mut before = None;
+    pub async fn maintain(self: Rc<Self>, current: Rc<Current>, mesh: Rc<Mesh>) {
+        let mut previous = None;
         loop {
-            let view = View::of(&current, &mesh, &self.listed.borrow());
-            if before.as_ref() != Some(&view) {
-                self.rank(&current, &mesh);
-                before = Some(view);
+            let inputs = Inputs::of(&current, &mesh, &self.leaving_servers.borrow());
+            if previous.as_ref() != Some(&inputs) {
+                self.update_homes(&current, &mesh);
+                previous = Some(inputs);
             }
             self.close_unused();
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(RANK_INTERVAL).await;
         }
     }
 
@@ -113,8 +118,8 @@
     /// also while the platform is down.
     pub async fn outcome(&self, config: &Config, mesh: &Mesh, of: OutcomeOf) -> Outcome {
         for host in mesh.homes(&of.group) {
-            if host == self.me {
-                return self.outcome_here(config, &of).await;
+            if host == self.host {
+                return self.local_outcome(config, &of).await;
             }
             let Some(link) = mesh.link(&host) else { continue };
             match link.ask(Question::Outcome(Box::new(of.clone())), of.within).await {
@@ -123,27 +128,27 @@
                 Err(error) => debug!("home: an outcome is not known: {error:#}."),
             }
             // Asked again soon, the question finds the next home.
-            return Outcome::Unknown { again: COME_BACK };
+            return Outcome::Unknown { again: RETRY_DELAY };
         }
-        self.outcome_here(config, &of).await
+        self.local_outcome(config, &of).await
     }
 
-    async fn outcome_here(&self, config: &Config, of: &OutcomeOf) -> Outcome {
-        let Some(home) = self.home(config, &of.group) else {
-            return Outcome::Unknown { again: COME_BACK_LATER };
+    async fn local_outcome(&self, config: &Config, of: &OutcomeOf) -> Outcome {
+        let Some(home) = self.get_or_start(config, &of.group) else {
+            return Outcome::Unknown { again: LONG_RETRY_DELAY };
         };
-        let _active = home.enter();
+        let _active = home.begin_exchange();
         let deadline = self.clock.now() + of.within;
-        let key = Key { account: of.account.clone(), request: of.request.clone() };
-        outcome::ask(&home, &key, deadline).await
+        let key = RequestKey { account: of.account.clone(), request: of.request.clone() };
+        outcome::resolve(&home, &key, deadline).await
     }
 
     /// Answers a peer's question in a task of its own.
-    pub fn tell_outcome(self: Rc<Self>, doc: Option<Rc<RevisionDoc>>, of: OutcomeOf, to: Replier) {
+    pub fn reply_outcome(self: Rc<Self>, doc: Option<Rc<RevisionDoc>>, of: OutcomeOf, to: Replier) {
         monoio::spawn(async move {
             let outcome = match doc.as_ref().and_then(|doc| doc.config.as_ref()) {
-                Some(config) => self.outcome_here(config, &of).await,
-                None => Outcome::Unknown { again: COME_BACK_LATER },
+                Some(config) => self.local_outcome(config, &of).await,
+                None => Outcome::Unknown { again: LONG_RETRY_DELAY },
             };
             to.reply(Answer::Outcome(outcome));
         });
@@ -151,40 +156,40 @@
 
     /// Follows the platform's list of machines; ends with the process. While the
     /// platform is down the last list stands.
-    pub async fn follow_list(self: Rc<Self>, platform: Rc<Platform>) {
+    pub async fn poll_machines(self: Rc<Self>, platform: Rc<Platform>) {
         loop {
             match platform.listed().await {
                 Ok(list) => {
                     let leaving = list.into_iter().filter(|machine| machine.leaving);
-                    self.listed.replace(leaving.map(|machine| machine.id).collect());
+                    self.leaving_servers.replace(leaving.map(|machine| machine.id).collect());
                 }
                 Err(error) => debug!("home: the list of machines cannot be read: {error:#}."),
             }
-            monoio::time::sleep(LIST_EVERY).await;
+            monoio::time::sleep(MACHINES_INTERVAL).await;
         }
     }
 
-    fn rank(&self, current: &Current, mesh: &Mesh) {
+    fn update_homes(&self, current: &Current, mesh: &Mesh) {
         let doc = current.get();
         let Some(config) = doc.as_ref().and_then(|doc| doc.config.as_ref()) else { return };
         for group in &config.groups {
-            let first = mesh.homes(&group.id).first() == Some(&self.me);
+            let ranks_first = mesh.homes(&group.id).first() == Some(&self.host);
             let known = self.groups.borrow().contains_key(&group.id);
-            if !first && !known {
+            if !ranks_first && !known {
                 continue;
             }
-            if let Some(home) = self.home(config, &group.id) {
-                if home.first.replace(first) != first {
-                    let part = if first { "first for" } else { "no longer first for" };
-                    info!("home: this host ranks {part} group {}.", group.id);
+            if let Some(home) = self.get_or_start(config, &group.id) {
+                if home.ranks_first.replace(ranks_first) != ranks_first {
+                    let rank = if ranks_first { "first for" } else { "no longer first for" };
+                    info!("home: this host ranks {rank} group {}.", group.id);
                 }
-                home.take_over(&config.policy, group, &self.listed.borrow());
+                home.apply_config(&config.policy, group, &self.leaving_servers.borrow());
             }
         }
         self.groups.borrow_mut().retain(|id, (_, home)| {
-            let stays = config.group(id).is_some();
-            home.closed.set(home.closed.get() || !stays);
-            stays
+            let retained = config.group(id).is_some();
+            home.closed.set(home.closed.get() || !retained);
+            retained
         });
     }
 
@@ -195,15 +200,15 @@
 
     fn close_unused(&self) {
         self.groups.borrow_mut().retain(|_, (_, home)| {
-            let stays = home.first.get() || !home.is_idle(KEEP_FOR);
-            home.closed.set(home.closed.get() || !stays);
-            stays
+            let retained = home.ranks_first.get() || !home.is_idle(UNUSED_HOME_TTL);
+            home.closed.set(home.closed.get() || !retained);
+            retained
         });
     }
 
     /// Serves an exchange in a task of its own.
     pub fn serve(&self, config: Option<&Config>, open: Open, side: HomeSide) {
-        let home = config.and_then(|config| self.home(config, &open.group));
+        let home = config.and_then(|config| self.get_or_start(config, &open.group));
         let account = config.and_then(|config| config.account(&open.account));
         let weight = account.map_or(1, |account| account.weight);
         match home {
@@ -221,33 +226,33 @@
 
 /// What the homes depend on.
 #[derive(PartialEq)]
-struct View {
+struct Inputs {
     revision: Revision,
     /// The hosts that answer, in order.
-    up: Vec<HostId>,
+    available: Vec<HostId>,
     /// Backend servers that leave, by the platform's list.
-    listed: HashSet<Box<str>>,
+    leaving_servers: HashSet<Box<str>>,
 }
 
-impl View {
-    fn of(current: &Current, mesh: &Mesh, listed: &HashSet<Box<str>>) -> Self {
+impl Inputs {
+    fn of(current: &Current, mesh: &Mesh, leaving_servers: &HashSet<Box<str>>) -> Self {
         let links = mesh.links();
-        let mut up: Vec<_> = links
+        let mut available: Vec<_> = links
             .iter()
             .filter(|link| link.is_up() && !link.is_leaving())
             .map(|link| link.host.clone())
             .collect();
-        up.sort();
-        Self { revision: current.number(), up, listed: listed.clone() }
+        available.sort();
+        Self { revision: current.number(), available, leaving_servers: leaving_servers.clone() }
     }
 }
 
 /// Whether two contracts are of the same servers; one that leaves stays the same.
-fn is_same(a: &Group, b: &Group) -> bool {
-    let plain = |group: &Group| {
+fn same_servers(a: &Group, b: &Group) -> bool {
+    let without_leaving = |group: &Group| {
         let mut group = group.clone();
         group.servers.iter_mut().for_each(|server| server.leaving = false);
         group
     };
-    plain(a) == plain(b)
+    without_leaving(a) == without_leaving(b)
 }
--- a/components/home/src/outcome.rs
+++ b/components/home/src/outcome.rs
@@ -20,20 +20,20 @@
 
 use crate::{
     backend::{Conn, Reply},
-    execution::{self, Answer, Failure, Turn},
-    group::{COME_BACK, GroupHome},
+    execution::{self, Answer, Execution, Failure},
+    group::{GroupHome, RETRY_DELAY},
     protocol,
-    serve::{self, Place},
+    serve::{self, Target},
 };
 
 const TABLE: &str = "bergamottrack_outcomes";
 
 /// How often a question starts anew because another attempt moved the row.
-const TRIES: usize = 3;
+const MAX_TRIES: usize = 3;
 
 /// A request with an id.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Key {
+pub struct RequestKey {
     /// The client account.
     pub account: AccountId,
     /// The caller's id of the request.
@@ -41,21 +41,21 @@
 }
 
 /// An attempt that is under way at this home, until dropped.
-pub struct Running<'a> {
+pub struct AttemptGuard<'a> {
     home: &'a GroupHome,
-    key: Key,
+    key: RequestKey,
 }
 
-impl Drop for Running<'_> {
+impl Drop for AttemptGuard<'_> {
     fn drop(&mut self) {
-        self.home.running.borrow_mut().remove(&self.key);
+        self.home.running_requests.borrow_mut().remove(&self.key);
     }
 }
 
-impl<'a> Running<'a> {
+impl<'a> AttemptGuard<'a> {
     /// Begins an attempt; a refusal while another one of the same id runs here.
-    pub fn begin(home: &'a GroupHome, key: Key) -> Result<Self, Refusal> {
-        if !home.running.borrow_mut().insert(key.clone()) {
+    pub fn begin(home: &'a GroupHome, key: RequestKey) -> Result<Self, Refusal> {
+        if !home.running_requests.borrow_mut().insert(key.clone()) {
             return Err(busy(&key));
         }
         Ok(Self { home, key })
@@ -65,19 +65,19 @@
     ///
     /// Read before anything else is sent: an attempt that is delayed from here
     /// on finds the row changed and cannot run any more.
-    pub async fn plan(&self, turn: &Turn<'_>, conn: &mut Conn) -> Result<Claim, Refusal> {
-        match within(turn, read(conn, &self.key)).await.map_err(not_begun)? {
+    pub async fn plan(&self, exec: &Execution<'_>, conn: &mut Conn) -> Result<Claim, Refusal> {
+        match bounded(exec, read_row(conn, &self.key)).await.map_err(not_started)? {
             Plan::Write(claim) => {
                 debug!("home: group {}: request {} is planned.", self.home.id, self.key.request);
                 Ok(claim)
             }
-            Plan::Done => Err(self.done_before(turn, conn).await),
+            Plan::Done => Err(self.already_done(exec, conn).await),
         }
     }
 
-    async fn done_before(&self, turn: &Turn<'_>, conn: &mut Conn) -> Refusal {
-        match within(turn, held(conn)).await {
-            Ok(point) if self.home.confirm(turn.server, point, turn.deadline).await => {
+    async fn already_done(&self, exec: &Execution<'_>, conn: &mut Conn) -> Refusal {
+        match bounded(exec, primary_held(conn)).await {
+            Ok(point) if self.home.confirm(exec.server, point, exec.deadline).await => {
                 done("the request ran before, under the same id")
             }
             _ => execution::unconfirmed(),
@@ -90,9 +90,13 @@
     /// been told that its end is unknown, has asked, and has heard "not run"; the
     /// request would plan from the row that this very answer wrote, and run. An
     /// entry that has given up does not pass anything on any more.
-    pub async fn is_wanted(&self, turn: &Turn<'_>, side: &mut HomeSide) -> Result<(), Refusal> {
+    pub async fn check_entry_waits(
+        &self,
+        exec: &Execution<'_>,
+        side: &mut HomeSide,
+    ) -> Result<(), Refusal> {
         side.send(ToEntry::Part(Bytes::new()));
-        let answer = within(turn, async {
+        let answer = bounded(exec, async {
             loop {
                 match side.recv().await {
                     Some(ToHome::Credit(_)) => return Ok(()),
@@ -101,48 +105,48 @@
                 }
             }
         });
-        answer.await.map_err(not_begun)
+        answer.await.map_err(not_started)
     }
 
     /// Begins the transaction of a statement that stands outside of any.
-    pub async fn open(
+    pub async fn begin_transaction(
         &self,
-        turn: &Turn<'_>,
+        exec: &Execution<'_>,
         conn: &mut Conn,
         claim: &Claim,
     ) -> Result<(), Refusal> {
         let begin = async {
             let reply = conn.run("BEGIN").await?;
-            ensure!(reply.open, "no transaction could be begun");
+            ensure!(reply.in_transaction, "no transaction could be begun");
             Ok(())
         };
-        within(turn, begin).await.map_err(not_begun)?;
-        self.claim(turn, conn, claim).await
+        bounded(exec, begin).await.map_err(not_started)?;
+        self.write_row(exec, conn, claim).await
     }
 
     /// Writes the row in the open transaction.
     ///
     /// After a failure this attempt cannot run, but another one of the same id
     /// may be what it failed on: so the id's outcome is unknown.
-    pub async fn claim(
+    pub async fn write_row(
         &self,
-        turn: &Turn<'_>,
+        exec: &Execution<'_>,
         conn: &mut Conn,
         claim: &Claim,
     ) -> Result<(), Refusal> {
-        match within(turn, write(self.home, conn, &self.key, claim, "done")).await {
-            Ok(reply) if has_written(&reply) => Ok(()),
+        match bounded(exec, write_row(self.home, conn, &self.key, claim, "done")).await {
+            Ok(reply) if is_written(&reply) => Ok(()),
             Ok(_) => Err(busy(&self.key)),
             Err(error) => {
-                Err(Refusal::unknown(Reason::Lost, Some(COME_BACK), format!("{error:#}")))
+                Err(Refusal::unknown(Reason::Lost, Some(RETRY_DELAY), format!("{error:#}")))
             }
         }
     }
 
     /// Ends the transaction of a statement that stands outside of any.
-    pub async fn close(
+    pub async fn end_transaction(
         &self,
-        turn: &Turn<'_>,
+        exec: &Execution<'_>,
         conn: &mut Conn,
         standing: Standing,
         answer: &mut Answer,
@@ -153,10 +157,10 @@
             Standing::Failed => "ROLLBACK",
             Standing::Open => "COMMIT",
         };
-        let reply = within(turn, conn.run(sql)).await.map_err(|error| {
+        let reply = bounded(exec, conn.run(sql)).await.map_err(|error| {
             let fate = if standing == Standing::Open { Fate::Unknown } else { Fate::NotRun };
             let message = format!("{error:#}").into();
-            Refusal { reason: Reason::Lost, fate, retry: Some(COME_BACK), message }
+            Refusal { reason: Reason::Lost, fate, retry: Some(RETRY_DELAY), message }
         })?;
         answer.point = reply.point;
         if let Some(error) = &reply.error {
@@ -170,36 +174,36 @@
     }
 }
 
-fn busy(key: &Key) -> Refusal {
+fn busy(key: &RequestKey) -> Refusal {
     let message = format!("another attempt of request {} is on its way", key.request);
-    Refusal::unknown(Reason::Busy, Some(COME_BACK), message)
+    Refusal::unknown(Reason::Busy, Some(RETRY_DELAY), message)
 }
 
 fn done(message: &str) -> Refusal {
     Refusal { reason: Reason::Done, fate: Fate::Done, retry: None, message: message.into() }
 }
 
-fn not_begun(error: anyhow::Error) -> Refusal {
-    Refusal::not_run(Reason::Unavailable, Some(COME_BACK), format!("{error:#}"))
+fn not_started(error: anyhow::Error) -> Refusal {
+    Refusal::not_run(Reason::Unavailable, Some(RETRY_DELAY), format!("{error:#}"))
 }
 
 /// Does the work unless the deadline passes or the server is replaced before.
-async fn within<T>(
-    turn: &Turn<'_>,
+async fn bounded<T>(
+    exec: &Execution<'_>,
     work: impl Future<Output = anyhow::Result<T>>,
 ) -> anyhow::Result<T> {
     monoio::select! {
         result = work => result,
-        _ = turn.home.unfit(turn.server, turn.intent, turn.term) => {
-            bail!("{} was replaced", turn.server.contract.id)
+        _ = exec.home.wait_unusable(exec.server, exec.intent, exec.term) => {
+            bail!("{} was replaced", exec.server.contract.id)
         }
-        _ = monoio::time::sleep_until(turn.deadline.into()) => bail!("the deadline passed"),
+        _ = monoio::time::sleep_until(exec.deadline.into()) => bail!("the deadline passed"),
     }
 }
 
 /// Reads the row; makes the table when there is none.
-async fn read(conn: &mut Conn, key: &Key) -> anyhow::Result<Plan> {
-    let Key { account, request } = key;
+async fn read_row(conn: &mut Conn, key: &RequestKey) -> anyhow::Result<Plan> {
+    let RequestKey { account, request } = key;
     let sql = format!(
         "SELECT state || ' ' || attempt FROM {TABLE} \
          WHERE account = '{account}' AND id = '{request}'"
@@ -219,14 +223,14 @@
     Ok(outcome::plan(row))
 }
 
-async fn write(
+async fn write_row(
     home: &GroupHome,
     conn: &mut Conn,
-    key: &Key,
+    key: &RequestKey,
     claim: &Claim,
     state: &str,
 ) -> anyhow::Result<Reply> {
-    let Key { account, request } = key;
+    let RequestKey { account, request } = key;
     let attempt = Attempt::new(rand::random());
     let at = home.clock.wall().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     let sql = match claim {
@@ -244,34 +248,34 @@
 }
 
 /// Whether the row was still as planned from, and is written now.
-fn has_written(reply: &Reply) -> bool {
+fn is_written(reply: &Reply) -> bool {
     reply.error.is_none() && matches!(&*reply.tag, "INSERT 0 1" | "UPDATE 1")
 }
 
 /// The last record that the server holds as primary.
-async fn held(conn: &mut Conn) -> anyhow::Result<Point> {
-    let text = conn.text(protocol::SHOW_STATUS).await?.unwrap_or_default();
+async fn primary_held(conn: &mut Conn) -> anyhow::Result<Point> {
+    let text = conn.query_text(protocol::SHOW_STATUS).await?.unwrap_or_default();
     let status = protocol::parse_status(&text)?;
     ensure!(status.leads(), "the server does not lead");
     Ok(status.held)
 }
 
 /// What became of a request. Asked of any home at any time, it is true.
-pub async fn ask(home: &GroupHome, key: &Key, deadline: Instant) -> Outcome {
-    for _ in 0..TRIES {
-        if home.running.borrow().contains(key) {
+pub async fn resolve(home: &GroupHome, key: &RequestKey, deadline: Instant) -> Outcome {
+    for _ in 0..MAX_TRIES {
+        if home.running_requests.borrow().contains(key) {
             break;
         }
-        match ask_once(home, key, deadline).await {
+        match try_resolve(home, key, deadline).await {
             Ok(Some(outcome)) => return outcome,
             Ok(None) => {}
             Err(refusal) => {
                 debug!("home: group {}: an outcome is not known: {refusal}.", home.id);
-                return Outcome::Unknown { again: refusal.retry.unwrap_or(COME_BACK) };
+                return Outcome::Unknown { again: refusal.retry.unwrap_or(RETRY_DELAY) };
             }
         }
     }
-    Outcome::Unknown { again: COME_BACK }
+    Outcome::Unknown { again: RETRY_DELAY }
 }
 
 /// `None` when another attempt moved the row meanwhile.
@@ -279,30 +283,40 @@
 /// Whatever the row says, it counts only once another server holds it in the
 /// primary's term: a primary that is cut off could show a row that is lost, or
 /// lack one that its successor has.
-async fn ask_once(
+async fn try_resolve(
     home: &GroupHome,
-    key: &Key,
+    key: &RequestKey,
     deadline: Instant,
 ) -> Result<Option<Outcome>, Refusal> {
     // Somebody waits on the telephone for the answer.
     let ticket = Ticket { account: key.account.clone(), weight: 1, deadline, urgent: true };
-    let since = home.clock.now();
+    let arrived = home.clock.now();
     let intent = &Intent::Write;
-    let Place { server, term, need, slot, mut taken } = serve::place(home, intent, &ticket).await?;
-    let turn = Turn { home, server, term, intent, need, since, within: false, deadline };
-    let conn = &mut taken.conn;
-    let look = async {
-        match read(conn, key).await? {
-            Plan::Done => Ok(Some((Outcome::Done, held(conn).await?))),
+    let Target { server, term, requirement, slot, mut pooled } =
+        serve::acquire_target(home, intent, &ticket).await?;
+    let exec = Execution {
+        home,
+        server,
+        term,
+        intent,
+        requirement,
+        arrived,
+        in_transaction: false,
+        deadline,
+    };
+    let conn = &mut pooled.conn;
+    let lookup = async {
+        match read_row(conn, key).await? {
+            Plan::Done => Ok(Some((Outcome::Done, primary_held(conn).await?))),
             Plan::Write(claim) => {
-                let reply = write(home, conn, key, &claim, "void").await?;
-                let point = reply.point.filter(|_| has_written(&reply));
+                let reply = write_row(home, conn, key, &claim, "void").await?;
+                let point = reply.point.filter(|_| is_written(&reply));
                 Ok(point.map(|point| (Outcome::NotRun, point)))
             }
         }
     };
-    let found = within(&turn, look).await.map_err(not_begun)?;
-    taken.give_back();
+    let found = bounded(&exec, lookup).await.map_err(not_started)?;
+    pooled.release();
     drop(slot);
     match found {
         None => Ok(None),
@@ -312,9 +326,14 @@
 }
 
 /// Finds out what became of a request whose end is unknown, while there is time.
-pub async fn settle(home: &GroupHome, key: &Key, refusal: Refusal, deadline: Instant) -> Refusal {
+pub async fn resolve_refusal(
+    home: &GroupHome,
+    key: &RequestKey,
+    refusal: Refusal,
+    deadline: Instant,
+) -> Refusal {
     loop {
-        match ask(home, key, deadline).await {
+        match resolve(home, key, deadline).await {
             Outcome::Done => {
                 info!("home: group {}: request {} is found done.", home.id, key.request);
                 return done("the request ran; its answer was lost");
--- a/components/home/src/pool.rs
+++ b/components/home/src/pool.rs
@@ -12,16 +12,16 @@
 pub struct Pool {
     limit: usize,
     idle: RefCell<Vec<Conn>>,
-    places: Semaphore,
+    permits: Semaphore,
 }
 
 /// A connection that one transaction has. Unless given back it is closed,
 /// which rolls back whatever it was in.
-pub struct Taken<'a> {
+pub struct PooledConn<'a> {
     /// The connection.
     pub conn: Conn,
     pool: &'a Pool,
-    _place: SemaphorePermit<'a>,
+    _permit: SemaphorePermit<'a>,
 }
 
 /// All connections to a server are in use by open transactions.
@@ -39,25 +39,25 @@
 impl Pool {
     /// A pool of at most `limit` connections.
     pub fn new(limit: usize) -> Self {
-        Self { limit, idle: RefCell::default(), places: Semaphore::new(limit) }
+        Self { limit, idle: RefCell::default(), permits: Semaphore::new(limit) }
     }
 
     /// An idle connection, or a new one; an error at once when there is no place.
     ///
     /// Whoever waited here would hold a slot that the transactions that have
     /// the connections need for their next statements.
-    pub async fn take(
+    pub async fn acquire(
         &self,
         server: &BackendServer,
         group: &GroupId,
-        within: Duration,
-    ) -> anyhow::Result<Taken<'_>> {
-        let place = self.places.try_acquire().map_err(|_| Full)?;
+        timeout: Duration,
+    ) -> anyhow::Result<PooledConn<'_>> {
+        let permit = self.permits.try_acquire().map_err(|_| Full)?;
         let conn = match self.pop() {
             Some(conn) => conn,
-            None => Conn::connect(server, group, within).await?,
+            None => Conn::connect(server, group, timeout).await?,
         };
-        Ok(Taken { conn, pool: self, _place: place })
+        Ok(PooledConn { conn, pool: self, _permit: permit })
     }
 
     /// The last idle connection that is still quiet.
@@ -75,13 +75,13 @@
     }
 
     /// Connections that transactions have.
-    pub fn taken(&self) -> usize {
-        self.limit - self.places.available_permits()
+    pub fn in_use(&self) -> usize {
+        self.limit - self.permits.available_permits()
     }
 
     /// Connections, idle and taken.
     pub fn len(&self) -> usize {
-        self.taken() + self.idle.borrow().len()
+        self.in_use() + self.idle.borrow().len()
     }
 
     /// Whether there is no connection.
@@ -95,13 +95,13 @@
     }
 }
 
-impl Taken<'_> {
+impl PooledConn<'_> {
     /// Gives the connection back; only after a whole answer outside of any transaction.
     ///
     /// One that a cancel was sent for is closed instead. The cancel goes over a
     /// connection of its own and may come late: it would end a statement of
     /// whichever transaction has this connection next.
-    pub fn give_back(self) {
+    pub fn release(self) {
         if self.conn.is_cancelled() {
             return;
         }
--- a/components/home/src/promotion.rs
+++ b/components/home/src/promotion.rs
@@ -22,65 +22,65 @@
 use tracing::{debug, info, warn};
 
 use crate::{
-    backend::Conn, group::GroupHome, handover::Handover, monitor, protocol, server::Server,
+    backend::Conn, group::GroupHome, handover::HandoverState, monitor, protocol, server::Server,
 };
 
 /// How often the group's leadership is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How long a server may take to connect, and again to promise a term.
-const PROMISE_WITHIN: Duration = Duration::from_millis(400);
+const PROMISE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long the rest are waited for once a majority has promised: their logs
 /// may hold writes that no caller has been told of, worth keeping if it is cheap.
-const REST_WITHIN: Duration = Duration::from_millis(30);
+const EXTRA_PROMISE_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// How long a server may take to become the primary.
-const PROMOTE_WITHIN: Duration = Duration::from_secs(2);
+const PROMOTE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Looks after a group's leadership until its home is closed.
 pub async fn run(home: Rc<GroupHome>) {
     let mut now = home.clock.now();
-    let mut detector = FailureDetector::new(home.silence(), now);
-    let mut led_at = now;
-    let mut handover = Handover::default();
+    let mut detector = FailureDetector::new(home.silence_timeout(), now);
+    let mut healthy_at = now;
+    let mut handover = HandoverState::default();
     let mut failures = 0;
-    let mut resume = now;
+    let mut retry_at = now;
     while !home.closed.get() {
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(CHECK_INTERVAL).await;
         now = home.clock.now();
-        detector.silence_timeout = home.silence();
-        let sights: Vec<_> = home.servers.iter().map(|server| server.sight()).collect();
-        let verdict = detector.observe(now, &sights);
-        home.note_verdict(verdict);
+        detector.silence_timeout = home.silence_timeout();
+        let observations: Vec<_> = home.servers.iter().map(|server| server.observation()).collect();
+        let verdict = detector.observe(now, &observations);
+        home.record_verdict(verdict);
         if verdict == Verdict::Healthy {
-            led_at = now;
-            retire_replaced(&home);
-            if home.first.get() {
-                handover.look(&home).await;
+            healthy_at = now;
+            demote_superseded(&home);
+            if home.ranks_first.get() {
+                handover.advance(&home).await;
                 detector.mark_active(home.clock.now());
             }
         }
         let Verdict::Promote(cause) = verdict else { continue };
-        if !home.first.get() || now < resume {
+        if !home.ranks_first.get() || now < retry_at {
             continue;
         }
-        let began = match cause {
-            Cause::Unconfirmed => detector.stalled_since().unwrap_or(led_at),
-            _ => fault_began(&home, cause, led_at),
+        let started = match cause {
+            Cause::Unconfirmed => detector.stalled_since().unwrap_or(healthy_at),
+            _ => fault_start(&home, cause, healthy_at),
         };
-        let detect = now.saturating_duration_since(began);
+        let detect = now.saturating_duration_since(started);
         match promote(&home, cause, detect).await {
             Ok(()) => failures = 0,
             Err(error) => {
                 failures += 1;
-                let pause = leadership::backoff(failures, rand::random());
+                let delay = leadership::backoff(failures, rand::random());
                 warn!(
                     "home: group {}: the promotion failed, again in {} ms: {error:#}.",
                     home.id,
-                    pause.as_millis()
+                    delay.as_millis()
                 );
-                resume = home.clock.now() + pause;
+                retry_at = home.clock.now() + delay;
             }
         }
         detector.mark_active(home.clock.now());
@@ -88,11 +88,13 @@
 }
 
 /// Since when the group has been without a working primary, as far as seen.
-fn fault_began(home: &GroupHome, cause: Cause, led_at: Instant) -> Instant {
+fn fault_start(home: &GroupHome, cause: Cause, healthy_at: Instant) -> Instant {
     let leader = home.last_leader();
     match cause {
-        Cause::Silent | Cause::Refused => leader.and_then(|s| s.heard.get()).unwrap_or(led_at),
-        _ => led_at,
+        Cause::Silent | Cause::Refused => {
+            leader.and_then(|s| s.last_seen.get()).unwrap_or(healthy_at)
+        }
+        _ => healthy_at,
     }
 }
 
@@ -107,32 +109,33 @@
 
 /// Replaces the primary once; `detect` is how long the fault went before.
 pub async fn promote(home: &GroupHome, cause: Cause, detect: Duration) -> anyhow::Result<()> {
-    let lasts: Vec<Status> = home.servers.iter().filter_map(|s| s.last.get()).collect();
-    let term = leadership::next_term(&lasts);
-    let holder = new_holder(home);
+    let statuses: Vec<Status> = home.servers.iter().filter_map(|s| s.last_status.get()).collect();
+    let term = leadership::next_term(&statuses);
+    let promoter = new_promoter(home);
     info!("home: group {}: promotion to term {term} begins: {cause}.", home.id);
-    let began = home.clock.now();
-    let mut promises = collect(home, candidates(home, cause), term, &holder).await?;
+    let started = home.clock.now();
+    let mut promises = collect_promises(home, candidates(home, cause), term, &promoter).await?;
     let promised = home.clock.now();
     let logs: Vec<_> = promises.iter().map(|p| (rank(&p.server), p.status.held)).collect();
     let chosen = leadership::successor(&logs, home.servers.len()).context("no majority")?;
-    let place = promises.iter().position(|p| rank(&p.server) == chosen).context("no successor")?;
-    let Promise { server, mut conn, .. } = promises.swap_remove(place);
+    let index = promises.iter().position(|p| rank(&p.server) == chosen).context("no successor")?;
+    let Promise { server, mut conn, .. } = promises.swap_remove(index);
     let asked = home.clock.now();
-    let text = conn.text_within(&protocol::promote(term, &holder), PROMOTE_WITHIN).await?;
-    monitor::note(home, &server, &text, asked)?;
+    let text =
+        conn.query_text_timeout(&protocol::promote(term, &promoter), PROMOTE_TIMEOUT).await?;
+    monitor::record_status(home, &server, &text, asked)?;
     home.servers.iter().for_each(|server| server.probe.notify_one());
-    let took = home.clock.now().saturating_duration_since(asked);
+    let promote_time = home.clock.now().saturating_duration_since(asked);
     home.metrics.promotion(&home.id, Phase::Notice, detect);
-    home.metrics.promotion(&home.id, Phase::Promise, promised - began);
-    home.metrics.promotion(&home.id, Phase::Promote, took);
+    home.metrics.promotion(&home.id, Phase::Promise, promised - started);
+    home.metrics.promotion(&home.id, Phase::Promote, promote_time);
     info!(
         "home: group {}: {} leads term {term}; detect {} ms, promise {} ms, promote {} ms.",
         home.id,
         server.contract.id,
         detect.as_millis(),
-        (promised - began).as_millis(),
-        took.as_millis()
+        (promised - started).as_millis(),
+        promote_time.as_millis()
     );
     Ok(())
 }
@@ -144,40 +147,42 @@
 
 /// A name for one attempt. It is never used twice, so that an attempt that was
 /// delayed cannot use the promises made to a later one of the same host.
-fn new_holder(home: &GroupHome) -> String {
-    format!("{}:{:016x}", home.me, rand::random::<u64>())
+fn new_promoter(home: &GroupHome) -> String {
+    format!("{}:{:016x}", home.host, rand::random::<u64>())
 }
 
 /// Whom to ask: a primary that is cut from its replicas would win by its
 /// longer log and still be cut, so it is passed over.
 fn candidates(home: &GroupHome, cause: Cause) -> Vec<Rc<Server>> {
-    let passed = match cause {
+    let excluded = match cause {
         Cause::Unconfirmed => home.last_leader().map(|s| s.contract.id.clone()),
         _ => None,
     };
-    home.servers.iter().filter(|s| Some(&s.contract.id) != passed.as_ref()).cloned().collect()
+    home.servers.iter().filter(|s| Some(&s.contract.id) != excluded.as_ref()).cloned().collect()
 }
 
 /// Asks all candidates at once; an error unless a majority of the group promises.
-async fn collect(
+async fn collect_promises(
     home: &GroupHome,
     candidates: Vec<Rc<Server>>,
     term: Term,
-    holder: &str,
+    promoter: &str,
 ) -> anyhow::Result<Vec<Promise>> {
     let needed = leadership::majority(home.servers.len());
-    let mut asked: FuturesUnordered<_> =
-        candidates.into_iter().map(|server| ask(home, server, term, holder)).collect();
+    let mut asked: FuturesUnordered<_> = candidates
+        .into_iter()
+        .map(|server| request_promise(home, server, term, promoter))
+        .collect();
     let mut promises = Vec::new();
     let mut refusals = Vec::new();
-    let mut until = home.clock.now() + 2 * PROMISE_WITHIN;
+    let mut until = home.clock.now() + 2 * PROMISE_TIMEOUT;
     while let Ok(Some(answer)) = monoio::time::timeout_at(until.into(), asked.next()).await {
         match answer {
             Ok(promise) => promises.push(promise),
             Err(error) => refusals.push(format!("{error:#}")),
         }
         if promises.len() >= needed {
-            until = until.min(home.clock.now() + REST_WITHIN);
+            until = until.min(home.clock.now() + EXTRA_PROMISE_TIMEOUT);
         }
     }
     if promises.len() < needed {
@@ -186,17 +191,17 @@
     Ok(promises)
 }
 
-async fn ask(
+async fn request_promise(
     home: &GroupHome,
     server: Rc<Server>,
     term: Term,
-    holder: &str,
+    promoter: &str,
 ) -> anyhow::Result<Promise> {
     let asked = home.clock.now();
-    let mut conn = Conn::connect(&server.contract, &home.id, PROMISE_WITHIN).await?;
-    let text = conn.text_within(&protocol::promise(term, holder), PROMISE_WITHIN).await?;
+    let mut conn = Conn::connect(&server.contract, &home.id, PROMISE_TIMEOUT).await?;
+    let text = conn.query_text_timeout(&protocol::promise(term, promoter), PROMISE_TIMEOUT).await?;
     let status = protocol::parse_status(&text)?;
-    monitor::note(home, &server, &text, asked)?;
+    monitor::record_status(home, &server, &text, asked)?;
     Ok(Promise { server, conn, status })
 }
 
@@ -205,25 +210,25 @@
 /// A primary that was cut off or frozen asks nobody whether it was replaced:
 /// it would stay apart, and the group would run on two servers. Its promise of
 /// the term that is led already makes it follow; nobody is promoted by it.
-fn retire_replaced(home: &Rc<GroupHome>) {
-    let Some((leader, led)) = home.primary() else { return };
-    let replaced = home.statuses().find(|(server, status)| {
-        status.leads() && status.term < led.term && server.contract.id != leader.contract.id
+fn demote_superseded(home: &Rc<GroupHome>) {
+    let Some((leader, current)) = home.primary() else { return };
+    let superseded = home.statuses().find(|(server, status)| {
+        status.leads() && status.term < current.term && server.contract.id != leader.contract.id
     });
-    let Some((server, _)) = replaced else { return };
-    if !home.first.get() || server.retiring.replace(true) {
+    let Some((server, _)) = superseded else { return };
+    if !home.ranks_first.get() || server.demoting.replace(true) {
         return;
     }
     let (home, server) = (home.clone(), server.clone());
     monoio::spawn(async move {
-        let holder = new_holder(&home);
-        match ask(&home, server.clone(), led.term, &holder).await {
+        let promoter = new_promoter(&home);
+        match request_promise(&home, server.clone(), current.term, &promoter).await {
             Ok(_) => info!(
                 "home: group {}: {} is told that it was replaced.",
                 home.id, server.contract.id
             ),
             Err(error) => debug!("home: group {}: retiring: {error:#}.", home.id),
         }
-        server.retiring.set(false);
+        server.demoting.set(false);
     });
 }
--- a/components/home/src/protocol.rs
+++ b/components/home/src/protocol.rs
@@ -21,15 +21,15 @@
 pub const USER: &str = "bergamottrack";
 
 /// Asks a server to take no log of an earlier term than `term`, and to promise
-/// that term to no other `holder`. One row of one text: the server's [`Status`].
-pub fn promise(term: Term, holder: &str) -> String {
-    format!("SELECT group_promise({term}, '{holder}')")
+/// that term to no other `promoter`. One row of one text: the server's [`Status`].
+pub fn promise(term: Term, promoter: &str) -> String {
+    format!("SELECT group_promise({term}, '{promoter}')")
 }
 
 /// Makes a server that promised `term` its primary. It writes a record of the
 /// new term first, so that its log is greater than all earlier ones.
-pub fn promote(term: Term, holder: &str) -> String {
-    format!("SELECT group_promote({term}, '{holder}')")
+pub fn promote(term: Term, promoter: &str) -> String {
+    format!("SELECT group_promote({term}, '{promoter}')")
 }
 
 /// Reads a server's own account of itself.
--- a/components/home/src/queue.rs
+++ b/components/home/src/queue.rs
@@ -13,21 +13,21 @@
 use tokio::sync::oneshot;
 
 /// First guess of the time that a request has its slot.
-const FIRST_MEAN: Duration = Duration::from_millis(2);
+const INITIAL_MEAN: Duration = Duration::from_millis(2);
 
 /// How often the queue is searched for requests that wait in vain.
-const SHED_EVERY: Duration = Duration::from_millis(5);
+const SHED_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Why a request got no slot. Nothing of it has been sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NoSlot {
+pub enum SlotError {
     /// It cannot be done before its deadline.
     Infeasible(Infeasible),
     /// The server was lost: another may serve it.
     Lost,
 }
 
-type Waiter = oneshot::Sender<Result<Slot, NoSlot>>;
+type Waiter = oneshot::Sender<Result<Slot, SlotError>>;
 
 /// The slots of one server.
 pub struct Slots {
@@ -42,34 +42,34 @@
     account: AccountId,
     cost: Duration,
     since: Instant,
-    wanted: bool,
+    received: bool,
 }
 
 impl Slots {
     /// So many slots, all free.
     pub fn new(slots: usize, clock: Rc<dyn Clock>) -> Rc<Self> {
-        let queue = RefCell::new(FairQueue::new(slots, FIRST_MEAN));
+        let queue = RefCell::new(FairQueue::new(slots, INITIAL_MEAN));
         let last_shed = Cell::new(clock.now());
         Rc::new(Self { clock, queue, last_shed })
     }
 
     /// Waits for a slot; a request that would be late is told at once.
-    pub async fn acquire(self: &Rc<Self>, ticket: &Ticket) -> Result<Slot, NoSlot> {
+    pub async fn acquire(self: &Rc<Self>, ticket: &Ticket) -> Result<Slot, SlotError> {
         let (tx, rx) = oneshot::channel();
         let pushed = self.queue.borrow_mut().push(ticket, self.clock.now(), tx);
-        pushed.map_err(|(infeasible, _)| NoSlot::Infeasible(infeasible))?;
+        pushed.map_err(|(infeasible, _)| SlotError::Infeasible(infeasible))?;
         self.grant();
         let granted = monoio::time::timeout_at(ticket.deadline.into(), rx).await;
         let mut slot = match granted {
             Ok(Ok(result)) => result?,
-            Ok(Err(_)) => return Err(NoSlot::Lost),
+            Ok(Err(_)) => return Err(SlotError::Lost),
             Err(_) => {
                 let retry = self.queue.borrow().wait(ticket);
-                return Err(NoSlot::Infeasible(Infeasible { retry }));
+                return Err(SlotError::Infeasible(Infeasible { retry }));
             }
         };
         slot.since = self.clock.now();
-        slot.wanted = true;
+        slot.received = true;
         Ok(slot)
     }
 
@@ -78,7 +78,7 @@
     pub fn force(self: &Rc<Self>, account: &AccountId) -> Slot {
         let cost = self.queue.borrow_mut().force(account);
         let (slots, account) = (self.clone(), account.clone());
-        Slot { slots, account, cost, since: self.clock.now(), wanted: true }
+        Slot { slots, account, cost, since: self.clock.now(), received: true }
     }
 
     /// Requests that wait and requests that run.
@@ -88,11 +88,11 @@
     }
 
     /// Tells all that wait that the server is lost.
-    pub fn fail(&self) {
+    pub fn fail_all(&self) {
         let waiting = self.queue.borrow_mut().clear();
         for tx in waiting {
             // A waiter that has gone needs no answer.
-            let _ = tx.send(Err(NoSlot::Lost));
+            let _ = tx.send(Err(SlotError::Lost));
         }
     }
 
@@ -108,7 +108,7 @@
                 account: granted.account,
                 cost: granted.cost,
                 since: self.clock.now(),
-                wanted: false,
+                received: false,
             };
             // Nothing runs between the look and the sending, so the waiter is there.
             let _ = granted.item.send(Ok(slot));
@@ -117,13 +117,13 @@
 
     fn shed(&self) {
         let now = self.clock.now();
-        if now < self.last_shed.get() + SHED_EVERY {
+        if now < self.last_shed.get() + SHED_INTERVAL {
             return;
         }
         self.last_shed.set(now);
         let infeasible = self.queue.borrow_mut().shed(now);
         for (infeasible, tx) in infeasible {
-            let _ = tx.send(Err(NoSlot::Infeasible(infeasible)));
+            let _ = tx.send(Err(SlotError::Infeasible(infeasible)));
         }
     }
 }
@@ -132,7 +132,7 @@
     fn drop(&mut self) {
         {
             let mut queue = self.slots.queue.borrow_mut();
-            if self.wanted {
+            if self.received {
                 let took = self.slots.clock.now().saturating_duration_since(self.since);
                 queue.release(&self.account, self.cost, took);
             } else {
--- a/components/home/src/report.rs
+++ b/components/home/src/report.rs
@@ -10,7 +10,8 @@
     /// A report of each group whose home this host is, in order of their names.
     pub fn reports(&self) -> Vec<GroupReport> {
         let homes = self.all();
-        let used = homes.iter().filter(|home| home.first.get() || !home.is_idle(Duration::ZERO));
+        let used =
+            homes.iter().filter(|home| home.ranks_first.get() || !home.is_idle(Duration::ZERO));
         let mut reports: Vec<_> = used.map(|home| home.report()).collect();
         reports.sort_by(|a, b| a.group.cmp(&b.group));
         reports
@@ -31,13 +32,13 @@
 
     fn server_report(&self, server: &Server) -> ServerReport {
         let now = self.clock.now();
-        let status = server.status(now, self.silence());
+        let status = server.status(now, self.silence_timeout());
         ServerReport {
             server: server.contract.id.clone(),
             domain: server.contract.domain.clone(),
             role: status.map(|status| status.role),
-            applied: server.last.get().map(|status| status.applied).unwrap_or_default(),
-            heard: server.heard.get().map(|heard| now.saturating_duration_since(heard)),
+            applied: server.last_status.get().map(|status| status.applied).unwrap_or_default(),
+            heard: server.last_seen.get().map(|heard| now.saturating_duration_since(heard)),
             busy: server.load().1 as u64,
             slots: server.contract.slots.into(),
             connections: server.pool.len() as u64,
--- a/components/home/src/route.rs
+++ b/components/home/src/route.rs
@@ -9,35 +9,35 @@
 use bergamottrack_peer::Intent;
 
 use crate::{
-    group::{COME_BACK, GroupHome},
+    group::{GroupHome, RETRY_DELAY},
     server::Server,
 };
 
 /// How long an exchange waits for a server that can run it: longer than a
 /// failover takes, and no longer, so that a caller is told while it can still act.
-const WAIT_FOR_SERVER: Duration = Duration::from_secs(3);
+const ROUTE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What the answer of a server must show.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Need {
+pub struct Requirement {
     /// What the session has been told of.
-    pub floor: Option<Point>,
+    pub session_point: Option<Point>,
     /// Where the primary stood as long ago as the caller accepts.
-    pub aged: Option<Point>,
+    pub age_point: Option<Point>,
     /// Whether the primary must be seen to lead after the exchange came.
     pub current: bool,
 }
 
-impl Need {
+impl Requirement {
     /// Whether an answer that shows `point` shows enough.
     pub fn is_met(&self, point: Point) -> bool {
         let covers = |floor: Option<Point>| floor.is_none_or(|floor| point.covers(floor));
-        covers(self.floor) && covers(self.aged)
+        covers(self.session_point) && covers(self.age_point)
     }
 
     /// Whether any point would do.
-    pub fn is_open(&self) -> bool {
-        self.floor.is_none() && self.aged.is_none()
+    pub fn is_unconstrained(&self) -> bool {
+        self.session_point.is_none() && self.age_point.is_none()
     }
 }
 
@@ -47,34 +47,35 @@
         // A write that no other server can confirm is not even begun.
         let refuse = || self.no_majority().map(Err);
         let choose = || self.choose(intent).map(Ok);
-        let look = || match intent {
+        let select = || match intent {
             Intent::Write => refuse().or_else(choose),
             Intent::Read { .. } => choose().or_else(refuse),
         };
-        let until = deadline.min(self.clock.now() + WAIT_FOR_SERVER);
-        let found = self.until(until, look).await;
+        let timeout_at = deadline.min(self.clock.now() + ROUTE_TIMEOUT);
+        let found = self.wait_until(timeout_at, select).await;
         found.unwrap_or_else(|| {
             let message = format!("group {} has no server for this now", self.id);
-            Err(Refusal::not_run(Reason::Unavailable, Some(COME_BACK), message))
+            Err(Refusal::not_run(Reason::Unavailable, Some(RETRY_DELAY), message))
         })
     }
 
     fn choose(&self, intent: &Intent) -> Option<Rc<Server>> {
         let leads = || self.primary().map(|(server, _)| server);
-        let primary = || leads().filter(|_| !self.handing.get());
+        let primary = || leads().filter(|_| !self.handing_over.get());
         match intent {
             Intent::Write => primary(),
             Intent::Read { .. } => {
-                let fit = |server: &Server, status: &Status| {
-                    !status.leads() && !server.leaving.get() && self.shows(intent, status)
+                let is_eligible = |server: &Server, status: &Status| {
+                    !status.leads() && !server.leaving.get() && self.satisfies(intent, status)
                 };
-                let replicas = self.statuses().filter(|(server, status)| fit(server, status));
+                let replicas =
+                    self.statuses().filter(|(server, status)| is_eligible(server, status));
                 // Loads change between two looks; the order of equals does not matter.
                 let least = replicas.map(|(s, _)| s).min_by_key(|s| load(s));
                 least.cloned().or_else(|| {
                     primary().filter(|server| {
-                        let status = server.status(self.clock.now(), self.silence());
-                        status.is_some_and(|status| self.shows(intent, &status))
+                        let status = server.status(self.clock.now(), self.silence_timeout());
+                        status.is_some_and(|status| self.satisfies(intent, &status))
                     })
                 })
             }
@@ -82,26 +83,34 @@
     }
 
     /// Whether a server with this status may answer, as far as is known.
-    fn shows(&self, intent: &Intent, status: &Status) -> bool {
-        self.need(intent, status.leads()).is_some_and(|need| need.is_met(status.applied))
+    fn satisfies(&self, intent: &Intent, status: &Status) -> bool {
+        self.requirement(intent, status.leads())
+            .is_some_and(|requirement| requirement.is_met(status.applied))
     }
 
     /// What the answer of the primary, or of a replica, must show; `None` when
     /// no answer of such a server can show it.
-    pub fn need(&self, intent: &Intent, primary: bool) -> Option<Need> {
-        let Intent::Read { floor, max_age } = intent else { return Some(Need::default()) };
+    pub fn requirement(&self, intent: &Intent, primary: bool) -> Option<Requirement> {
+        let Intent::Read { floor, max_age } = intent else { return Some(Requirement::default()) };
         let Some(max_age) = max_age else {
             // A session that has been told nothing reads where writes are.
             let known = primary || floor.is_some();
-            return known.then_some(Need { floor: *floor, ..Need::default() });
+            return known
+                .then_some(Requirement { session_point: *floor, ..Requirement::default() });
         };
-        let aged = match max_age.is_zero() {
+        let age_point = match max_age.is_zero() {
             true => None,
-            false => self.ages.borrow().floor(*max_age, self.clock.now()),
+            false => self.positions.borrow().floor(*max_age, self.clock.now()),
         };
-        match (aged, primary) {
-            (Some(aged), _) => Some(Need { floor: *floor, aged: Some(aged), current: false }),
-            (None, true) => Some(Need { floor: *floor, aged: None, current: true }),
+        match (age_point, primary) {
+            (Some(age_point), _) => Some(Requirement {
+                session_point: *floor,
+                age_point: Some(age_point),
+                current: false,
+            }),
+            (None, true) => {
+                Some(Requirement { session_point: *floor, age_point: None, current: true })
+            }
             (None, false) => None,
         }
     }
@@ -116,16 +125,16 @@
     /// deadline would only hold the refusal back.
     pub async fn is_current(&self, primary: &Server, since: Instant, deadline: Instant) -> bool {
         self.servers.iter().for_each(|server| server.probe.notify_one());
-        let until = deadline.min(self.clock.now() + 2 * self.silence());
-        self.until(until, || {
-            let seen = primary.seen.get().filter(|seen| seen.asked >= since)?;
+        let timeout_at = deadline.min(self.clock.now() + 2 * self.silence_timeout());
+        self.wait_until(timeout_at, || {
+            let seen = primary.reading.get().filter(|seen| seen.requested_at >= since)?;
             let term = seen.status.term;
-            if !seen.status.leads() || self.is_past(term) {
+            if !seen.status.leads() || self.is_superseded(term) {
                 return Some(false);
             }
             let others = self.servers.iter().filter(|s| s.contract.id != primary.contract.id);
-            let mut others = others.filter_map(|server| server.seen.get());
-            let agrees = others.any(|s| s.asked >= since && s.status.promised <= term);
+            let mut others = others.filter_map(|server| server.reading.get());
+            let agrees = others.any(|s| s.requested_at >= since && s.status.promised <= term);
             agrees.then_some(true)
         })
         .await
--- a/components/home/src/serve.rs
+++ b/components/home/src/serve.rs
@@ -14,25 +14,25 @@
 use crate::{
     backend::{self, Conn},
     batch::Batch,
-    execution::{Answer, Failure, Turn},
-    group::{COME_BACK, GroupHome},
-    outcome::{self, Key, Running},
-    pool::{self, Taken},
-    queue::{NoSlot, Slot},
-    route::Need,
+    execution::{Answer, Execution, Failure},
+    group::{GroupHome, RETRY_DELAY},
+    outcome::{self, AttemptGuard, RequestKey},
+    pool::{self, PooledConn},
+    queue::{Slot, SlotError},
+    route::Requirement,
     server::Server,
 };
 
 /// Before a server that could not be connected to is chosen again.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// How long an open transaction keeps its slot while its caller thinks.
-const KEEP_SLOT: Duration = Duration::from_millis(50);
+const IDLE_SLOT_TTL: Duration = Duration::from_millis(50);
 
 /// Serves an exchange to its end; `weight` is its account's share beside others.
 pub async fn serve(home: Rc<GroupHome>, open: Open, weight: u32, mut side: HomeSide) {
-    let _active = home.enter();
-    if let Err(refusal) = run(&home, &open, weight, &mut side).await {
+    let _active = home.begin_exchange();
+    if let Err(refusal) = run_with_retries(&home, &open, weight, &mut side).await {
         debug!("home: group {}: {refusal}.", home.id);
         side.send(ToEntry::Refused(refusal));
     }
@@ -40,7 +40,7 @@
 
 /// Runs an exchange; a read whose server was lost runs again on another one,
 /// within the deadline and the budget of retries.
-async fn run(
+async fn run_with_retries(
     home: &GroupHome,
     open: &Open,
     weight: u32,
@@ -50,66 +50,76 @@
     home.retries.borrow_mut().deposit();
     let ticket = Ticket { account: open.account.clone(), weight, deadline, urgent: false };
     loop {
-        let Err(failure) = attempt(home, open, side, &ticket).await else { return Ok(()) };
-        if let Some(key) = key(open).filter(|_| failure.refusal.fate == Fate::Unknown) {
-            return Err(outcome::settle(home, &key, failure.refusal, deadline).await);
+        let Err(failure) = run_once(home, open, side, &ticket).await else { return Ok(()) };
+        if let Some(key) = request_key(open).filter(|_| failure.refusal.fate == Fate::Unknown) {
+            return Err(outcome::resolve_refusal(home, &key, failure.refusal, deadline).await);
         }
         let in_time = home.clock.now() < deadline;
-        if !failure.again || !in_time || !home.retries.borrow_mut().withdraw() {
+        if !failure.retryable || !in_time || !home.retries.borrow_mut().withdraw() {
             return Err(failure.refusal);
         }
     }
 }
 
 /// The request's id, if it must run at most once. A read may run again.
-fn key(open: &Open) -> Option<Key> {
+fn request_key(open: &Open) -> Option<RequestKey> {
     let request = open.request.clone().filter(|_| open.intent == Intent::Write)?;
-    Some(Key { account: open.account.clone(), request })
+    Some(RequestKey { account: open.account.clone(), request })
 }
 
-async fn attempt(
+async fn run_once(
     home: &GroupHome,
     open: &Open,
     side: &mut HomeSide,
     ticket: &Ticket,
 ) -> Result<(), Failure> {
-    let running = key(open).map(|key| Running::begin(home, key)).transpose()?;
+    let guard = request_key(open).map(|key| AttemptGuard::begin(home, key)).transpose()?;
     let mut arrived = home.clock.now();
-    let place = place(home, &open.intent, ticket).await?;
-    let mut placed = home.clock.now();
-    let Place { server, term, need, slot, mut taken } = place;
+    let target = acquire_target(home, &open.intent, ticket).await?;
+    let mut acquired = home.clock.now();
+    let Target { server, term, requirement, slot, mut pooled } = target;
     let mut slot = Some(slot);
     let deadline = ticket.deadline;
     let intent = &open.intent;
-    let mut turn =
-        Turn { home, server, term, intent, need, since: arrived, within: false, deadline };
+    let mut exec = Execution {
+        home,
+        server,
+        term,
+        intent,
+        requirement,
+        arrived,
+        in_transaction: false,
+        deadline,
+    };
     let mut batch = Batch::new(open.frames.clone());
-    let mut first = running.as_ref();
+    let mut first = guard.as_ref();
     loop {
         let (standing, answer) = match first.take() {
-            Some(running) => claimed(running, &mut turn, &mut taken.conn, side, &batch).await?,
-            None => turn.run(&mut taken.conn, side, &batch).await?,
+            Some(guard) => {
+                run_first_batch(guard, &mut exec, &mut pooled.conn, side, &batch).await?
+            }
+            None => exec.run(&mut pooled.conn, side, &batch).await?,
         };
         if standing == Standing::Idle {
             // While a write is confirmed the server works for others.
             slot = None;
         }
-        turn.finish(side, standing, answer).await?;
-        let wait = placed.saturating_duration_since(arrived);
-        let service = home.clock.now().saturating_duration_since(placed);
+        exec.finish(side, standing, answer).await?;
+        let wait = acquired.saturating_duration_since(arrived);
+        let service = home.clock.now().saturating_duration_since(acquired);
         home.metrics.served(&open.account, &home.id, Timing { wait, service });
         if standing == Standing::Idle {
-            taken.give_back();
+            pooled.release();
             return Ok(());
         }
-        turn.within = true;
-        match next_batch(&turn, side, &mut slot).await? {
-            Some((more, until)) => (batch, turn.deadline) = (Batch::new(more), until),
+        exec.in_transaction = true;
+        match next_batch(&exec, side, &mut slot).await? {
+            Some((more, until)) => (batch, exec.deadline) = (Batch::new(more), until),
             None => return Ok(()),
         }
         arrived = home.clock.now();
         slot.get_or_insert_with(|| server.slots.force(&ticket.account));
-        placed = home.clock.now();
+        acquired = home.clock.now();
     }
 }
 
@@ -117,83 +127,84 @@
 ///
 /// A statement outside of any transaction gets one of its own around it; a
 /// transaction that the caller begins itself has the row right after its begin.
-async fn claimed(
-    running: &Running<'_>,
-    turn: &mut Turn<'_>,
+async fn run_first_batch(
+    guard: &AttemptGuard<'_>,
+    exec: &mut Execution<'_>,
     conn: &mut Conn,
     side: &mut HomeSide,
     batch: &Batch,
 ) -> Result<(Standing, Answer), Failure> {
-    let claim = running.plan(turn, conn).await?;
-    running.is_wanted(turn, side).await?;
+    let claim = guard.plan(exec, conn).await?;
+    guard.check_entry_waits(exec, side).await?;
     if batch.only_begins() {
-        let (standing, answer) = turn.run(conn, side, batch).await?;
+        let (standing, answer) = exec.run(conn, side, batch).await?;
         if standing == Standing::Open {
-            running.claim(turn, conn, &claim).await?;
+            guard.write_row(exec, conn, &claim).await?;
         }
         return Ok((standing, answer));
     }
-    running.open(turn, conn, &claim).await?;
-    turn.within = true;
-    let (mut standing, mut answer) = turn.run(conn, side, batch).await?;
+    guard.begin_transaction(exec, conn, &claim).await?;
+    exec.in_transaction = true;
+    let (mut standing, mut answer) = exec.run(conn, side, batch).await?;
     if !batch.begins() {
-        standing = running.close(turn, conn, standing, &mut answer).await?;
+        standing = guard.end_transaction(exec, conn, standing, &mut answer).await?;
     }
     Ok((standing, answer))
 }
 
 /// Where an exchange runs.
-pub struct Place<'a> {
+pub struct Target<'a> {
     /// The server.
     pub server: &'a Server,
     /// Its term when it was chosen.
     pub term: Term,
     /// What its answer must show.
-    pub need: Need,
+    pub requirement: Requirement,
     /// One of the statements that may run on it at once.
     pub slot: Slot,
     /// A connection to it.
-    pub taken: Taken<'a>,
+    pub pooled: PooledConn<'a>,
 }
 
 /// Finds a server with a slot and a connection. Nothing is sent to it yet, so
 /// what waits when the primary changes is simply placed anew.
-pub async fn place<'a>(
+pub async fn acquire_target<'a>(
     home: &'a GroupHome,
     intent: &Intent,
     ticket: &Ticket,
-) -> Result<Place<'a>, Refusal> {
+) -> Result<Target<'a>, Refusal> {
     let deadline = ticket.deadline;
     loop {
         let server = home.route(intent, deadline).await?;
-        let server = home.own(&server);
-        let term = server.last.get().map(|status| status.term).unwrap_or_default();
+        let server = home.own_server(&server);
+        let term = server.last_status.get().map(|status| status.term).unwrap_or_default();
         let slot = monoio::select! {
             slot = server.slots.acquire(ticket) => slot,
-            _ = home.unfit(server, intent, term) => continue,
+            _ = home.wait_unusable(server, intent, term) => continue,
         };
         let slot = match slot {
             Ok(slot) => slot,
-            Err(NoSlot::Lost) => continue,
-            Err(NoSlot::Infeasible(infeasible)) => {
+            Err(SlotError::Lost) => continue,
+            Err(SlotError::Infeasible(infeasible)) => {
                 return Err(overloaded(home, ticket, infeasible.retry));
             }
         };
         // It may have waited: what it needs of a stated age has moved on.
-        let primary = server.last.get().is_some_and(|status| status.leads());
-        let (false, Some(need)) = (home.is_unfit(server, intent, term), home.need(intent, primary))
+        let primary = server.last_status.get().is_some_and(|status| status.leads());
+        let (false, Some(requirement)) =
+            (home.is_unusable(server, intent, term), home.requirement(intent, primary))
         else {
             continue;
         };
         match connect(home, server, deadline).await {
-            Ok(taken) => return Ok(Place { server, term, need, slot, taken }),
+            Ok(pooled) => return Ok(Target { server, term, requirement, slot, pooled }),
             Err(refusal)
                 if refusal.reason == Reason::Overload
-                    || home.clock.now() + RETRY_PAUSE >= deadline =>
+                    || home.clock.now() + CONNECT_RETRY_DELAY >= deadline =>
             {
                 return Err(refusal);
             }
-            Err(_) => monoio::time::sleep(RETRY_PAUSE).await,
+            Err(_) => monoio::time::sleep(CONNECT_RETRY_DELAY).await,
         }
     }
 }
@@ -207,16 +218,16 @@
     home: &GroupHome,
     server: &'a Server,
     deadline: Instant,
-) -> Result<Taken<'a>, Refusal> {
+) -> Result<PooledConn<'a>, Refusal> {
     let left = deadline.saturating_duration_since(home.clock.now());
-    let within = left.min(home.silence());
-    server.pool.take(&server.contract, &home.id, within).await.map_err(|error| {
-        if backend::is_refusal(&error) {
-            server.note_refused(home.clock.now());
+    let timeout = left.min(home.silence_timeout());
+    server.pool.acquire(&server.contract, &home.id, timeout).await.map_err(|error| {
+        if backend::is_process_gone(&error) {
+            server.record_refusal(home.clock.now());
         }
         let full = error.is::<pool::Full>();
         let reason = if full { Reason::Overload } else { Reason::Unavailable };
-        Refusal::not_run(reason, Some(COME_BACK), format!("{}: {error:#}", server.contract.id))
+        Refusal::not_run(reason, Some(RETRY_DELAY), format!("{}: {error:#}", server.contract.id))
     })
 }
 
@@ -225,25 +236,25 @@
 /// A caller that thinks for long gives its slot back meanwhile: five of them
 /// would otherwise stop their server.
 async fn next_batch(
-    turn: &Turn<'_>,
+    exec: &Execution<'_>,
     side: &mut HomeSide,
     slot: &mut Option<Slot>,
 ) -> Result<Option<(Bytes, Instant)>, Refusal> {
-    let home = turn.home;
-    let idle = home.clock.now() + home.idle();
-    let keep = home.clock.now() + KEEP_SLOT;
+    let home = exec.home;
+    let idle_deadline = home.clock.now() + home.idle_timeout();
+    let slot_expiry = home.clock.now() + IDLE_SLOT_TTL;
     loop {
         let item = monoio::select! {
             item = side.recv() => item,
-            _ = home.unfit(turn.server, turn.intent, turn.term) => {
+            _ = home.wait_unusable(exec.server, exec.intent, exec.term) => {
                 let message = "the server was lost or replaced; the transaction is rolled back";
-                return Err(Refusal::not_run(Reason::Lost, Some(COME_BACK), message));
+                return Err(Refusal::not_run(Reason::Lost, Some(RETRY_DELAY), message));
             }
-            _ = monoio::time::sleep_until(keep.into()), if slot.is_some() => {
+            _ = monoio::time::sleep_until(slot_expiry.into()), if slot.is_some() => {
                 *slot = None;
                 continue;
             }
-            _ = monoio::time::sleep_until(idle.into()) => {
+            _ = monoio::time::sleep_until(idle_deadline.into()) => {
                 let message = "the transaction stood idle too long and was rolled back";
                 return Err(Refusal::not_run(Reason::Deadline, None, message));
             }
--- a/components/home/src/server.rs
+++ b/components/home/src/server.rs
@@ -17,11 +17,11 @@
 
 /// What a server said of itself, and when.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct StatusReading {
     /// What it said.
     pub status: Status,
     /// It was so at this time or later: when the question was sent.
-    pub asked: Instant,
+    pub requested_at: Instant,
 }
 
 /// A backend server as its group's home sees it.
@@ -29,15 +29,15 @@
     /// What the operator says of it.
     pub contract: BackendServer,
     /// What it last said; `None` when it cannot be reached.
-    pub seen: Cell<Option<Seen>>,
+    pub reading: Cell<Option<StatusReading>>,
     /// When it was last heard of.
-    pub heard: Cell<Option<Instant>>,
+    pub last_seen: Cell<Option<Instant>>,
     /// What it last said, kept while it cannot be reached: who led, in which term.
-    pub last: Cell<Option<Status>>,
+    pub last_status: Cell<Option<Status>>,
     /// Since when it refuses connections.
-    pub refused: Cell<Option<Instant>>,
+    pub refused_since: Cell<Option<Instant>>,
     /// Set while it is told that it was replaced as primary.
-    pub retiring: Cell<bool>,
+    pub demoting: Cell<bool>,
     /// Whether it is to get no new work.
     pub leaving: Cell<bool>,
     /// Wakes the watch to ask at once.
@@ -52,11 +52,11 @@
     /// A server of which nothing is known yet.
     pub fn new(contract: BackendServer, clock: Rc<dyn Clock>) -> Self {
         Self {
-            seen: Cell::new(None),
-            heard: Cell::new(None),
-            last: Cell::new(None),
-            refused: Cell::new(None),
-            retiring: Cell::new(false),
+            reading: Cell::new(None),
+            last_seen: Cell::new(None),
+            last_status: Cell::new(None),
+            refused_since: Cell::new(None),
+            demoting: Cell::new(false),
             leaving: Cell::new(contract.leaving),
             probe: Notify::new(),
             pool: Pool::new(usize::from(contract.connections)),
@@ -71,27 +71,27 @@
     }
 
     /// What has been seen of it, however long ago.
-    pub fn sight(&self) -> Observation {
+    pub fn observation(&self) -> Observation {
         Observation {
-            status: self.last.get(),
-            last_seen: self.heard.get(),
-            refused_since: self.refused.get(),
+            status: self.last_status.get(),
+            last_seen: self.last_seen.get(),
+            refused_since: self.refused_since.get(),
         }
     }
 
     /// Notes that it refused a connection or closed one, as a process that has ended does.
-    pub fn note_refused(&self, now: Instant) {
-        if self.refused.get().is_none() {
-            self.refused.set(Some(now));
+    pub fn record_refusal(&self, now: Instant) {
+        if self.refused_since.get().is_none() {
+            self.refused_since.set(Some(now));
         }
     }
 
-    /// What it last said, if it was heard of within `silence`.
-    pub fn status(&self, now: Instant, silence: Duration) -> Option<Status> {
-        let heard = self.heard.get()?;
-        if now > heard + silence {
+    /// What it last said, if it was heard of within `silence_timeout`.
+    pub fn status(&self, now: Instant, silence_timeout: Duration) -> Option<Status> {
+        let last_seen = self.last_seen.get()?;
+        if now > last_seen + silence_timeout {
             return None;
         }
-        self.seen.get().map(|seen| seen.status)
+        self.reading.get().map(|seen| seen.status)
     }
 }
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -93,8 +93,8 @@
     let callers = callers::listen(args.listen)
         .with_context(|| format!("listening for callers at {}", args.listen))?;
     info!("serve: listening for callers at {}.", args.listen);
-    monoio::spawn(homes.clone().keep(current, mesh));
-    monoio::spawn(homes.follow_list(operator.platform.clone()));
+    monoio::spawn(homes.clone().maintain(current, mesh));
+    monoio::spawn(homes.poll_machines(operator.platform.clone()));
     monoio::spawn(accept_peers(peers, operator.clone(), entry.clone()));
     monoio::spawn(fleet.clone().run());
     monoio::spawn(operator.clone().keep_metrics());
@@ -147,7 +147,7 @@
                 entry.cancel(pid, secret);
                 replier.reply(Answer::Pong);
             }
-            Question::Outcome(of) => asked.clone().tell_outcome(fleet.current.get(), *of, replier),
+            Question::Outcome(of) => asked.clone().reply_outcome(fleet.current.get(), *of, replier),
             other => replier.reply(fleet.answer(peer, other).unwrap_or_else(&report)),
         }),
     });
