--- a/components/home/src/execution.rs
+++ b/components/home/src/execution.rs
@@ -1,4 +1,4 @@
-//! One batch of a caller's messages and its answer.
+//! Execution of one batch of a caller's messages on a backend server.
 
 use std::time::Instant;
 
@@ -16,19 +16,19 @@
     server::Server,
 };
 
-/// Rows are handed on once this many bytes are together.
+/// Number of pending bytes of an answer at which they are sent to the entry.
 const FLUSH_THRESHOLD: usize = 16 * 1024;
 
-/// Bytes handed on that the entry may not have passed on yet; then the server
-/// is not read any further.
+/// Maximum number of bytes sent to the entry that it has not passed on yet; at this number
+/// reading from the server pauses.
 const MAX_UNACKNOWLEDGED: u64 = 256 * 1024;
 
-/// An exchange that ended without an answer.
+/// Failure of an exchange, which ended without a complete answer.
 pub struct Failure {
-    /// What the caller is told.
+    /// Refusal sent to the caller.
     pub refusal: Refusal,
-    /// Whether it changed nothing and the caller has seen nothing, so that it
-    /// may be run again on another server.
+    /// Whether the exchange may run again on another server: it only reads, its server was
+    /// lost, and no part of the batch's answer was sent.
     pub retryable: bool,
 }
 
@@ -38,51 +38,51 @@
     }
 }
 
-/// One batch of messages and its answer.
+/// Execution of one batch of messages.
 pub struct Execution<'a> {
-    /// The group.
+    /// Home of the database group.
     pub home: &'a GroupHome,
-    /// The server that runs it.
+    /// Backend server that runs the batch.
     pub server: &'a Server,
-    /// The server's term when it was chosen.
+    /// Term of the server when it was selected.
     pub term: Term,
-    /// What the exchange needs.
+    /// Intent of the exchange.
     pub intent: &'a Intent,
-    /// What the answer must show.
+    /// Requirement that the answer must meet.
     pub requirement: Requirement,
-    /// When the exchange came.
+    /// Time at which the exchange arrived.
     pub arrived: Instant,
-    /// Whether a transaction that the caller ends itself was open before.
+    /// Whether a transaction is open before the batch runs.
     pub in_transaction: bool,
-    /// When the caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
 }
 
-/// What has been read of an answer.
+/// Answer as read so far.
 #[derive(Default)]
 pub struct Answer {
-    /// Messages not handed on yet.
+    /// Messages not sent to the entry yet.
     pub pending: BytesMut,
-    /// What the server says that the answer shows or has reached.
+    /// Point that the answer shows or has reached, as reported by the server.
     pub point: Option<Point>,
-    /// Whether it holds an error.
+    /// Whether the answer contains an error.
     pub failed: bool,
-    /// Whether it was checked that it shows enough.
+    /// Whether the requirement was checked.
     checked: bool,
-    /// Whether part of it was handed on.
+    /// Whether a part was sent to the entry.
     partly_sent: bool,
-    /// Whether it holds a row or the end of a statement.
+    /// Whether the answer contains a row or the end of a statement.
     has_data: bool,
-    /// Whether a statement has ended in it.
+    /// Whether the answer contains the end of a statement.
     statement_ended: bool,
-    /// Bytes handed on that the entry has not passed on yet.
+    /// Bytes sent to the entry that it has not passed on yet.
     unacknowledged: u64,
-    /// Bytes that the caller has taken.
+    /// Bytes that the entry has passed on to the caller.
     acknowledged: u64,
 }
 
 impl Execution<'_> {
-    /// Sends the batch and reads its answer up to the end.
+    /// Sends the batch and reads its answer to the end.
     pub async fn run(
         &self,
         conn: &mut Conn,
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Hands on what is long enough, but never the end of a write's statement:
-    /// a caller that saw it could take the write for done before it is confirmed.
+    /// Sends the pending messages to the entry, unless they contain the end of a statement of
+    /// a write: the caller would take the write for done before it is confirmed.
     fn send_part(&self, side: &HomeSide, answer: &mut Answer) {
         let held_back = answer.statement_ended && matches!(self.intent, Intent::Write);
         if held_back {
@@ -146,7 +146,7 @@
         side.send(ToEntry::Part(part));
     }
 
-    /// Checks once, before any of the answer is handed on, that it shows enough.
+    /// Checks the requirement once, before any part of the answer is sent.
     async fn check(&self, conn: &Conn, answer: &mut Answer) -> Result<(), Refusal> {
         if std::mem::replace(&mut answer.checked, true) {
             return Ok(());
@@ -155,14 +155,14 @@
         self.check_current().await
     }
 
-    /// Refuses a read whose server shows less than the session has been told.
+    /// Refuses a read whose answer shows less than required.
     ///
-    /// The watch chose the server from what it last said; a server that took
-    /// records back since, or another one at its address, would answer from the
-    /// past. The point that comes with the answer, before its rows, decides.
+    /// The server was selected by its last reported status. If it has discarded records since,
+    /// or another server runs at its address, its answer would be stale. The point that the
+    /// server reports before the rows of the answer is decisive.
     fn check_requirement(&self, conn: &Conn, answer: &Answer) -> Result<(), Refusal> {
         let shown = conn.point.is_some_and(|point| self.requirement.is_met(point));
-        // A batch that only prepares or describes shows no data.
+        // The answer to a batch that only prepares or describes contains no data.
         if self.requirement.is_unconstrained() || !answer.has_data || shown {
             return Ok(());
         }
@@ -172,8 +172,8 @@
         Err(refusal(Reason::Lost, &message))
     }
 
-    /// Refuses a read that had to be current when its primary cannot be shown
-    /// to have led after the exchange came.
+    /// Refuses a read that must be current if its primary is not proven to have led after the
+    /// exchange arrived.
     async fn check_current(&self) -> Result<(), Refusal> {
         if !self.requirement.current {
             return Ok(());
@@ -184,6 +184,7 @@
         }
     }
 
+    /// Handles a message that the entry sends while the answer is read.
     async fn handle_message(
         &self,
         item: Option<ToHome>,
@@ -194,7 +195,7 @@
             Some(ToHome::Cancel) => {
                 let timeout = self.home.silence_timeout();
                 if let Err(error) = conn.cancel(timeout).await {
-                    debug!("home: a cancel failed: {error:#}.");
+                    debug!("home: cancellation of a running statement failed: {error:#}.");
                 }
                 Ok(())
             }
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Waits until a write that ended is confirmed, and tells the caller.
+    /// Sends the end of the answer to the entry, for an ended write after its confirmation.
     pub async fn finish(
         &self,
         side: &HomeSide,
@@ -217,15 +218,17 @@
     ) -> Result<(), Failure> {
         let point = self.await_confirmation(standing, answer.point).await?;
         let replica = !matches!(self.intent, Intent::Write)
-            && self.server.reading.get().is_some_and(|seen| !seen.status.leads());
+            && self.server.reading.get().is_some_and(|reading| !reading.status.leads());
         let frames: Bytes = answer.pending.freeze();
         side.send(ToEntry::Turn { frames, standing, point, replica });
         Ok(())
     }
 
-    /// Only a confirmed write may be acknowledged: a commit that the primary
-    /// alone holds is lost with it, and a primary that was replaced without
-    /// knowing still commits. No other server holds such a record in its term.
+    /// Waits for the confirmation of a write whose transaction has ended; returns its point.
+    ///
+    /// Only a confirmed write may be acknowledged. A commit held by the primary alone is lost
+    /// with the primary, and a primary that was replaced without notice still commits; no
+    /// other server holds such a record in the record's own term.
     async fn await_confirmation(
         &self,
         standing: Standing,
@@ -244,11 +247,11 @@
         refusal(Reason::Lost, &format!("{error:#}"))
     }
 
-    /// Says what became of a batch whose answer did not come to its end.
+    /// Returns the failure of a batch whose answer was not read to the end, with its fate.
     fn failure(&self, refusal: Refusal, batch: &Batch, answer: &Answer) -> Failure {
         let read_only = matches!(self.intent, Intent::Read { .. });
-        // The connection is closed now, so the server rolls back what is open:
-        // a batch that cannot have ended its transaction has changed nothing.
+        // The connection is closed, so the server rolls back an open transaction: a batch that
+        // cannot have ended its transaction has changed nothing.
         let undone = if self.in_transaction { !batch.may_end() } else { batch.only_begins() };
         let fate = if read_only || undone { Fate::NotRun } else { Fate::Unknown };
         let lost = refusal.reason == Reason::Lost;
@@ -259,7 +262,7 @@
     }
 }
 
-/// The refusal of a write that committed but may yet be lost.
+/// Returns the refusal of a write that was committed but not confirmed, and may be lost.
 pub fn unconfirmed() -> Refusal {
     refusal(Reason::Lost, "no other server has confirmed the write yet")
 }
@@ -268,7 +271,8 @@
     Refusal::unknown(reason, Some(RETRY_DELAY), message)
 }
 
-/// Takes one message of the answer; the standing when it is the last one.
+/// Adds a message of the server to the answer; returns the transaction's standing at the last
+/// message.
 fn add_frame(frame: Frame, conn: &mut Conn, answer: &mut Answer) -> Option<Standing> {
     match frame.tag {
         b'Z' => return Some(standing(&frame)),
@@ -288,6 +292,7 @@
     None
 }
 
+/// Returns the transaction's standing that a `ReadyForQuery` message states.
 fn standing(frame: &Frame) -> Standing {
     match frame.body().first() {
         Some(b'T') => Standing::Open,
