--- a/components/home/src/group.rs
+++ b/components/home/src/group.rs
@@ -1,4 +1,4 @@
-//! A database group as its home sees it.
+//! State of a database group at its home.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,48 +21,51 @@
 
 use crate::{monitor, outcome::RequestKey, promotion, server::Server};
 
-/// When a caller may come back while a group has no primary.
+/// Time after which a refused request may be retried, such as while the group has no primary.
 pub const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// When a caller may come back while a group lacks a majority of its servers.
+/// Time after which a request may be retried if no majority of the group's servers is reachable
+/// or the group is not configured.
 pub const LONG_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A database group as its home sees it.
+/// Home of a database group: the monitored servers, their connections and the running exchanges.
 ///
-/// Two homes of one group at once are harmless: what they do is checked by the
-/// servers' terms, never by there being one home.
+/// A group may have two homes at a time. Safety depends on the terms that the servers promise,
+/// not on there being a single home.
 pub struct GroupHome {
-    /// Its name.
+    /// Name of the group.
     pub id: GroupId,
-    /// Its servers, in the operator's order.
+    /// Servers of the group, in the order of the configuration.
     pub servers: Vec<Rc<Server>>,
-    /// Woken whenever something is seen of a server.
+    /// Notified when the state of a server or of the group's leadership has changed.
     pub changed: Notify,
-    /// Set when this home is given up; what runs on it still ends.
+    /// Whether this home is closed: running exchanges continue to their end.
     pub closed: Cell<bool>,
-    /// Whether this host ranks first for the group: only then it promotes.
+    /// Whether this host ranks first for the group; only such a home promotes servers.
     pub ranks_first: Cell<bool>,
-    /// This host.
+    /// Id of this host.
     pub(crate) host: HostId,
     pub(crate) clock: Rc<dyn Clock>,
-    /// What this host measures.
+    /// Metrics of this host.
     pub(crate) metrics: Rc<Metrics>,
+    /// Budget for retries of reads on another server.
     pub(crate) retries: RefCell<RetryBudget>,
-    /// Where the primary stood over time.
+    /// History of the primary's positions.
     pub(crate) positions: RefCell<PositionHistory>,
     policy: RefCell<Policy>,
     verdict: Cell<Verdict>,
-    /// Set while the primary hands over: new work waits for the next one.
+    /// Whether the primary is handing over; exchanges that need the primary wait for its
+    /// successor.
     pub(crate) handing_over: Cell<bool>,
-    /// Requests with an id that run here.
+    /// Requests with an id that are running at this home.
     pub(crate) running_requests: RefCell<HashSet<RequestKey>>,
-    /// Exchanges that run.
+    /// Number of running exchanges.
     active: Cell<usize>,
-    /// When an exchange last began or ended.
+    /// Time at which an exchange last began or ended.
     last_used: Cell<Instant>,
 }
 
-/// Counts an exchange as running until dropped.
+/// Guard that counts an exchange as running until it is dropped.
 pub struct ActiveExchange<'a>(&'a GroupHome);
 
 impl Drop for ActiveExchange<'_> {
@@ -73,7 +76,7 @@
 }
 
 impl GroupHome {
-    /// Starts a home: a watch on each server and one on the group's leadership.
+    /// Starts a home, with a monitor of each server and one of the group's leadership.
     pub fn start(
         contract: &Group,
         policy: Policy,
@@ -108,9 +111,9 @@
         home
     }
 
-    /// Takes over what may change while the servers stay the same.
+    /// Applies changes of the configuration that leave the set of servers unchanged.
     ///
-    /// A server is leaving when the operator says so or the platform's list does.
+    /// A server is leaving if it is marked so in the configuration or in the platform's list.
     pub fn apply_config(
         &self,
         policy: &Policy,
@@ -121,30 +124,30 @@
         for (server, contract) in self.servers.iter().zip(&contract.servers) {
             let leaving = contract.leaving || leaving_servers.contains(contract.id.as_str());
             if server.leaving.replace(leaving) != leaving {
-                let part = if leaving { "leaves: no new work" } else { "is back" };
+                let part = if leaving { "leaves: no new work" } else { "no longer leaves" };
                 info!("home: group {}: {} {part}.", self.id, contract.id);
             }
         }
     }
 
-    /// Counts an exchange as running.
+    /// Registers a running exchange.
     pub fn begin_exchange(&self) -> ActiveExchange<'_> {
         self.active.set(self.active.get() + 1);
         self.last_used.set(self.clock.now());
         ActiveExchange(self)
     }
 
-    /// Whether this home is given up and nothing runs on it any more.
+    /// Returns whether this home is closed and its last exchange has ended.
     pub fn is_finished(&self) -> bool {
         self.closed.get() && self.active.get() == 0
     }
 
-    /// Whether nothing has run on this home for `time`.
+    /// Returns whether no exchange has run at this home for longer than `time`.
     pub fn is_idle(&self, time: Duration) -> bool {
         self.active.get() == 0 && self.clock.now() > self.last_used.get() + time
     }
 
-    /// Notes how the group's leadership stands.
+    /// Records the verdict on the group's leadership.
     pub(crate) fn record_verdict(&self, verdict: Verdict) {
         let before = self.verdict.replace(verdict);
         if before == verdict {
@@ -153,7 +156,7 @@
         if verdict == Verdict::NoMajority {
             warn!(
                 "home: group {}: no majority of its servers is reachable; \
-                 what needs the primary is refused.",
+                 requests that need the primary are refused.",
                 self.id
             );
         } else if before == Verdict::NoMajority {
@@ -162,7 +165,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The refusal that all get at once who need a primary while there can be none.
+    /// Returns the refusal of requests that need the primary, if no majority is reachable.
     pub fn no_majority(&self) -> Option<Refusal> {
         (self.verdict.get() == Verdict::NoMajority).then(|| {
             let message = format!("no majority of the servers of group {} is reachable", self.id);
@@ -170,7 +173,7 @@
         })
     }
 
-    /// The server that led the greatest term when last heard of.
+    /// Returns the server whose last status, of any age, led the greatest term.
     pub fn last_leader(&self) -> Option<&Rc<Server>> {
         let leads = |s: &&Rc<Server>| s.last_status.get().is_some_and(|status| status.leads());
         self.servers
@@ -179,45 +182,45 @@
             .max_by_key(|s| s.last_status.get().map(|status| status.term))
     }
 
-    /// Whether a server has promised a later term: what runs in `term` can no
-    /// longer be confirmed.
+    /// Returns whether a server has promised a term later than `term`, so that writes in `term`
+    /// may no longer be confirmed.
     pub fn is_superseded(&self, term: Term) -> bool {
         self.statuses().any(|(_, status)| status.promised > term)
     }
 
-    /// Notes where the primary stands, from what the servers last said.
+    /// Records the primary's position from the current readings of the servers.
     pub(crate) fn record_position(&self) {
-        let seen = |server: &Rc<Server>| {
+        let observe = |server: &Rc<Server>| {
             server
                 .reading
                 .get()
-                .map(|seen| Observed { status: seen.status, sent: seen.requested_at })
+                .map(|reading| Observed { status: reading.status, sent: reading.requested_at })
         };
         let Some((primary, _)) = self.primary() else { return };
-        let Some(observed) = seen(&primary) else { return };
+        let Some(observed) = observe(&primary) else { return };
         let others = self.servers.iter().filter(|s| s.contract.id != primary.contract.id);
-        let others: Vec<_> = others.filter_map(seen).collect();
+        let others: Vec<_> = others.filter_map(observe).collect();
         self.positions.borrow_mut().note(observed, &others);
     }
 
-    /// How long a silent server counts as there.
+    /// Returns the time since the last contact after which a server counts as unreachable.
     pub fn silence_timeout(&self) -> Duration {
         Duration::from_millis(self.policy.borrow().silence_ms)
     }
 
-    /// The longest a transaction may stand idle.
+    /// Returns the maximum time for which an open transaction may be idle.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.policy.borrow().idle_ms)
     }
 
-    /// The servers that answer, and what they last said.
+    /// Returns the reachable servers with their last reported statuses.
     pub fn statuses(&self) -> impl Iterator<Item = (&Rc<Server>, Status)> {
         let now = self.clock.now();
         let silence_timeout = self.silence_timeout();
         self.servers.iter().filter_map(move |s| Some((s, s.status(now, silence_timeout)?)))
     }
 
-    /// The server that leads in the greatest term seen.
+    /// Returns the server that leads in the greatest term promised by a reachable server.
     pub fn primary(&self) -> Option<(Rc<Server>, Status)> {
         let newest = self.statuses().map(|(_, status)| status.promised).max()?;
         self.statuses()
@@ -225,15 +228,15 @@
             .map(|(server, status)| (server.clone(), status))
     }
 
-    /// Whether a server other than the primary holds `point` in its term.
+    /// Returns whether a server other than the primary holds `point` in the point's own term.
     pub fn is_confirmed(&self, primary: &Server, point: Point) -> bool {
         self.statuses().any(|(server, status)| {
             server.contract.id != primary.contract.id && status.confirms(point)
         })
     }
 
-    /// Waits until a write is confirmed; false when `deadline` passed first or
-    /// the term is over.
+    /// Waits until the write at `point` is confirmed. Returns false if `deadline` passes first or
+    /// a server has promised a later term.
     pub async fn confirm(&self, primary: &Server, point: Point, deadline: Instant) -> bool {
         self.wait_until(deadline, || {
             if self.is_confirmed(primary, point) {
@@ -245,17 +248,19 @@
         .unwrap_or(false)
     }
 
-    /// This home's own reference to one of its servers.
+    /// Returns this home's own reference to one of its servers.
+    ///
+    /// Panics if the server is not one of this home.
     pub fn own_server(&self, server: &Server) -> &Server {
         let same = |s: &&Rc<Server>| s.contract.id == server.contract.id;
-        self.servers.iter().find(same).expect("a server that this home chose")
+        self.servers.iter().find(same).expect("server belongs to this home")
     }
 
-    /// Whether a server, chosen in `term`, can no longer answer an exchange:
-    /// a primary was replaced, or a reader's server is lost.
+    /// Returns whether a server that was selected in `term` can no longer answer an exchange:
+    /// for a write because its primary was replaced, for a read because it is unreachable.
     ///
-    /// A frozen server closes nothing: without this what waits on it would
-    /// wait until its deadline, also long after another one leads.
+    /// A frozen server closes no connections. Without this check its exchanges would wait until
+    /// their deadlines, even long after another server has become the primary.
     pub fn is_unusable(&self, server: &Server, intent: &Intent, term: Term) -> bool {
         match intent {
             Intent::Write => self.is_superseded(term),
@@ -265,7 +270,7 @@
         }
     }
 
-    /// Waits until a server is unfit for an exchange.
+    /// Waits until a server can no longer answer an exchange; see [`Self::is_unusable`].
     pub async fn wait_unusable(&self, server: &Server, intent: &Intent, term: Term) {
         loop {
             let changed = self.changed.notified();
@@ -276,7 +281,8 @@
         }
     }
 
-    /// Looks again at each change until `look` gives something or `deadline` passes.
+    /// Evaluates `check` now and at each change until it returns a value. Returns `None` if
+    /// `deadline` passes first.
     pub async fn wait_until<T>(
         &self,
         deadline: Instant,
