--- a/components/home/src/route.rs
+++ b/components/home/src/route.rs
@@ -1,4 +1,4 @@
-//! Which server runs an exchange, and what its answer must show.
+//! Selection of the server that runs an exchange, and the requirement for its answer.
 
 use std::{
     rc::Rc,
@@ -13,43 +13,44 @@
     server::Server,
 };
 
-/// How long an exchange waits for a server that can run it: longer than a
-/// failover takes, and no longer, so that a caller is told while it can still act.
+/// Maximum time for which an exchange waits for a server that can run it. It covers a failover,
+/// and is no longer than that, so that the caller gets a refusal while it can still react.
 const ROUTE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the answer of a server must show.
+/// Requirement for the data that an answer shows.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Requirement {
-    /// What the session has been told of.
+    /// Point that the session requires: the latest one reported to it.
     pub session_point: Option<Point>,
-    /// Where the primary stood as long ago as the caller accepts.
+    /// Point of the primary at the maximum age that the caller accepts.
     pub age_point: Option<Point>,
-    /// Whether the primary must be seen to lead after the exchange came.
+    /// Whether the primary must be proven to have led after the exchange arrived.
     pub current: bool,
 }
 
 impl Requirement {
-    /// Whether an answer that shows `point` shows enough.
+    /// Returns whether data up to `point` meets the requirement.
     pub fn is_met(&self, point: Point) -> bool {
         let covers = |floor: Option<Point>| floor.is_none_or(|floor| point.covers(floor));
         covers(self.session_point) && covers(self.age_point)
     }
 
-    /// Whether any point would do.
+    /// Returns whether any point meets the requirement.
     pub fn is_unconstrained(&self) -> bool {
         self.session_point.is_none() && self.age_point.is_none()
     }
 }
 
 impl GroupHome {
-    /// Chooses the server that runs an exchange; waits a while for one.
+    /// Selects the server that runs an exchange; waits for one until `deadline`, but at most
+    /// [`ROUTE_TIMEOUT`].
     pub async fn route(&self, intent: &Intent, deadline: Instant) -> Result<Rc<Server>, Refusal> {
-        // A write that no other server can confirm is not even begun.
+        // A write is refused before it starts if no other server can confirm it.
         let refuse = || self.no_majority().map(Err);
-        let choose = || self.choose(intent).map(Ok);
+        let select_server = || self.select_server(intent).map(Ok);
         let select = || match intent {
-            Intent::Write => refuse().or_else(choose),
-            Intent::Read { .. } => choose().or_else(refuse),
+            Intent::Write => refuse().or_else(select_server),
+            Intent::Read { .. } => select_server().or_else(refuse),
         };
         let timeout_at = deadline.min(self.clock.now() + ROUTE_TIMEOUT);
         let found = self.wait_until(timeout_at, select).await;
@@ -59,7 +60,7 @@
         })
     }
 
-    fn choose(&self, intent: &Intent) -> Option<Rc<Server>> {
+    fn select_server(&self, intent: &Intent) -> Option<Rc<Server>> {
         let leads = || self.primary().map(|(server, _)| server);
         let primary = || leads().filter(|_| !self.handing_over.get());
         match intent {
@@ -70,7 +71,7 @@
                 };
                 let replicas =
                     self.statuses().filter(|(server, status)| is_eligible(server, status));
-                // Loads change between two looks; the order of equals does not matter.
+                // Loads change between two selections; the order of equal loads is irrelevant.
                 let least = replicas.map(|(s, _)| s).min_by_key(|s| load(s));
                 least.cloned().or_else(|| {
                     primary().filter(|server| {
@@ -82,18 +83,18 @@
         }
     }
 
-    /// Whether a server with this status may answer, as far as is known.
+    /// Returns whether a server with this status can answer, according to the readings so far.
     fn satisfies(&self, intent: &Intent, status: &Status) -> bool {
         self.requirement(intent, status.leads())
             .is_some_and(|requirement| requirement.is_met(status.applied))
     }
 
-    /// What the answer of the primary, or of a replica, must show; `None` when
-    /// no answer of such a server can show it.
+    /// Returns the requirement for an answer of the primary or of a replica; `None` if a server
+    /// in that role cannot meet the intent.
     pub fn requirement(&self, intent: &Intent, primary: bool) -> Option<Requirement> {
         let Intent::Read { floor, max_age } = intent else { return Some(Requirement::default()) };
         let Some(max_age) = max_age else {
-            // A session that has been told nothing reads where writes are.
+            // Without a required point only the primary is known to show the newest writes.
             let known = primary || floor.is_some();
             return known
                 .then_some(Requirement { session_point: *floor, ..Requirement::default() });
@@ -115,21 +116,21 @@
         }
     }
 
-    /// Waits until a primary that was read at or after `since` is seen to have
-    /// led then: it says so itself, and another server had promised no later term.
+    /// Waits for proof that `primary` led at `since` or later: its own status, requested no
+    /// earlier, and that of another server, which has promised no later term. Returns false if
+    /// a later term was promised, or without proof until `deadline` or twice the silence timeout.
     ///
-    /// Guards against a primary that was frozen or cut off and replaced: it
-    /// would answer from the past. Had a later term been promised by a majority
-    /// before `since`, one of the two servers asked since would say so. A server
-    /// that lets twice the silence pass will not say it: waiting for it up to the
-    /// deadline would only hold the refusal back.
+    /// Guards against stale answers of a primary that was frozen or partitioned and replaced.
+    /// If a majority had promised a later term before `since`, one of the two servers queried
+    /// since then would report it. A server that has not answered within twice the silence
+    /// timeout is not expected to; a longer wait would only delay the refusal.
     pub async fn is_current(&self, primary: &Server, since: Instant, deadline: Instant) -> bool {
         self.servers.iter().for_each(|server| server.probe.notify_one());
         let timeout_at = deadline.min(self.clock.now() + 2 * self.silence_timeout());
         self.wait_until(timeout_at, || {
-            let seen = primary.reading.get().filter(|seen| seen.requested_at >= since)?;
-            let term = seen.status.term;
-            if !seen.status.leads() || self.is_superseded(term) {
+            let reading = primary.reading.get().filter(|reading| reading.requested_at >= since)?;
+            let term = reading.status.term;
+            if !reading.status.leads() || self.is_superseded(term) {
                 return Some(false);
             }
             let others = self.servers.iter().filter(|s| s.contract.id != primary.contract.id);
@@ -142,6 +143,7 @@
     }
 }
 
+/// Returns the number of waiting and running requests of a server.
 fn load(server: &Server) -> usize {
     let (waiting, running) = server.load();
     waiting + running
