--- a/components/home/src/promotion.rs
+++ b/components/home/src/promotion.rs
@@ -1,11 +1,11 @@
-//! Promotion: another server of the group becomes its primary.
+//! Promotion of another server of the group to its primary.
 //!
-//! Nobody else orders it. A majority of the servers first promises the new
-//! term to this attempt alone; from then on they take no log of an earlier
-//! one, so the old primary can have no more write confirmed, whether it knows
-//! or not. Of those that promised, the one with the greatest log holds every
-//! acknowledged write and is promoted. Two homes at it at once get different
-//! terms or refusals, and no clock is trusted.
+//! The home decides on a promotion by itself. First a majority of the servers promises the new
+//! term to this attempt alone. From then on they accept no log of an earlier term, so the old
+//! primary gets no further write confirmed, whether or not it has noticed. Of the servers that
+//! promised, the one with the greatest log holds every acknowledged write and is promoted. Two
+//! homes that promote at the same time get different terms or refusals. Safety does not depend
+//! on clocks.
 
 use std::{
     rc::Rc,
@@ -25,20 +25,20 @@
     backend::Conn, group::GroupHome, handover::HandoverState, monitor, protocol, server::Server,
 };
 
-/// How often the group's leadership is looked at.
+/// Interval between two checks of the group's leadership.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a server may take to connect, and again to promise a term.
+/// Timeout for connecting to a server, and again for its promise of a term.
 const PROMISE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the rest are waited for once a majority has promised: their logs
-/// may hold writes that no caller has been told of, worth keeping if it is cheap.
+/// Maximum time to wait for further promises after those of a majority. The remaining logs may
+/// hold writes that were not acknowledged; these are kept if this costs little time.
 const EXTRA_PROMISE_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// How long a server may take to become the primary.
+/// Timeout for a server to become the primary.
 const PROMOTE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Looks after a group's leadership until its home is closed.
+/// Monitors a group's leadership and replaces its primary, until the home is closed.
 pub async fn run(home: Rc<GroupHome>) {
     let mut now = home.clock.now();
     let mut detector = FailureDetector::new(home.silence_timeout(), now);
@@ -76,7 +76,7 @@
                 failures += 1;
                 let delay = leadership::backoff(failures, rand::random());
                 warn!(
-                    "home: group {}: the promotion failed, again in {} ms: {error:#}.",
+                    "home: group {}: promotion failed, next attempt in {} ms: {error:#}.",
                     home.id,
                     delay.as_millis()
                 );
@@ -87,7 +87,7 @@
     }
 }
 
-/// Since when the group has been without a working primary, as far as seen.
+/// Returns the time since which the group has had no working primary, as far as observed.
 fn fault_start(home: &GroupHome, cause: Cause, healthy_at: Instant) -> Instant {
     let leader = home.last_leader();
     match cause {
@@ -98,61 +98,67 @@
     }
 }
 
-/// A server's promise of a term.
+/// Promise of a term by a server.
 struct Promise {
     server: Rc<Server>,
-    /// The connection over which it was given.
+    /// Connection on which the promise was given.
     conn: Conn,
-    /// What the server said of itself when it promised.
+    /// Status of the server in its promise.
     status: Status,
 }
 
-/// Replaces the primary once; `detect` is how long the fault went before.
+/// Attempts one promotion; `detect` is the time from the fault to this attempt, for metrics and
+/// logs.
 pub async fn promote(home: &GroupHome, cause: Cause, detect: Duration) -> anyhow::Result<()> {
     let statuses: Vec<Status> = home.servers.iter().filter_map(|s| s.last_status.get()).collect();
     let term = leadership::next_term(&statuses);
     let promoter = new_promoter(home);
-    info!("home: group {}: promotion to term {term} begins: {cause}.", home.id);
+    info!("home: group {}: promotion to term {term} started: {cause}.", home.id);
     let started = home.clock.now();
     let mut promises = collect_promises(home, candidates(home, cause), term, &promoter).await?;
-    let promised = home.clock.now();
+    let promised_at = home.clock.now();
     let logs: Vec<_> = promises.iter().map(|p| (rank(&p.server), p.status.held)).collect();
-    let chosen = leadership::successor(&logs, home.servers.len()).context("no majority")?;
-    let index = promises.iter().position(|p| rank(&p.server) == chosen).context("no successor")?;
+    let chosen = leadership::successor(&logs, home.servers.len())
+        .context("promises of fewer than a majority of the servers")?;
+    let index = promises
+        .iter()
+        .position(|p| rank(&p.server) == chosen)
+        .context("selected server is not among the promises")?;
     let Promise { server, mut conn, .. } = promises.swap_remove(index);
-    let asked = home.clock.now();
+    let requested_at = home.clock.now();
     let text =
         conn.query_text_timeout(&protocol::promote(term, &promoter), PROMOTE_TIMEOUT).await?;
-    monitor::record_status(home, &server, &text, asked)?;
+    monitor::record_status(home, &server, &text, requested_at)?;
     home.servers.iter().for_each(|server| server.probe.notify_one());
-    let promote_time = home.clock.now().saturating_duration_since(asked);
+    let promote_time = home.clock.now().saturating_duration_since(requested_at);
     home.metrics.promotion(&home.id, Phase::Notice, detect);
-    home.metrics.promotion(&home.id, Phase::Promise, promised - started);
+    home.metrics.promotion(&home.id, Phase::Promise, promised_at - started);
     home.metrics.promotion(&home.id, Phase::Promote, promote_time);
     info!(
         "home: group {}: {} leads term {term}; detect {} ms, promise {} ms, promote {} ms.",
         home.id,
         server.contract.id,
         detect.as_millis(),
-        (promised - started).as_millis(),
+        (promised_at - started).as_millis(),
         promote_time.as_millis()
     );
     Ok(())
 }
 
-/// Of equal logs a server that stays goes before one that leaves.
+/// Returns the sort key of a server among those with equal logs: a server that is not leaving
+/// is preferred.
 fn rank(server: &Server) -> (bool, ServerId) {
     (!server.leaving.get(), server.contract.id.clone())
 }
 
-/// A name for one attempt. It is never used twice, so that an attempt that was
-/// delayed cannot use the promises made to a later one of the same host.
+/// Creates the id of one promotion attempt. Ids are not reused, so a delayed attempt cannot use
+/// the promises made to a later attempt of the same host.
 fn new_promoter(home: &GroupHome) -> String {
     format!("{}:{:016x}", home.host, rand::random::<u64>())
 }
 
-/// Whom to ask: a primary that is cut from its replicas would win by its
-/// longer log and still be cut, so it is passed over.
+/// Returns the servers to request promises from. A primary that is partitioned from its replicas
+/// is excluded: its longer log would make it the successor although it remains partitioned.
 fn candidates(home: &GroupHome, cause: Cause) -> Vec<Rc<Server>> {
     let excluded = match cause {
         Cause::Unconfirmed => home.last_leader().map(|s| s.contract.id.clone()),
@@ -161,7 +167,8 @@
     home.servers.iter().filter(|s| Some(&s.contract.id) != excluded.as_ref()).cloned().collect()
 }
 
-/// Asks all candidates at once; an error unless a majority of the group promises.
+/// Requests promises from all candidates concurrently; fails unless a majority of the group
+/// promises.
 async fn collect_promises(
     home: &GroupHome,
     candidates: Vec<Rc<Server>>,
@@ -169,47 +176,48 @@
     promoter: &str,
 ) -> anyhow::Result<Vec<Promise>> {
     let needed = leadership::majority(home.servers.len());
-    let mut asked: FuturesUnordered<_> = candidates
+    let mut requests: FuturesUnordered<_> = candidates
         .into_iter()
         .map(|server| request_promise(home, server, term, promoter))
         .collect();
     let mut promises = Vec::new();
     let mut refusals = Vec::new();
-    let mut until = home.clock.now() + 2 * PROMISE_TIMEOUT;
-    while let Ok(Some(answer)) = monoio::time::timeout_at(until.into(), asked.next()).await {
+    let mut deadline = home.clock.now() + 2 * PROMISE_TIMEOUT;
+    while let Ok(Some(answer)) = monoio::time::timeout_at(deadline.into(), requests.next()).await {
         match answer {
             Ok(promise) => promises.push(promise),
             Err(error) => refusals.push(format!("{error:#}")),
         }
         if promises.len() >= needed {
-            until = until.min(home.clock.now() + EXTRA_PROMISE_TIMEOUT);
+            deadline = deadline.min(home.clock.now() + EXTRA_PROMISE_TIMEOUT);
         }
     }
     if promises.len() < needed {
-        bail!("{} of {needed} promises; {}", promises.len(), refusals.join("; "));
+        bail!("only {} of {needed} required promises; {}", promises.len(), refusals.join("; "));
     }
     Ok(promises)
 }
 
+/// Requests a server's promise of `term` to `promoter`, and records its status.
 async fn request_promise(
     home: &GroupHome,
     server: Rc<Server>,
     term: Term,
     promoter: &str,
 ) -> anyhow::Result<Promise> {
-    let asked = home.clock.now();
+    let requested_at = home.clock.now();
     let mut conn = Conn::connect(&server.contract, &home.id, PROMISE_TIMEOUT).await?;
     let text = conn.query_text_timeout(&protocol::promise(term, promoter), PROMISE_TIMEOUT).await?;
     let status = protocol::parse_status(&text)?;
-    monitor::record_status(home, &server, &text, asked)?;
+    monitor::record_status(home, &server, &text, requested_at)?;
     Ok(Promise { server, conn, status })
 }
 
-/// Tells a server that still believes that it leads an earlier term.
+/// Demotes a server that still reports to lead an earlier term.
 ///
-/// A primary that was cut off or frozen asks nobody whether it was replaced:
-/// it would stay apart, and the group would run on two servers. Its promise of
-/// the term that is led already makes it follow; nobody is promoted by it.
+/// A primary that was partitioned or frozen does not query whether it was replaced: it would
+/// remain separate, and the group would run on two servers. Its promise of the current term,
+/// which another server leads, makes it follow that server; no server is promoted.
 fn demote_superseded(home: &Rc<GroupHome>) {
     let Some((leader, current)) = home.primary() else { return };
     let superseded = home.statuses().find(|(server, status)| {
@@ -224,10 +232,13 @@
         let promoter = new_promoter(&home);
         match request_promise(&home, server.clone(), current.term, &promoter).await {
             Ok(_) => info!(
-                "home: group {}: {} is told that it was replaced.",
+                "home: group {}: superseded primary {} promised the current term.",
                 home.id, server.contract.id
             ),
-            Err(error) => debug!("home: group {}: retiring: {error:#}.", home.id),
+            Err(error) => debug!(
+                "home: group {}: demotion of a superseded primary failed: {error:#}.",
+                home.id
+            ),
         }
         server.demoting.set(false);
     });
