--- a/components/home/src/serve.rs
+++ b/components/home/src/serve.rs
@@ -1,4 +1,5 @@
-//! One exchange at the home: one task, straight down.
+//! Serving of an exchange at the home: one transaction, or one statement outside of a
+//! transaction, in a task of its own.
 
 use std::{
     rc::Rc,
@@ -23,13 +24,13 @@
     server::Server,
 };
 
-/// Before a server that could not be connected to is chosen again.
+/// Delay before the next selection of a server after a connection could not be made.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How long an open transaction keeps its slot while its caller thinks.
+/// Time for which an open transaction keeps its slot while its caller sends nothing.
 const IDLE_SLOT_TTL: Duration = Duration::from_millis(50);
 
-/// Serves an exchange to its end; `weight` is its account's share beside others.
+/// Serves an exchange to its end; `weight` is the account's weight in the queue.
 pub async fn serve(home: Rc<GroupHome>, open: Open, weight: u32, mut side: HomeSide) {
     let _active = home.begin_exchange();
     if let Err(refusal) = run_with_retries(&home, &open, weight, &mut side).await {
@@ -38,8 +39,8 @@
     }
 }
 
-/// Runs an exchange; a read whose server was lost runs again on another one,
-/// within the deadline and the budget of retries.
+/// Runs an exchange. A read whose server was lost runs again on another server, within the
+/// deadline and the retry budget; a request with an id whose fate is unknown is resolved.
 async fn run_with_retries(
     home: &GroupHome,
     open: &Open,
@@ -61,12 +62,14 @@
     }
 }
 
-/// The request's id, if it must run at most once. A read may run again.
+/// Returns the key of a request that must run at most once; `None` for a read, which may run
+/// again.
 fn request_key(open: &Open) -> Option<RequestKey> {
     let request = open.request.clone().filter(|_| open.intent == Intent::Write)?;
     Some(RequestKey { account: open.account.clone(), request })
 }
 
+/// Runs an exchange once, on one server.
 async fn run_once(
     home: &GroupHome,
     open: &Open,
@@ -101,7 +104,7 @@
             None => exec.run(&mut pooled.conn, side, &batch).await?,
         };
         if standing == Standing::Idle {
-            // While a write is confirmed the server works for others.
+            // The slot is free for other requests while a write waits for its confirmation.
             slot = None;
         }
         exec.finish(side, standing, answer).await?;
@@ -123,10 +126,10 @@
     }
 }
 
-/// Runs the first batch of a request with an id, which writes the id's row.
+/// Runs the first batch of a request with an id, and writes the row of its id.
 ///
-/// A statement outside of any transaction gets one of its own around it; a
-/// transaction that the caller begins itself has the row right after its begin.
+/// A statement outside of a transaction is wrapped in one. In a transaction that the caller
+/// begins with a batch of its own, the row is written directly after the begin.
 async fn run_first_batch(
     guard: &AttemptGuard<'_>,
     exec: &mut Execution<'_>,
@@ -152,22 +155,22 @@
     Ok((standing, answer))
 }
 
-/// Where an exchange runs.
+/// Backend server selected for an exchange, with a slot and a connection.
 pub struct Target<'a> {
-    /// The server.
+    /// Backend server.
     pub server: &'a Server,
-    /// Its term when it was chosen.
+    /// Term of the server when it was selected.
     pub term: Term,
-    /// What its answer must show.
+    /// Requirement that the answer must meet.
     pub requirement: Requirement,
-    /// One of the statements that may run on it at once.
+    /// Slot for one running statement.
     pub slot: Slot,
-    /// A connection to it.
+    /// Connection to the server.
     pub pooled: PooledConn<'a>,
 }
 
-/// Finds a server with a slot and a connection. Nothing is sent to it yet, so
-/// what waits when the primary changes is simply placed anew.
+/// Selects a server and acquires a slot and a connection. Nothing has been sent to a server
+/// while the exchange waits, so it selects again if the primary changes.
 pub async fn acquire_target<'a>(
     home: &'a GroupHome,
     intent: &Intent,
@@ -189,7 +192,7 @@
                 return Err(overloaded(home, ticket, infeasible.retry));
             }
         };
-        // It may have waited: what it needs of a stated age has moved on.
+        // The required point of a maximum age has advanced during a wait for the slot.
         let primary = server.last_status.get().is_some_and(|status| status.leads());
         let (false, Some(requirement)) =
             (home.is_unusable(server, intent, term), home.requirement(intent, primary))
@@ -209,11 +212,13 @@
     }
 }
 
+/// Returns the refusal of a request that cannot get a slot before its deadline.
 fn overloaded(home: &GroupHome, ticket: &Ticket, retry: Duration) -> Refusal {
     let message = format!("group {} is too busy for account {}", home.id, ticket.account);
     Refusal::not_run(Reason::Overload, Some(retry), message)
 }
 
+/// Acquires a connection, within the deadline and the silence timeout.
 async fn connect<'a>(
     home: &GroupHome,
     server: &'a Server,
@@ -231,10 +236,11 @@
     })
 }
 
-/// Waits for the next messages of an open transaction; `None` when the caller is gone.
+/// Waits for the next messages of an open transaction and their deadline; returns `None` if the
+/// caller is gone.
 ///
-/// A caller that thinks for long gives its slot back meanwhile: five of them
-/// would otherwise stop their server.
+/// The slot is released if the caller sends nothing for [`IDLE_SLOT_TTL`]; otherwise five idle
+/// callers would block their server.
 async fn next_batch(
     exec: &Execution<'_>,
     side: &mut HomeSide,
