--- a/components/home/src/handover.rs
+++ b/components/home/src/handover.rs
@@ -1,4 +1,4 @@
-//! A primary that is to leave hands over: a promotion without a failure.
+//! Handover of a leaving primary: a promotion without a failure.
 
 use std::time::{Duration, Instant};
 
@@ -7,27 +7,28 @@
 
 use crate::{group::GroupHome, promotion, server::Server};
 
-/// How long new work waits for what runs at the primary to end. Longer work
-/// would make callers feel it: then they go on, and it is tried again.
+/// Maximum time for which new work waits until running work at the primary has ended. If that
+/// takes longer, new work proceeds, to limit its delay, and the handover is retried.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause between two tries.
+/// Delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// After this time a transaction that does not end is rolled back.
+/// Time after which the handover proceeds although transactions are running; they are rolled
+/// back.
 const FORCE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The wish that a primary hands over.
+/// State of the handover of a leaving primary.
 #[derive(Debug, Default)]
 pub struct HandoverState {
-    /// When it was first seen to leave.
+    /// Time at which the primary was first observed to be leaving.
     since: Option<Instant>,
-    /// When it may be tried again.
+    /// Earliest time of the next attempt.
     retry_at: Option<Instant>,
 }
 
 impl HandoverState {
-    /// Hands over when the primary is to leave and another server can take over.
+    /// Attempts a handover if the primary is leaving and another server can succeed it.
     pub async fn advance(&mut self, home: &GroupHome) {
         let now = home.clock.now();
         let leaving_primary = home.primary().filter(|(server, _)| server.leaving.get());
@@ -44,10 +45,13 @@
         if drained(home, &primary, now + DRAIN_TIMEOUT).await || forced {
             let detect = Duration::ZERO;
             if let Err(error) = promotion::promote(home, Cause::Leaving, detect).await {
-                warn!("home: group {}: the handing over failed: {error:#}.", home.id);
+                warn!("home: group {}: handover failed: {error:#}.", home.id);
             }
         } else {
-            info!("home: group {}: {} is still at work.", home.id, primary.contract.id);
+            info!(
+                "home: group {}: handover of {} postponed: work is still running.",
+                home.id, primary.contract.id
+            );
         }
         home.handing_over.set(false);
         home.changed.notify_waiters();
@@ -55,12 +59,13 @@
     }
 }
 
-/// Whether a server that stays answers.
+/// Returns whether a server other than the primary is reachable and not leaving.
 fn has_successor(home: &GroupHome, primary: &Server) -> bool {
     home.statuses().any(|(s, _)| s.contract.id != primary.contract.id && !s.leaving.get())
 }
 
-/// Waits until nothing runs at the primary and a server that stays has all of its log.
+/// Waits until no connection to the primary is in use and a server that is not leaving has the
+/// primary's whole log; returns false if `deadline` passes first.
 async fn drained(home: &GroupHome, primary: &Server, deadline: Instant) -> bool {
     let is_drained = || {
         let held = primary.last_status.get().map(|status| status.held)?;
