--- a/components/home/src/queue.rs
+++ b/components/home/src/queue.rs
@@ -1,4 +1,4 @@
-//! The slots of one server, shared fairly between the client accounts.
+//! Slots of one server, shared fairly between the client accounts.
 
 use std::{
     cell::{Cell, RefCell},
@@ -12,48 +12,52 @@
 };
 use tokio::sync::oneshot;
 
-/// First guess of the time that a request has its slot.
+/// Initial estimate of the time that a request holds its slot.
 const INITIAL_MEAN: Duration = Duration::from_millis(2);
 
-/// How often the queue is searched for requests that wait in vain.
+/// Minimum interval between two searches of the queue for requests that can no longer be done in
+/// time.
 const SHED_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a request got no slot. Nothing of it has been sent.
+/// Reason why a request got no slot. Nothing of the request has been sent to a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SlotError {
-    /// It cannot be done before its deadline.
+    /// The request cannot be done before its deadline.
     Infeasible(Infeasible),
-    /// The server was lost: another may serve it.
+    /// The server was lost; another one may serve the request.
     Lost,
 }
 
 type Waiter = oneshot::Sender<Result<Slot, SlotError>>;
 
-/// The slots of one server.
+/// Slots of one server.
 pub struct Slots {
     clock: Rc<dyn Clock>,
     queue: RefCell<FairQueue<Waiter>>,
     last_shed: Cell<Instant>,
 }
 
-/// A slot that one request has; dropping it gives it back.
+/// Slot held by one request; released on drop.
 pub struct Slot {
     slots: Rc<Slots>,
     account: AccountId,
     cost: Duration,
+    /// Time at which the request received the slot.
     since: Instant,
+    /// Whether the request received the slot; an unreceived one is released without a charge.
     received: bool,
 }
 
 impl Slots {
-    /// So many slots, all free.
+    /// Creates `slots` free slots.
     pub fn new(slots: usize, clock: Rc<dyn Clock>) -> Rc<Self> {
         let queue = RefCell::new(FairQueue::new(slots, INITIAL_MEAN));
         let last_shed = Cell::new(clock.now());
         Rc::new(Self { clock, queue, last_shed })
     }
 
-    /// Waits for a slot; a request that would be late is told at once.
+    /// Waits for a slot until the request's deadline. A request that cannot be done in time is
+    /// rejected at once.
     pub async fn acquire(self: &Rc<Self>, ticket: &Ticket) -> Result<Slot, SlotError> {
         let (tx, rx) = oneshot::channel();
         let pushed = self.queue.borrow_mut().push(ticket, self.clock.now(), tx);
@@ -73,29 +77,30 @@
         Ok(slot)
     }
 
-    /// A slot for the next statement of an open transaction, at once and if need
-    /// be beyond the limit: see [`FairQueue::force`].
+    /// Takes a slot for the next statement of an open transaction without waiting, even above the
+    /// limit; see [`FairQueue::force`].
     pub fn force(self: &Rc<Self>, account: &AccountId) -> Slot {
         let cost = self.queue.borrow_mut().force(account);
         let (slots, account) = (self.clone(), account.clone());
         Slot { slots, account, cost, since: self.clock.now(), received: true }
     }
 
-    /// Requests that wait and requests that run.
+    /// Returns the numbers of waiting and of running requests.
     pub fn load(&self) -> (usize, usize) {
         let queue = self.queue.borrow();
         (queue.len(), queue.running())
     }
 
-    /// Tells all that wait that the server is lost.
+    /// Rejects all waiting requests because the server is lost.
     pub fn fail_all(&self) {
         let waiting = self.queue.borrow_mut().clear();
         for tx in waiting {
-            // A waiter that has gone needs no answer.
+            // The receiver may have been dropped.
             let _ = tx.send(Err(SlotError::Lost));
         }
     }
 
+    /// Grants free slots to waiting requests.
     fn grant(self: &Rc<Self>) {
         loop {
             let Some(granted) = self.queue.borrow_mut().pop() else { return };
@@ -110,11 +115,13 @@
                 since: self.clock.now(),
                 received: false,
             };
-            // Nothing runs between the look and the sending, so the waiter is there.
+            // No other task runs between the check and this call, so the receiver still exists.
             let _ = granted.item.send(Ok(slot));
         }
     }
 
+    /// Rejects waiting requests that can no longer be done in time, at most once per
+    /// [`SHED_INTERVAL`].
     fn shed(&self) {
         let now = self.clock.now();
         if now < self.last_shed.get() + SHED_INTERVAL {
