--- a/components/home/src/pool.rs
+++ b/components/home/src/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one backend server.
+//! Connection pool of one backend server.
 
 use std::{cell::RefCell, fmt, time::Duration};
 
@@ -8,23 +8,23 @@
 
 use crate::backend::Conn;
 
-/// The connections to one backend server; idle ones belong to no transaction.
+/// Connection pool of one backend server; idle connections have no open transaction.
 pub struct Pool {
     limit: usize,
     idle: RefCell<Vec<Conn>>,
     permits: Semaphore,
 }
 
-/// A connection that one transaction has. Unless given back it is closed,
-/// which rolls back whatever it was in.
+/// Connection in use by one transaction. It is closed on drop unless it is released, which rolls
+/// back an open transaction.
 pub struct PooledConn<'a> {
-    /// The connection.
+    /// Underlying connection.
     pub conn: Conn,
     pool: &'a Pool,
     _permit: SemaphorePermit<'a>,
 }
 
-/// All connections to a server are in use by open transactions.
+/// Error: all connections to a server are in use by open transactions.
 #[derive(Clone, Copy, Debug)]
 pub struct Full;
 
@@ -37,15 +37,16 @@
 impl std::error::Error for Full {}
 
 impl Pool {
-    /// A pool of at most `limit` connections.
+    /// Creates a pool of at most `limit` connections.
     pub fn new(limit: usize) -> Self {
         Self { limit, idle: RefCell::default(), permits: Semaphore::new(limit) }
     }
 
-    /// An idle connection, or a new one; an error at once when there is no place.
+    /// Returns an idle connection, or a new one made within `timeout`. Fails at once with [`Full`]
+    /// if all connections are in use.
     ///
-    /// Whoever waited here would hold a slot that the transactions that have
-    /// the connections need for their next statements.
+    /// A request that waited for a connection would hold a slot that the transactions using the
+    /// connections need for their next statements.
     pub async fn acquire(
         &self,
         server: &BackendServer,
@@ -60,11 +61,10 @@
         Ok(PooledConn { conn, pool: self, _permit: permit })
     }
 
-    /// The last idle connection that is still quiet.
+    /// Returns the most recently used idle connection that is still open and has no unread data.
     ///
-    /// Guards against one that the server has closed meanwhile, which would
-    /// leave a write unknown that was never read, and against one on which
-    /// something has come unasked: it would be taken for the next answer.
+    /// On a connection that the server has closed, a write would get an unknown fate although
+    /// the server never read it. Unsolicited data would be taken for the next answer.
     fn pop(&self) -> Option<Conn> {
         loop {
             let mut conn = self.idle.borrow_mut().pop()?;
@@ -74,17 +74,17 @@
         }
     }
 
-    /// Connections that transactions have.
+    /// Returns the number of connections in use by transactions.
     pub fn in_use(&self) -> usize {
         self.limit - self.permits.available_permits()
     }
 
-    /// Connections, idle and taken.
+    /// Returns the number of connections, idle ones included.
     pub fn len(&self) -> usize {
         self.in_use() + self.idle.borrow().len()
     }
 
-    /// Whether there is no connection.
+    /// Returns whether the pool has no connections.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -96,11 +96,12 @@
 }
 
 impl PooledConn<'_> {
-    /// Gives the connection back; only after a whole answer outside of any transaction.
+    /// Returns the connection to the pool. To be called only after a complete answer and outside
+    /// of a transaction.
     ///
-    /// One that a cancel was sent for is closed instead. The cancel goes over a
-    /// connection of its own and may come late: it would end a statement of
-    /// whichever transaction has this connection next.
+    /// A connection whose statement was cancelled is closed instead. The cancel request uses a
+    /// separate connection and may arrive late, where it would cancel a statement of the next
+    /// transaction.
     pub fn release(self) {
         if self.conn.is_cancelled() {
             return;
