--- a/components/home/src/handover.rs
+++ b/components/home/src/handover.rs
@@ -49,7 +49,7 @@
             }
         } else {
             info!(
-                "home: group {}: handover of {} postponed: work is still running.",
+                "home: group {}: handover of {} postponed: not drained within {DRAIN_TIMEOUT:?}.",
                 home.id, primary.contract.id
             );
         }
--- a/components/home/src/outcome.rs
+++ b/components/home/src/outcome.rs
@@ -1,9 +1,9 @@
-//! Requests that run at most once: the outcome table of a database group.
+//! Requests that run at most once, and the outcome table of a database group.
 //!
-//! A request with an id writes its row in its own transaction, so that the row
-//! is there if and only if the request ran, whatever becomes of the answer.
-//! Several attempts may be on their way at once, through several homes: the
-//! servers let one alone write the row (see `bergamottrack_coordination::outcome`).
+//! A request with an id writes its row in its own transaction, so the row exists if and only if
+//! the request ran, even if the answer is lost. Several attempts may be in progress at the same
+//! time, at several homes; only one of them can write the row (see
+//! `bergamottrack_coordination::outcome`).
 
 use std::time::{Instant, UNIX_EPOCH};
 
@@ -26,21 +26,22 @@
     serve::{self, Target},
 };
 
+/// Name of the outcome table.
 const TABLE: &str = "bergamottrack_outcomes";
 
-/// How often a question starts anew because another attempt moved the row.
+/// Maximum number of tries to resolve an outcome while other attempts change the row.
 const MAX_TRIES: usize = 3;
 
-/// A request with an id.
+/// Key of a request with an id.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct RequestKey {
-    /// The client account.
+    /// Client account of the request.
     pub account: AccountId,
-    /// The caller's id of the request.
+    /// Id that the caller gave the request.
     pub request: RequestId,
 }
 
-/// An attempt that is under way at this home, until dropped.
+/// Attempt in progress at this home; unregistered on drop.
 pub struct AttemptGuard<'a> {
     home: &'a GroupHome,
     key: RequestKey,
@@ -53,7 +54,7 @@
 }
 
 impl<'a> AttemptGuard<'a> {
-    /// Begins an attempt; a refusal while another one of the same id runs here.
+    /// Registers an attempt; refused while another one with the same key runs at this home.
     pub fn begin(home: &'a GroupHome, key: RequestKey) -> Result<Self, Refusal> {
         if !home.running_requests.borrow_mut().insert(key.clone()) {
             return Err(busy(&key));
@@ -61,10 +62,10 @@
         Ok(Self { home, key })
     }
 
-    /// Reads how the row is to be written; a refusal when the request ran before.
+    /// Reads the row and returns how to write it; refused if the request ran before.
     ///
-    /// Read before anything else is sent: an attempt that is delayed from here
-    /// on finds the row changed and cannot run any more.
+    /// To be called before anything else is sent: an attempt that is delayed after this call
+    /// finds the row changed and cannot run any more.
     pub async fn plan(&self, exec: &Execution<'_>, conn: &mut Conn) -> Result<Claim, Refusal> {
         match bounded(exec, read_row(conn, &self.key)).await.map_err(not_started)? {
             Plan::Write(claim) => {
@@ -75,6 +76,7 @@
         }
     }
 
+    /// Returns the refusal of a request that ran before: as done once the row is confirmed.
     async fn already_done(&self, exec: &Execution<'_>, conn: &mut Conn) -> Refusal {
         match bounded(exec, primary_held(conn)).await {
             Ok(point) if self.home.confirm(exec.server, point, exec.deadline).await => {
@@ -84,12 +86,12 @@
         }
     }
 
-    /// Makes sure that the entry still waits for the request, now that it is planned.
+    /// Checks that the entry still waits for the request. To be called after [`Self::plan`].
     ///
-    /// Guards against a request that was held up on its way here. Its caller has
-    /// been told that its end is unknown, has asked, and has heard "not run"; the
-    /// request would plan from the row that this very answer wrote, and run. An
-    /// entry that has given up does not pass anything on any more.
+    /// Guards against a request that was delayed on its way to the home. Its caller may have got
+    /// an unknown fate, queried the outcome and got "not run". The request would then plan from
+    /// the row that was written for this answer, and run. An entry that no longer waits does not
+    /// pass on the empty part sent here, so no credit arrives for it.
     pub async fn check_entry_waits(
         &self,
         exec: &Execution<'_>,
@@ -108,7 +110,7 @@
         answer.await.map_err(not_started)
     }
 
-    /// Begins the transaction of a statement that stands outside of any.
+    /// Begins the transaction around a statement that has none, and writes the row.
     pub async fn begin_transaction(
         &self,
         exec: &Execution<'_>,
@@ -126,8 +128,8 @@
 
     /// Writes the row in the open transaction.
     ///
-    /// After a failure this attempt cannot run, but another one of the same id
-    /// may be what it failed on: so the id's outcome is unknown.
+    /// After a failure this attempt does not run. The cause may be another attempt with the same
+    /// id, so the fate of the request is unknown.
     pub async fn write_row(
         &self,
         exec: &Execution<'_>,
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Ends the transaction of a statement that stands outside of any.
+    /// Ends the transaction around a statement that has none, and adds the result to the answer.
     pub async fn end_transaction(
         &self,
         exec: &Execution<'_>,
@@ -152,7 +154,7 @@
         answer: &mut Answer,
     ) -> Result<Standing, Failure> {
         let sql = match standing {
-            // The statement has ended the transaction itself.
+            // The statement itself has ended the transaction.
             Standing::Idle => return Ok(Standing::Idle),
             Standing::Failed => "ROLLBACK",
             Standing::Open => "COMMIT",
@@ -174,20 +176,23 @@
     }
 }
 
+/// Returns the refusal of a request while another attempt with its id is in progress.
 fn busy(key: &RequestKey) -> Refusal {
     let message = format!("another attempt of request {} is on its way", key.request);
     Refusal::unknown(Reason::Busy, Some(RETRY_DELAY), message)
 }
 
+/// Returns the refusal of a request that ran before.
 fn done(message: &str) -> Refusal {
     Refusal { reason: Reason::Done, fate: Fate::Done, retry: None, message: message.into() }
 }
 
+/// Returns the refusal of a request that failed before anything was run.
 fn not_started(error: anyhow::Error) -> Refusal {
     Refusal::not_run(Reason::Unavailable, Some(RETRY_DELAY), format!("{error:#}"))
 }
 
-/// Does the work unless the deadline passes or the server is replaced before.
+/// Completes `work`, or fails if the deadline passes or the server becomes unusable first.
 async fn bounded<T>(
     exec: &Execution<'_>,
     work: impl Future<Output = anyhow::Result<T>>,
@@ -201,7 +206,7 @@
     }
 }
 
-/// Reads the row; makes the table when there is none.
+/// Reads the row and returns the plan for it; creates the table if it does not exist.
 async fn read_row(conn: &mut Conn, key: &RequestKey) -> anyhow::Result<Plan> {
     let RequestKey { account, request } = key;
     let sql = format!(
@@ -212,7 +217,7 @@
     if reply.error.is_some() {
         let columns = "account TEXT NOT NULL, id TEXT NOT NULL, state TEXT NOT NULL, \
                        attempt TEXT NOT NULL, at BIGINT NOT NULL, PRIMARY KEY (account, id)";
-        // Another home may make it at the same time: the second look decides.
+        // Another home may create the table at the same time, so the second read decides.
         conn.run(&format!("CREATE TABLE IF NOT EXISTS {TABLE} ({columns})")).await?;
         reply = conn.run(&sql).await?;
     }
@@ -223,6 +228,7 @@
     Ok(outcome::plan(row))
 }
 
+/// Writes the row with `state`, as planned by `claim`.
 async fn write_row(
     home: &GroupHome,
     conn: &mut Conn,
@@ -247,12 +253,12 @@
     conn.run(&sql).await
 }
 
-/// Whether the row was still as planned from, and is written now.
+/// Returns whether the row was unchanged since the plan, and was written.
 fn is_written(reply: &Reply) -> bool {
     reply.error.is_none() && matches!(&*reply.tag, "INSERT 0 1" | "UPDATE 1")
 }
 
-/// The last record that the server holds as primary.
+/// Returns the last record in the log of the server, which must be the primary.
 async fn primary_held(conn: &mut Conn) -> anyhow::Result<Point> {
     let text = conn.query_text(protocol::SHOW_STATUS).await?.unwrap_or_default();
     let status = protocol::parse_status(&text)?;
@@ -260,7 +266,7 @@
     Ok(status.held)
 }
 
-/// What became of a request. Asked of any home at any time, it is true.
+/// Returns the outcome of a request. The answer is valid from any home and at any time.
 pub async fn resolve(home: &GroupHome, key: &RequestKey, deadline: Instant) -> Outcome {
     for _ in 0..MAX_TRIES {
         if home.running_requests.borrow().contains(key) {
@@ -270,7 +276,7 @@
             Ok(Some(outcome)) => return outcome,
             Ok(None) => {}
             Err(refusal) => {
-                debug!("home: group {}: an outcome is not known: {refusal}.", home.id);
+                debug!("home: group {}: outcome of a request not resolved: {refusal}.", home.id);
                 return Outcome::Unknown { again: refusal.retry.unwrap_or(RETRY_DELAY) };
             }
         }
@@ -278,17 +284,17 @@
     Outcome::Unknown { again: RETRY_DELAY }
 }
 
-/// `None` when another attempt moved the row meanwhile.
+/// Tries to resolve the outcome of a request; returns `None` if another attempt has changed the
+/// row in the meantime.
 ///
-/// Whatever the row says, it counts only once another server holds it in the
-/// primary's term: a primary that is cut off could show a row that is lost, or
-/// lack one that its successor has.
+/// The row counts only once another server holds it in the primary's term. A partitioned
+/// primary may show a row that is lost, or lack a row that its successor has.
 async fn try_resolve(
     home: &GroupHome,
     key: &RequestKey,
     deadline: Instant,
 ) -> Result<Option<Outcome>, Refusal> {
-    // Somebody waits on the telephone for the answer.
+    // Urgent, because a person may be waiting for the answer.
     let ticket = Ticket { account: key.account.clone(), weight: 1, deadline, urgent: true };
     let arrived = home.clock.now();
     let intent = &Intent::Write;
@@ -325,7 +331,8 @@
     }
 }
 
-/// Finds out what became of a request whose end is unknown, while there is time.
+/// Resolves a refusal of unknown fate by the outcome of the request. Retries until `deadline` and
+/// then returns the refusal unchanged.
 pub async fn resolve_refusal(
     home: &GroupHome,
     key: &RequestKey,
@@ -335,11 +342,17 @@
     loop {
         match resolve(home, key, deadline).await {
             Outcome::Done => {
-                info!("home: group {}: request {} is found done.", home.id, key.request);
+                info!(
+                    "home: group {}: outcome of request {} resolved: done.",
+                    home.id, key.request
+                );
                 return done("the request ran; its answer was lost");
             }
             Outcome::NotRun => {
-                info!("home: group {}: request {} is found not run.", home.id, key.request);
+                info!(
+                    "home: group {}: outcome of request {} resolved: not run.",
+                    home.id, key.request
+                );
                 return Refusal { fate: Fate::NotRun, ..refusal };
             }
             Outcome::Unknown { again } => {
