--- a/components/home/src/homes.rs
+++ b/components/home/src/homes.rs
@@ -1,4 +1,4 @@
-//! The groups whose home this host is, or was asked to be.
+//! Homes of database groups on this host.
 
 use std::{
     cell::RefCell,
@@ -24,29 +24,30 @@
     serve,
 };
 
-/// How often the ranking of the hosts is looked at.
+/// Interval between two checks of the ranking of the hosts.
 const RANK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How often the platform's list of machines is read.
+/// Interval between two reads of the platform's list of machines.
 const MACHINES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a home that does not rank first is kept after its last exchange.
+/// Time after its last exchange for which a home is kept that does not rank first.
 const UNUSED_HOME_TTL: Duration = Duration::from_secs(2);
 
-/// The groups whose home this host is, or was asked to be.
+/// Homes of the groups for which this host ranks first or received requests.
 pub struct Homes {
-    /// This host.
+    /// Id of this host.
     host: HostId,
     clock: Rc<dyn Clock>,
     routes: Routes,
     metrics: Rc<Metrics>,
+    /// Configuration and home of each group.
     groups: RefCell<HashMap<GroupId, (Group, Rc<GroupHome>)>>,
-    /// Backend servers that leave, by the platform's list.
+    /// Ids of the machines that are leaving according to the platform's list.
     leaving_servers: RefCell<HashSet<Box<str>>>,
 }
 
 impl Homes {
-    /// A host that is home to no group yet.
+    /// Creates an instance without homes.
     pub fn new(
         host: HostId,
         clock: Rc<dyn Clock>,
@@ -63,7 +64,8 @@
         })
     }
 
-    /// The home of a group, started if it is not there yet.
+    /// Returns the home of a group, and starts one if there is none or the group's servers have
+    /// changed. Returns `None` if the group is not configured.
     pub fn get_or_start(&self, config: &Config, id: &GroupId) -> Option<Rc<GroupHome>> {
         let contract = config.group(id)?;
         let mut groups = self.groups.borrow_mut();
@@ -92,13 +94,13 @@
         Some(home)
     }
 
-    /// All homes on this host.
+    /// Returns all homes on this host.
     pub fn all(&self) -> Vec<Rc<GroupHome>> {
         self.groups.borrow().values().map(|(_, home)| home.clone()).collect()
     }
 
-    /// Keeps the homes of the groups for which this host ranks first, so that
-    /// they are watched also when no caller comes; ends with the process.
+    /// Keeps homes for the groups for which this host ranks first, so that these are monitored
+    /// even without callers; closes unused homes. Runs for the lifetime of the process.
     pub async fn maintain(self: Rc<Self>, current: Rc<Current>, mesh: Rc<Mesh>) {
         let mut previous = None;
         loop {
@@ -112,10 +114,9 @@
         }
     }
 
-    /// What became of a request, asked of the home of its group wherever it is.
+    /// Returns the outcome of a request, as resolved by the home of its group on any host.
     ///
-    /// Works as long as the group has a primary and the hosts reach each other,
-    /// also while the platform is down.
+    /// Requires a primary of the group and links between the hosts, but not the platform.
     pub async fn outcome(&self, config: &Config, mesh: &Mesh, of: OutcomeOf) -> Outcome {
         for host in mesh.homes(&of.group) {
             if host == self.host {
@@ -124,15 +125,16 @@
             let Some(link) = mesh.link(&host) else { continue };
             match link.ask(Question::Outcome(Box::new(of.clone())), of.within).await {
                 Ok(Answer::Outcome(outcome)) => return outcome,
-                Ok(other) => debug!("home: {host} answered {other:?} for an outcome."),
-                Err(error) => debug!("home: an outcome is not known: {error:#}."),
+                Ok(other) => debug!("home: unexpected outcome answer of {host}: {other:?}."),
+                Err(error) => debug!("home: outcome query to {host} failed: {error:#}."),
             }
-            // Asked again soon, the question finds the next home.
+            // A retry of the query uses the home that ranks first by then.
             return Outcome::Unknown { again: RETRY_DELAY };
         }
         self.local_outcome(config, &of).await
     }
 
+    /// Returns the outcome of a request, as resolved by the home on this host.
     async fn local_outcome(&self, config: &Config, of: &OutcomeOf) -> Outcome {
         let Some(home) = self.get_or_start(config, &of.group) else {
             return Outcome::Unknown { again: LONG_RETRY_DELAY };
@@ -143,7 +145,7 @@
         outcome::resolve(&home, &key, deadline).await
     }
 
-    /// Answers a peer's question in a task of its own.
+    /// Answers a peer's outcome query, in a separate task.
     pub fn reply_outcome(self: Rc<Self>, doc: Option<Rc<RevisionDoc>>, of: OutcomeOf, to: Replier) {
         monoio::spawn(async move {
             let outcome = match doc.as_ref().and_then(|doc| doc.config.as_ref()) {
@@ -154,8 +156,8 @@
         });
     }
 
-    /// Follows the platform's list of machines; ends with the process. While the
-    /// platform is down the last list stands.
+    /// Polls the platform's list of machines for those that are leaving. Runs for the lifetime of
+    /// the process. The last list remains in use while the platform is unavailable.
     pub async fn poll_machines(self: Rc<Self>, platform: Rc<Platform>) {
         loop {
             match platform.listed().await {
@@ -163,12 +165,13 @@
                     let leaving = list.into_iter().filter(|machine| machine.leaving);
                     self.leaving_servers.replace(leaving.map(|machine| machine.id).collect());
                 }
-                Err(error) => debug!("home: the list of machines cannot be read: {error:#}."),
+                Err(error) => debug!("home: failed to read the list of machines: {error:#}."),
             }
             monoio::time::sleep(MACHINES_INTERVAL).await;
         }
     }
 
+    /// Starts, updates and closes homes according to the configuration and the ranking of hosts.
     fn update_homes(&self, current: &Current, mesh: &Mesh) {
         let doc = current.get();
         let Some(config) = doc.as_ref().and_then(|doc| doc.config.as_ref()) else { return };
@@ -193,11 +196,12 @@
         });
     }
 
-    /// Whether nothing has run here for `time`.
+    /// Returns whether no exchange has run on this host for longer than `time`.
     pub fn is_idle(&self, time: Duration) -> bool {
         self.groups.borrow().values().all(|(_, home)| home.is_idle(time))
     }
 
+    /// Closes homes that do not rank first and have been idle for [`UNUSED_HOME_TTL`].
     fn close_unused(&self) {
         self.groups.borrow_mut().retain(|_, (_, home)| {
             let retained = home.ranks_first.get() || !home.is_idle(UNUSED_HOME_TTL);
@@ -206,7 +210,7 @@
         });
     }
 
-    /// Serves an exchange in a task of its own.
+    /// Serves an exchange in a separate task; refuses it if its group is not configured.
     pub fn serve(&self, config: Option<&Config>, open: Open, side: HomeSide) {
         let home = config.and_then(|config| self.get_or_start(config, &open.group));
         let account = config.and_then(|config| config.account(&open.account));
@@ -224,13 +228,14 @@
     }
 }
 
-/// What the homes depend on.
+/// State that determines the homes of this host.
 #[derive(PartialEq)]
 struct Inputs {
+    /// Current revision of the configuration.
     revision: Revision,
-    /// The hosts that answer, in order.
+    /// Hosts that are reachable and not leaving, sorted.
     available: Vec<HostId>,
-    /// Backend servers that leave, by the platform's list.
+    /// Ids of the machines that are leaving according to the platform's list.
     leaving_servers: HashSet<Box<str>>,
 }
 
@@ -247,7 +252,7 @@
     }
 }
 
-/// Whether two contracts are of the same servers; one that leaves stays the same.
+/// Returns whether two configurations of a group are equal apart from which servers are leaving.
 fn same_servers(a: &Group, b: &Group) -> bool {
     let without_leaving = |group: &Group| {
         let mut group = group.clone();
