--- a/components/home/src/server.rs
+++ b/components/home/src/server.rs
@@ -1,4 +1,4 @@
-//! A backend server as its group's home sees it.
+//! State of a backend server at the home of its group.
 
 use std::{
     cell::Cell,
@@ -15,41 +15,41 @@
 
 use crate::{pool::Pool, queue::Slots};
 
-/// What a server said of itself, and when.
+/// Status that a server reported, and the time of the request for it.
 #[derive(Clone, Copy, Debug)]
 pub struct StatusReading {
-    /// What it said.
+    /// Reported status.
     pub status: Status,
-    /// It was so at this time or later: when the question was sent.
+    /// Time at which the request was sent; the status held at that time or later.
     pub requested_at: Instant,
 }
 
-/// A backend server as its group's home sees it.
+/// State of a backend server at the home of its group.
 pub struct Server {
-    /// What the operator says of it.
+    /// Configuration of the server.
     pub contract: BackendServer,
-    /// What it last said; `None` when it cannot be reached.
+    /// Last reported status; `None` while the server is unreachable.
     pub reading: Cell<Option<StatusReading>>,
-    /// When it was last heard of.
+    /// Time of the last contact.
     pub last_seen: Cell<Option<Instant>>,
-    /// What it last said, kept while it cannot be reached: who led, in which term.
+    /// Last reported status, kept while the server is unreachable: its role and term.
     pub last_status: Cell<Option<Status>>,
-    /// Since when it refuses connections.
+    /// Time since which the server has refused connections; `None` while it does not.
     pub refused_since: Cell<Option<Instant>>,
-    /// Set while it is told that it was replaced as primary.
+    /// Whether a demotion of this server as a superseded primary is in progress.
     pub demoting: Cell<bool>,
-    /// Whether it is to get no new work.
+    /// Whether the server is leaving and gets no new work.
     pub leaving: Cell<bool>,
-    /// Wakes the watch to ask at once.
+    /// Makes the monitor probe the server at once.
     pub probe: Notify,
-    /// Its connections.
+    /// Connection pool of the server.
     pub pool: Pool,
-    /// Statements that may run on it at once, and the queue for them.
+    /// Slots for running statements, and the queue for them.
     pub slots: Rc<Slots>,
 }
 
 impl Server {
-    /// A server of which nothing is known yet.
+    /// Creates a server without any reading.
     pub fn new(contract: BackendServer, clock: Rc<dyn Clock>) -> Self {
         Self {
             reading: Cell::new(None),
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Requests that wait for a slot and requests that have one.
+    /// Returns the numbers of requests that wait for a slot and that hold one.
     pub fn load(&self) -> (usize, usize) {
         self.slots.load()
     }
 
-    /// What has been seen of it, however long ago.
+    /// Returns the last observed state, of any age.
     pub fn observation(&self) -> Observation {
         Observation {
             status: self.last_status.get(),
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Notes that it refused a connection or closed one, as a process that has ended does.
+    /// Records that the server refused or closed a connection, as after the end of its process.
     pub fn record_refusal(&self, now: Instant) {
         if self.refused_since.get().is_none() {
             self.refused_since.set(Some(now));
         }
     }
 
-    /// What it last said, if it was heard of within `silence_timeout`.
+    /// Returns the last reported status if the last contact was within `silence_timeout`.
     pub fn status(&self, now: Instant, silence_timeout: Duration) -> Option<Status> {
         let last_seen = self.last_seen.get()?;
         if now > last_seen + silence_timeout {
             return None;
         }
-        self.reading.get().map(|seen| seen.status)
+        self.reading.get().map(|reading| reading.status)
     }
 }
