--- a/components/home/src/monitor.rs
+++ b/components/home/src/monitor.rs
@@ -1,4 +1,4 @@
-//! The watch on one backend server: one task, one connection.
+//! Monitor of one backend server: a task with a connection of its own.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,13 +14,15 @@
     server::{Server, StatusReading},
 };
 
-/// How often a server is asked when nothing else asks it.
+/// Maximum interval between two probes of a server.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Timeout for connecting to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before reconnecting to a server.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Watches a server until its group's home is over.
+/// Monitors a server until its group's home is closed and its last exchange has ended.
 pub async fn run(group: Rc<GroupHome>, server: Rc<Server>) {
     let mut connected = false;
     while !group.is_finished() {
@@ -33,7 +35,7 @@
             }
             if std::mem::take(&mut connected) {
                 let id = &server.contract.id;
-                info!("watch: group {}: {id} is lost: {error:#}.", group.id);
+                info!("watch: group {}: connection to {id} lost: {error:#}.", group.id);
             }
         }
         group.changed.notify_waiters();
@@ -41,6 +43,8 @@
     }
 }
 
+/// Connects to the server and probes it until an error occurs; sets `connected` at the first
+/// answer.
 async fn poll(group: &GroupHome, server: &Server, connected: &mut bool) -> anyhow::Result<()> {
     let mut conn = Conn::connect(&server.contract, &group.id, CONNECT_TIMEOUT).await?;
     conn.query_text(protocol::LISTEN_STATUS).await?;
@@ -52,13 +56,14 @@
             .await
             .context("no answer to a probe")??;
         if !std::mem::replace(connected, true) {
-            info!("watch: group {}: {} is reached.", group.id, server.contract.id);
+            info!("watch: group {}: {} is reachable.", group.id, server.contract.id);
         }
         wait_for_next_probe(group, server, &mut conn).await?;
     }
     Ok(())
 }
 
+/// Reads the answer to a probe and records the status in it.
 async fn read_answer(
     group: &GroupHome,
     server: &Server,
@@ -69,7 +74,7 @@
         let frame = conn.next().await?;
         match frame.tag {
             b'D' => {
-                let text = backend::first_column(&frame).context("a status without a text")?;
+                let text = backend::first_column(&frame).context("status row without a text")?;
                 record_status(group, server, &text, requested_at)?;
             }
             b'Z' => return Ok(()),
@@ -79,7 +84,7 @@
     }
 }
 
-/// Waits for the next probe; what the server tells meanwhile is noted.
+/// Waits for the next probe; records statuses that the server reports in the meantime.
 async fn wait_for_next_probe(
     group: &GroupHome,
     server: &Server,
@@ -96,8 +101,8 @@
     }
 }
 
-/// Notes what the server tells unasked. It may have been sent some time ago,
-/// so it keeps the time of the last question.
+/// Records a status from a notification. It may have been sent some time ago, so it gets the
+/// time of the last request.
 fn handle_notification(group: &GroupHome, server: &Server, frame: &Frame) -> anyhow::Result<()> {
     if frame.tag != b'A' {
         return Ok(());
@@ -105,7 +110,7 @@
     let PgWireBackendMessage::NotificationResponse(notification) = frame.backend()? else {
         return Ok(());
     };
-    let requested_at = server.reading.get().map(|seen| seen.requested_at);
+    let requested_at = server.reading.get().map(|reading| reading.requested_at);
     match requested_at {
         Some(requested_at) if notification.channel == protocol::STATUS_CHANNEL => {
             record_status(group, server, &notification.payload, requested_at)
@@ -114,6 +119,7 @@
     }
 }
 
+/// Records a status that the server reported to a request sent at `requested_at`.
 pub(crate) fn record_status(
     group: &GroupHome,
     server: &Server,
@@ -126,8 +132,8 @@
     server.last_seen.set(Some(group.clock.now()));
     server.refused_since.set(None);
     group.record_position();
-    if previous.map(|seen| seen.status) != Some(status)
-        || previous.map(|s| s.requested_at) != Some(requested_at)
+    if previous.map(|reading| reading.status) != Some(status)
+        || previous.map(|reading| reading.requested_at) != Some(requested_at)
     {
         group.changed.notify_waiters();
     }
