--- a/components/home/src/report.rs
+++ b/components/home/src/report.rs
@@ -1,4 +1,4 @@
-//! What the homes on this host report of their groups.
+//! Reports of the homes on this host.
 
 use std::time::Duration;
 
@@ -7,12 +7,13 @@
 use crate::{group::GroupHome, homes::Homes, server::Server};
 
 impl Homes {
-    /// A report of each group whose home this host is, in order of their names.
+    /// Returns the reports of groups whose home is on this host, sorted by group: of homes that
+    /// rank first or are in use.
     pub fn reports(&self) -> Vec<GroupReport> {
         let homes = self.all();
-        let used =
+        let active =
             homes.iter().filter(|home| home.ranks_first.get() || !home.is_idle(Duration::ZERO));
-        let mut reports: Vec<_> = used.map(|home| home.report()).collect();
+        let mut reports: Vec<_> = active.map(|home| home.report()).collect();
         reports.sort_by(|a, b| a.group.cmp(&b.group));
         reports
     }
@@ -38,7 +39,7 @@
             domain: server.contract.domain.clone(),
             role: status.map(|status| status.role),
             applied: server.last_status.get().map(|status| status.applied).unwrap_or_default(),
-            heard: server.last_seen.get().map(|heard| now.saturating_duration_since(heard)),
+            heard: server.last_seen.get().map(|last_seen| now.saturating_duration_since(last_seen)),
             busy: server.load().1 as u64,
             slots: server.contract.slots.into(),
             connections: server.pool.len() as u64,
