--- a/components/home/src/backend.rs
+++ b/components/home/src/backend.rs
@@ -1,4 +1,4 @@
-//! A connection to a backend server.
+//! Connection to a backend server.
 
 use std::{cell::Cell, fmt, io, time::Duration};
 
@@ -20,10 +20,10 @@
 
 use crate::protocol;
 
-/// The most bytes that one message of a server may have.
+/// Maximum length of a message from a server, in bytes.
 const MAX_MESSAGE_LEN: usize = 64 << 20;
 
-/// The other end closed the connection.
+/// Error: the server closed the connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Closed;
 
@@ -35,10 +35,10 @@
 
 impl std::error::Error for Closed {}
 
-/// Whether an error is what a machine answers for a process that has ended.
+/// Returns whether an error is the one that a machine reports for a process that has ended.
 ///
-/// A server that is there but takes no more connections says so in words, and
-/// one that hangs says nothing: neither counts.
+/// Neither a running server that accepts no more connections, which sends an error message, nor
+/// a server that hangs, which sends nothing, causes such an error.
 pub fn is_process_gone(error: &anyhow::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset};
     let kinds = [BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset];
@@ -48,21 +48,22 @@
     })
 }
 
-/// A connection to a backend server; it belongs to one transaction at a time.
+/// Connection to a backend server, used by one transaction at a time.
 pub struct Conn {
     reader: PgReader<ReadHalf<TcpStreamPoll>>,
     writer: PgWriter<WriteHalf<TcpStreamPoll>>,
     server: BackendServer,
+    /// Key for cancel requests, if the server has sent one.
     cancel_key: Option<BackendKeyData>,
-    /// Whether a cancel was sent for it.
+    /// Whether a cancel request was sent for this connection.
     cancelled: Cell<bool>,
-    /// What the server last said that its answers here show or have reached; it
-    /// says so only when that changes.
+    /// Last point that the server reported on this connection: the one that its answers show or
+    /// have reached. The server reports it only when it changes.
     pub point: Option<Point>,
 }
 
 impl Conn {
-    /// Connects and waits until the server takes statements.
+    /// Connects and waits until the server accepts statements.
     pub async fn connect(
         server: &BackendServer,
         group: &GroupId,
@@ -96,6 +97,7 @@
         Ok(conn)
     }
 
+    /// Reads the startup messages until the server is ready for statements.
     async fn await_ready(&mut self) -> anyhow::Result<()> {
         loop {
             match self.next().await?.backend()? {
@@ -113,12 +115,12 @@
         }
     }
 
-    /// Sends whole messages.
+    /// Sends complete messages.
     pub async fn send(&mut self, bytes: &[u8]) -> anyhow::Result<()> {
         self.writer.send(bytes).await.with_context(|| format!("sending to {}", self.server.id))
     }
 
-    /// The next message; an error when the connection has ended.
+    /// Reads the next message; fails if the connection was closed.
     pub async fn next(&mut self) -> anyhow::Result<Frame> {
         let frame = self.reader.next().await;
         frame
@@ -126,7 +128,7 @@
             .with_context(|| format!("reading from {}", self.server.id))
     }
 
-    /// Whether nothing has come and the connection has not ended.
+    /// Returns whether the connection is open and has no unread message.
     pub fn is_quiet(&mut self) -> bool {
         self.reader.next().now_or_never().is_none()
     }
@@ -136,7 +138,7 @@
         self.send(&query(sql)).await
     }
 
-    /// Runs a statement and gives the first column of its first row.
+    /// Runs a statement and returns the first column of its first row.
     pub async fn query_text(&mut self, sql: &str) -> anyhow::Result<Option<Box<str>>> {
         let reply = self.run(sql).await?;
         match reply.error {
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Runs a statement that gives one text, within a time.
+    /// Runs a statement that returns one text, within `timeout`.
     pub async fn query_text_timeout(
         &mut self,
         sql: &str,
@@ -156,7 +158,7 @@
             .with_context(|| format!("{sql} at {}: an empty answer", self.server.id))
     }
 
-    /// Runs a statement and reads its whole answer.
+    /// Runs a statement and reads its complete answer.
     pub async fn run(&mut self, sql: &str) -> anyhow::Result<Reply> {
         self.send_query(sql).await?;
         let mut reply = Reply::default();
@@ -164,12 +166,12 @@
         Ok(reply)
     }
 
-    /// Whether a cancel was sent for it, which may still be on its way.
+    /// Returns whether a cancel request was sent for this connection; it may still be in transit.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.get()
     }
 
-    /// Asks the server, over a connection of its own, to cancel what runs here.
+    /// Requests cancellation of the running statement, on a separate connection.
     pub async fn cancel(&self, timeout: Duration) -> anyhow::Result<()> {
         let Some(key) = &self.cancel_key else { return Ok(()) };
         self.cancelled.set(true);
@@ -186,32 +188,32 @@
     }
 }
 
-/// An error that a server answered.
+/// Error answered by a server.
 #[derive(Clone, Debug)]
 pub struct ServerError {
-    /// Its SQLSTATE.
+    /// SQLSTATE code.
     pub code: Box<str>,
-    /// Its message, for people.
+    /// Message for people.
     pub text: Box<str>,
 }
 
-/// The whole answer to a statement of this program's own.
+/// Complete answer to a statement issued by this program.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
-    /// The first column of the first row.
+    /// First column of the first row.
     pub first: Option<Box<str>>,
-    /// What was done, such as `INSERT 0 1`.
+    /// Command tag, such as `INSERT 0 1`.
     pub tag: Box<str>,
-    /// The first error.
+    /// First error.
     pub error: Option<ServerError>,
-    /// What the server says that it has reached.
+    /// Point that the server reports to have reached.
     pub point: Option<Point>,
-    /// Whether a transaction is open afterwards, failed or not.
+    /// Whether a transaction is open after the answer, failed or not.
     pub in_transaction: bool,
 }
 
 impl Reply {
-    /// Takes one message of the answer; true when it is the last.
+    /// Adds one message to the answer; returns true at the last message.
     fn add_frame(&mut self, frame: &Frame) -> bool {
         match frame.tag {
             b'D' if self.first.is_none() => self.first = first_column(frame),
@@ -225,7 +227,8 @@
     }
 }
 
-/// What a server says, beside an answer, that the answer shows or has reached.
+/// Returns the point that a message reports as shown or reached by the answer; `None` for other
+/// messages.
 pub fn reported_point(frame: &Frame) -> Option<Point> {
     match frame.backend().ok()? {
         PgWireBackendMessage::ParameterStatus(setting)
@@ -237,6 +240,7 @@
     }
 }
 
+/// Returns the command tag of a `CommandComplete` message.
 fn complete_tag(frame: &Frame) -> Box<str> {
     match frame.backend() {
         Ok(PgWireBackendMessage::CommandComplete(complete)) => complete.tag.into(),
@@ -249,12 +253,12 @@
     ServerError { code, text: error_text(frame).into() }
 }
 
-/// A simple query as bytes.
+/// Encodes a simple query.
 pub fn query(sql: &str) -> Bytes {
     frame::bytes(&Query::new(sql.to_owned()))
 }
 
-/// The first column of a row, when it is text and not null.
+/// Returns the first column of a row; `None` if it is null or not valid UTF-8.
 pub fn first_column(frame: &Frame) -> Option<Box<str>> {
     let mut body = frame.body();
     if body.remaining() < 6 || body.get_i16() < 1 {
@@ -265,7 +269,7 @@
     std::str::from_utf8(bytes).ok().map(Into::into)
 }
 
-/// The message of an error, for people.
+/// Returns the message of an error, for people.
 pub fn error_text(frame: &Frame) -> String {
     match frame.backend() {
         Ok(PgWireBackendMessage::ErrorResponse(error)) => error_message(&error.fields),
@@ -273,7 +277,7 @@
     }
 }
 
-/// The SQLSTATE of an error.
+/// Returns the SQLSTATE code of an error.
 pub fn error_code(frame: &Frame) -> Option<String> {
     match frame.backend() {
         Ok(PgWireBackendMessage::ErrorResponse(error)) => {
