--- a/components/home/src/batch.rs
+++ b/components/home/src/batch.rs
@@ -1,24 +1,24 @@
-//! What a batch of a caller's messages may do, read off its texts.
+//! Possible effects of a batch of a caller's messages, derived from its statement texts.
 //!
-//! All answers err on the safe side: what cannot be excluded counts as done.
+//! The results are conservative: an effect that cannot be ruled out is assumed.
 
 use bergamottrack_pg::frame;
 use bytes::Bytes;
 use pgwire::messages::PgWireFrontendMessage;
 
-/// A caller's messages, the last of them `Query` or `Sync`.
+/// Messages of a caller, of which the last is `Query` or `Sync`.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// The messages as they are sent on.
+    /// Messages as sent to the server.
     pub raw: Bytes,
-    /// The statements' texts, in upper case.
+    /// Statement texts in upper case.
     texts: Vec<Box<str>>,
-    /// Whether it runs a statement whose text is not in it.
+    /// Whether the batch may run a statement whose text it does not contain.
     opaque: bool,
 }
 
 impl Batch {
-    /// Reads a batch.
+    /// Parses a batch.
     pub fn new(raw: Bytes) -> Self {
         let mut batch = Self { raw: raw.clone(), texts: Vec::new(), opaque: false };
         let Ok(frames) = frame::frames(raw) else {
@@ -26,8 +26,8 @@
         };
         for frame in frames.iter().filter(|frame| matches!(frame.tag, b'Q' | b'P' | b'B')) {
             match frame.frontend() {
-                Ok(PgWireFrontendMessage::Query(query)) => batch.add(&query.query),
-                Ok(PgWireFrontendMessage::Parse(parse)) => batch.add(&parse.query),
+                Ok(PgWireFrontendMessage::Query(query)) => batch.add_text(&query.query),
+                Ok(PgWireFrontendMessage::Parse(parse)) => batch.add_text(&parse.query),
                 Ok(PgWireFrontendMessage::Bind(_)) => batch.opaque |= batch.texts.is_empty(),
                 _ => batch.opaque = true,
             }
@@ -35,23 +35,23 @@
         batch
     }
 
-    fn add(&mut self, text: &str) {
+    fn add_text(&mut self, text: &str) {
         self.texts.push(text.to_ascii_uppercase().into());
     }
 
-    /// Whether it may end a transaction that is open.
+    /// Returns whether the batch may end an open transaction.
     pub fn may_end(&self) -> bool {
-        const ENDS: [&str; 3] = ["COMMIT", "END", "PREPARE"];
-        self.opaque || self.words().any(|word| ENDS.contains(&word))
+        const END_WORDS: [&str; 3] = ["COMMIT", "END", "PREPARE"];
+        self.opaque || self.words().any(|word| END_WORDS.contains(&word))
     }
 
-    /// Whether a statement of it begins a transaction that the caller ends.
+    /// Returns whether a statement of the batch begins a transaction, which the caller then ends.
     pub fn begins(&self) -> bool {
         let statements = self.texts.iter().flat_map(|text| text.split(';'));
         statements.filter_map(|text| words(text).next()).any(is_begin)
     }
 
-    /// Whether it is one statement that begins a transaction and nothing else.
+    /// Returns whether the batch is a single statement that begins a transaction.
     pub fn only_begins(&self) -> bool {
         let [text] = &self.texts[..] else { return false };
         let text = text.trim().trim_end_matches(';');
