--- a/components/home/src/lib.rs
+++ b/components/home/src/lib.rs
@@ -1,4 +1,7 @@
-//! The home of a database group: pool, slots, queue, watch and promotion.
+//! Home of a database group: connection pools, slots and queues of its backend servers, their
+//! monitors, and promotion of a new primary.
+//!
+//! The home of a group is the host that serves its requests and monitors its servers.
 
 pub mod backend;
 pub mod batch;
