--- a/components/home/src/execution.rs
+++ b/components/home/src/execution.rs
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Sends the end of the answer to the entry, for an ended write after its confirmation.
+    /// Sends the end of the answer to the entry; if a write has ended, after its confirmation.
     pub async fn finish(
         &self,
         side: &HomeSide,
--- a/components/home/src/group.rs
+++ b/components/home/src/group.rs
@@ -39,7 +39,7 @@
     pub servers: Vec<Rc<Server>>,
     /// Notified when the state of a server or of the group's leadership has changed.
     pub changed: Notify,
-    /// Whether this home is closed: running exchanges continue to their end.
+    /// Whether this home is closed; its running exchanges still continue to their end.
     pub closed: Cell<bool>,
     /// Whether this host ranks first for the group; only such a home promotes servers.
     pub ranks_first: Cell<bool>,
--- a/components/home/src/homes.rs
+++ b/components/home/src/homes.rs
@@ -33,7 +33,7 @@
 /// Time after its last exchange for which a home is kept that does not rank first.
 const UNUSED_HOME_TTL: Duration = Duration::from_secs(2);
 
-/// Homes of the groups for which this host ranks first or received requests.
+/// Homes of the groups for which this host ranks first or has received requests.
 pub struct Homes {
     /// Id of this host.
     host: HostId,
--- a/components/home/src/monitor.rs
+++ b/components/home/src/monitor.rs
@@ -19,6 +19,7 @@
 
 /// Timeout for connecting to a server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+
 /// Delay before reconnecting to a server.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
@@ -119,7 +120,8 @@
     }
 }
 
-/// Records a status that the server reported to a request sent at `requested_at`.
+/// Records a status that the server reported; `requested_at` is the time of the last request
+/// before the report.
 pub(crate) fn record_status(
     group: &GroupHome,
     server: &Server,
--- a/components/home/src/pool.rs
+++ b/components/home/src/pool.rs
@@ -15,8 +15,8 @@
     permits: Semaphore,
 }
 
-/// Connection in use by one transaction. It is closed on drop unless it is released, which rolls
-/// back an open transaction.
+/// Connection in use by one transaction. A drop without a release closes the connection, which
+/// rolls back an open transaction.
 pub struct PooledConn<'a> {
     /// Underlying connection.
     pub conn: Conn,
--- a/components/home/src/promotion.rs
+++ b/components/home/src/promotion.rs
@@ -65,11 +65,11 @@
         if !home.ranks_first.get() || now < retry_at {
             continue;
         }
-        let started = match cause {
+        let fault_at = match cause {
             Cause::Unconfirmed => detector.stalled_since().unwrap_or(healthy_at),
             _ => fault_start(&home, cause, healthy_at),
         };
-        let detect = now.saturating_duration_since(started);
+        let detect = now.saturating_duration_since(fault_at);
         match promote(&home, cause, detect).await {
             Ok(()) => failures = 0,
             Err(error) => {
--- a/components/home/src/route.rs
+++ b/components/home/src/route.rs
@@ -43,7 +43,7 @@
 
 impl GroupHome {
     /// Selects the server that runs an exchange; waits for one until `deadline`, but at most
-    /// [`ROUTE_TIMEOUT`].
+    /// `ROUTE_TIMEOUT`.
     pub async fn route(&self, intent: &Intent, deadline: Instant) -> Result<Rc<Server>, Refusal> {
         // A write is refused before it starts if no other server can confirm it.
         let refuse = || self.no_majority().map(Err);
@@ -89,8 +89,8 @@
             .is_some_and(|requirement| requirement.is_met(status.applied))
     }
 
-    /// Returns the requirement for an answer of the primary or of a replica; `None` if a server
-    /// in that role cannot meet the intent.
+    /// Returns the requirement for an answer of the primary or of a replica; `None` if no answer
+    /// of a server in that role can meet the intent.
     pub fn requirement(&self, intent: &Intent, primary: bool) -> Option<Requirement> {
         let Intent::Read { floor, max_age } = intent else { return Some(Requirement::default()) };
         let Some(max_age) = max_age else {
--- a/components/home/src/serve.rs
+++ b/components/home/src/serve.rs
@@ -192,7 +192,7 @@
                 return Err(overloaded(home, ticket, infeasible.retry));
             }
         };
-        // The required point of a maximum age has advanced during a wait for the slot.
+        // The point required by a maximum age may have advanced during the wait for the slot.
         let primary = server.last_status.get().is_some_and(|status| status.leads());
         let (false, Some(requirement)) =
             (home.is_unusable(server, intent, term), home.requirement(intent, primary))
--- a/components/home/src/server.rs
+++ b/components/home/src/server.rs
@@ -32,7 +32,7 @@
     pub reading: Cell<Option<StatusReading>>,
     /// Time of the last contact.
     pub last_seen: Cell<Option<Instant>>,
-    /// Last reported status, kept while the server is unreachable: its role and term.
+    /// Last reported status, kept while the server is unreachable for its role and term.
     pub last_status: Cell<Option<Status>>,
     /// Time since which the server has refused connections; `None` while it does not.
     pub refused_since: Cell<Option<Instant>>,
