--- a/components/home/src/backend.rs
+++ b/components/home/src/backend.rs
@@ -1,4 +1,4 @@
-//! A connection to a backend server.
+//! Connection to a backend server.
 
 use std::{cell::Cell, fmt, io, time::Duration};
 
@@ -18,12 +18,12 @@
 };
 use tokio::io::{ReadHalf, WriteHalf};
 
-use crate::border;
+use crate::protocol;
 
-/// The most bytes that one message of a server may have.
-const MAX_MESSAGE: usize = 64 << 20;
+/// Maximum length of a message from a server, in bytes.
+const MAX_MESSAGE_LEN: usize = 64 << 20;
 
-/// The other end closed the connection.
+/// Error: the server closed the connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Closed;
 
@@ -35,90 +35,92 @@
 
 impl std::error::Error for Closed {}
 
-/// Whether an error is what a machine answers for a process that has ended.
+/// Returns whether an error is the one that a machine reports for a process that has ended.
 ///
-/// A server that is there but takes no more connections says so in words, and
-/// one that hangs says nothing: neither counts.
-pub fn is_refusal(error: &anyhow::Error) -> bool {
+/// Neither a running server that accepts no more connections, which sends an error message, nor
+/// a server that hangs, which sends nothing, causes such an error.
+pub fn is_process_gone(error: &anyhow::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset};
-    let gone = [BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset];
+    let kinds = [BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset];
     error.chain().any(|cause| {
         cause.is::<Closed>()
-            || cause.downcast_ref::<io::Error>().is_some_and(|e| gone.contains(&e.kind()))
+            || cause.downcast_ref::<io::Error>().is_some_and(|e| kinds.contains(&e.kind()))
     })
 }
 
-/// A connection to a backend server; it belongs to one transaction at a time.
+/// Connection to a backend server, used by one transaction at a time.
 pub struct Conn {
     reader: PgReader<ReadHalf<TcpStreamPoll>>,
     writer: PgWriter<WriteHalf<TcpStreamPoll>>,
     server: BackendServer,
-    key: Option<BackendKeyData>,
-    /// Whether a cancel was sent for it.
+    /// Key for cancel requests, if the server has sent one.
+    cancel_key: Option<BackendKeyData>,
+    /// Whether a cancel request was sent for this connection.
     cancelled: Cell<bool>,
-    /// What the server last said that its answers here show or have reached; it
-    /// says so only when that changes.
+    /// Last point that the server reported on this connection: the one that its answers show or
+    /// have reached. The server reports it only when it changes.
     pub point: Option<Point>,
 }
 
 impl Conn {
-    /// Connects and waits until the server takes statements.
+    /// Connects and waits until the server accepts statements.
     pub async fn connect(
         server: &BackendServer,
         group: &GroupId,
-        within: Duration,
+        timeout: Duration,
     ) -> anyhow::Result<Self> {
-        monoio::time::timeout(within, Self::open(server, group))
+        monoio::time::timeout(timeout, Self::open(server, group))
             .await
-            .with_context(|| format!("connecting to {}: no answer in {within:?}", server.id))?
+            .with_context(|| format!("connecting to {}: no answer in {timeout:?}", server.id))?
             .with_context(|| format!("connecting to {}", server.id))
     }
 
     async fn open(server: &BackendServer, group: &GroupId) -> anyhow::Result<Self> {
         let stream = TcpStream::connect(server.address).await?;
         stream.set_nodelay(true)?;
-        let (reader, writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE);
+        let (reader, writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE_LEN);
         let mut conn = Self {
             reader,
             writer,
             server: server.clone(),
-            key: None,
+            cancel_key: None,
             cancelled: Cell::default(),
             point: None,
         };
         let mut startup = Startup::default();
         startup.protocol_number_major = 3;
         startup.protocol_number_minor = 0;
-        startup.parameters.insert("user".into(), border::USER.into());
+        startup.parameters.insert("user".into(), protocol::USER.into());
         startup.parameters.insert("database".into(), group.to_string());
         conn.send(&frame::bytes(&startup)).await?;
         conn.await_ready().await?;
         Ok(conn)
     }
 
+    /// Reads the startup messages until the server is ready for statements.
     async fn await_ready(&mut self) -> anyhow::Result<()> {
         loop {
             match self.next().await?.backend()? {
                 PgWireBackendMessage::ReadyForQuery(_) => return Ok(()),
-                PgWireBackendMessage::BackendKeyData(key) => self.key = Some(key),
+                PgWireBackendMessage::BackendKeyData(key) => self.cancel_key = Some(key),
                 PgWireBackendMessage::Authentication(Authentication::Ok) => {}
                 PgWireBackendMessage::Authentication(_) => {
                     bail!("the server asks for a password")
                 }
                 PgWireBackendMessage::ErrorResponse(error) => {
-                    bail!("the server refused: {}", text_of(&error.fields))
+                    bail!("the server refused: {}", error_message(&error.fields))
                 }
                 _ => {}
             }
         }
     }
 
-    /// Sends whole messages.
+    /// Sends complete messages.
     pub async fn send(&mut self, bytes: &[u8]) -> anyhow::Result<()> {
         self.writer.send(bytes).await.with_context(|| format!("sending to {}", self.server.id))
     }
 
-    /// The next message; an error when the connection has ended.
+    /// Reads the next message; fails if the connection was closed.
     pub async fn next(&mut self) -> anyhow::Result<Frame> {
         let frame = self.reader.next().await;
         frame
@@ -126,18 +128,18 @@
             .with_context(|| format!("reading from {}", self.server.id))
     }
 
-    /// Whether nothing has come and the connection has not ended.
+    /// Returns whether the connection is open and has no unread message.
     pub fn is_quiet(&mut self) -> bool {
         self.reader.next().now_or_never().is_none()
     }
 
     /// Sends a statement without waiting for its answer.
-    pub async fn ask(&mut self, sql: &str) -> anyhow::Result<()> {
+    pub async fn send_query(&mut self, sql: &str) -> anyhow::Result<()> {
         self.send(&query(sql)).await
     }
 
-    /// Runs a statement and gives the first column of its first row.
-    pub async fn text(&mut self, sql: &str) -> anyhow::Result<Option<Box<str>>> {
+    /// Runs a statement and returns the first column of its first row.
+    pub async fn query_text(&mut self, sql: &str) -> anyhow::Result<Option<Box<str>>> {
         let reply = self.run(sql).await?;
         match reply.error {
             Some(error) => bail!("{} answered: {}", self.server.id, error.text),
@@ -145,92 +147,100 @@
         }
     }
 
-    /// Runs a statement that gives one text, within a time.
-    pub async fn text_within(&mut self, sql: &str, within: Duration) -> anyhow::Result<Box<str>> {
-        let text = monoio::time::timeout(within, self.text(sql)).await;
-        text.with_context(|| format!("{sql} at {}: no answer in {within:?}", self.server.id))??
+    /// Runs a statement that returns one text, within `timeout`.
+    pub async fn query_text_timeout(
+        &mut self,
+        sql: &str,
+        timeout: Duration,
+    ) -> anyhow::Result<Box<str>> {
+        let text = monoio::time::timeout(timeout, self.query_text(sql)).await;
+        text.with_context(|| format!("{sql} at {}: no answer in {timeout:?}", self.server.id))??
             .with_context(|| format!("{sql} at {}: an empty answer", self.server.id))
     }
 
-    /// Runs a statement and reads its whole answer.
+    /// Runs a statement and reads its complete answer.
     pub async fn run(&mut self, sql: &str) -> anyhow::Result<Reply> {
-        self.ask(sql).await?;
+        self.send_query(sql).await?;
         let mut reply = Reply::default();
-        while !reply.take(&self.next().await?) {}
+        while !reply.add_frame(&self.next().await?) {}
         Ok(reply)
     }
 
-    /// Whether a cancel was sent for it, which may still be on its way.
+    /// Returns whether a cancel request was sent for this connection; it may still be in transit.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.get()
     }
 
-    /// Asks the server, over a connection of its own, to cancel what runs here.
-    pub async fn cancel(&self, within: Duration) -> anyhow::Result<()> {
-        let Some(key) = &self.key else { return Ok(()) };
+    /// Requests cancellation of the running statement, on a separate connection.
+    pub async fn cancel(&self, timeout: Duration) -> anyhow::Result<()> {
+        let Some(key) = &self.cancel_key else { return Ok(()) };
         self.cancelled.set(true);
         let request = frame::bytes(&CancelRequest::new(key.pid, key.secret_key.clone()));
         let send = async {
             let stream = TcpStream::connect(self.server.address).await?;
-            let (_reader, mut writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE);
+            let (_reader, mut writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE_LEN);
             writer.send(&request).await
         };
-        monoio::time::timeout(within, send)
+        monoio::time::timeout(timeout, send)
             .await
             .with_context(|| format!("cancelling at {}: no answer", self.server.id))?
             .with_context(|| format!("cancelling at {}", self.server.id))
     }
 }
 
-/// An error that a server answered.
+/// Error answered by a server.
 #[derive(Clone, Debug)]
 pub struct ServerError {
-    /// Its SQLSTATE.
+    /// SQLSTATE code.
     pub code: Box<str>,
-    /// Its message, for people.
+    /// Message for people.
     pub text: Box<str>,
 }
 
-/// The whole answer to a statement of this program's own.
+/// Complete answer to a statement issued by this program.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
-    /// The first column of the first row.
+    /// First column of the first row.
     pub first: Option<Box<str>>,
-    /// What was done, such as `INSERT 0 1`.
+    /// Command tag, such as `INSERT 0 1`.
     pub tag: Box<str>,
-    /// The first error.
+    /// First error.
     pub error: Option<ServerError>,
-    /// What the server says that it has reached.
+    /// Point that the server reports to have reached.
     pub point: Option<Point>,
-    /// Whether a transaction is open afterwards, failed or not.
-    pub open: bool,
+    /// Whether a transaction is open after the answer, failed or not.
+    pub in_transaction: bool,
 }
 
 impl Reply {
-    /// Takes one message of the answer; true when it is the last.
-    fn take(&mut self, frame: &Frame) -> bool {
+    /// Adds one message to the answer; returns true at the last message.
+    fn add_frame(&mut self, frame: &Frame) -> bool {
         match frame.tag {
             b'D' if self.first.is_none() => self.first = first_column(frame),
             b'C' => self.tag = complete_tag(frame),
             b'E' if self.error.is_none() => self.error = Some(server_error(frame)),
-            b'S' => self.point = point(frame).or(self.point),
-            b'Z' => self.open = frame.body().first() != Some(&b'I'),
+            b'S' => self.point = reported_point(frame).or(self.point),
+            b'Z' => self.in_transaction = frame.body().first() != Some(&b'I'),
             _ => {}
         }
         frame.tag == b'Z'
     }
 }
 
-/// What a server says, beside an answer, that the answer shows or has reached.
-pub fn point(frame: &Frame) -> Option<Point> {
+/// Returns the point that a message reports as shown or reached by the answer; `None` for other
+/// messages.
+pub fn reported_point(frame: &Frame) -> Option<Point> {
     match frame.backend().ok()? {
-        PgWireBackendMessage::ParameterStatus(setting) if setting.name == border::POINT_SETTING => {
-            border::parse_point(&setting.value).ok()
+        PgWireBackendMessage::ParameterStatus(setting)
+            if setting.name == protocol::POINT_SETTING =>
+        {
+            protocol::parse_point(&setting.value).ok()
         }
         _ => None,
     }
 }
 
+/// Returns the command tag of a `CommandComplete` message.
 fn complete_tag(frame: &Frame) -> Box<str> {
     match frame.backend() {
         Ok(PgWireBackendMessage::CommandComplete(complete)) => complete.tag.into(),
@@ -243,12 +253,12 @@
     ServerError { code, text: error_text(frame).into() }
 }
 
-/// A simple query as bytes.
+/// Encodes a simple query.
 pub fn query(sql: &str) -> Bytes {
     frame::bytes(&Query::new(sql.to_owned()))
 }
 
-/// The first column of a row, when it is text and not null.
+/// Returns the first column of a row; `None` if it is null or not valid UTF-8.
 pub fn first_column(frame: &Frame) -> Option<Box<str>> {
     let mut body = frame.body();
     if body.remaining() < 6 || body.get_i16() < 1 {
@@ -259,15 +269,15 @@
     std::str::from_utf8(bytes).ok().map(Into::into)
 }
 
-/// The message of an error, for people.
+/// Returns the message of an error, for people.
 pub fn error_text(frame: &Frame) -> String {
     match frame.backend() {
-        Ok(PgWireBackendMessage::ErrorResponse(error)) => text_of(&error.fields),
+        Ok(PgWireBackendMessage::ErrorResponse(error)) => error_message(&error.fields),
         _ => "an error that could not be read".into(),
     }
 }
 
-/// The SQLSTATE of an error.
+/// Returns the SQLSTATE code of an error.
 pub fn error_code(frame: &Frame) -> Option<String> {
     match frame.backend() {
         Ok(PgWireBackendMessage::ErrorResponse(error)) => {
@@ -277,7 +287,7 @@
     }
 }
 
-fn text_of(fields: &[(u8, String)]) -> String {
+fn error_message(fields: &[(u8, String)]) -> String {
     let message = fields.iter().find(|(kind, _)| *kind == b'M');
     message.map_or_else(|| "an error without a message".into(), |(_, text)| text.clone())
 }
