--- a/components/proxy/src/backend.rs
+++ b/components/proxy/src/backend.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, io, time::Duration};
 
 use anyhow::Context;
-use bergamottrack_adapter::wire::{self, Answers};
+use bergamottrack_adapter::wire::{self, AnswerReader};
 use bergamottrack_coordination::{AccountId, ServerId};
 use bergamottrack_model::{
     Failure, Listed, ServerAnswer, State, session::Carried, statement::Shape,
@@ -46,7 +46,7 @@
 pub struct Backend {
     io: TcpStreamPoll,
     buf: BytesMut,
-    answers: Answers,
+    answers: AnswerReader,
     /// What is to be written with the next exchange.
     pub out: BytesMut,
     /// Answers that come before the one that is waited for.
@@ -81,7 +81,7 @@
         let mut backend = Self {
             io,
             buf: BytesMut::new(),
-            answers: Answers::default(),
+            answers: AnswerReader::default(),
             out: BytesMut::new(),
             ahead: 0,
             account: account.clone(),
@@ -92,7 +92,7 @@
         let started = monoio::time::timeout(START_WITHIN, backend.exchange()).await;
         match started {
             Ok(Ok(_)) => Ok(backend),
-            Ok(Err(error)) => match backend.answers.refused() {
+            Ok(Err(error)) => match backend.answers.refusal() {
                 Some(failure) => Err(OpenError::Rejected(failure)),
                 None => Err(OpenError::Silent(error)),
             },
--- a/components/proxy/src/caller.rs
+++ b/components/proxy/src/caller.rs
@@ -3,7 +3,7 @@
 use std::{io, rc::Rc, time::Duration};
 
 use anyhow::Context;
-use bergamottrack_adapter::wire::{self, FromCaller, Lines, WireError};
+use bergamottrack_adapter::wire::{self, CallerMessage, LineReader, WireError};
 use bergamottrack_model::{Failure, State};
 use bytes::{Bytes, BytesMut};
 use futures_util::FutureExt;
@@ -50,7 +50,7 @@
 struct Connection {
     io: TcpStreamPoll,
     buf: BytesMut,
-    lines: Lines,
+    lines: LineReader,
     out: BytesMut,
     phase: watch::Receiver<Phase>,
 }
@@ -75,7 +75,7 @@
     let mut connection = Connection {
         io: configure(stream).context("configuring a caller's connection")?,
         buf: BytesMut::new(),
-        lines: Lines::default(),
+        lines: LineReader::default(),
         out: BytesMut::new(),
         phase: host.phase.subscribe(),
     };
@@ -90,12 +90,12 @@
         let timeout = session.idle_timeout();
         match connection.next_event(session.state() == State::Idle, timeout).await? {
             Event::Line(line) => match wire::decode_caller(&line) {
-                Ok(FromCaller::Query(request)) => {
+                Ok(CallerMessage::Query(request)) => {
                     session.answer(&request, &mut connection.out).await
                 }
-                Ok(FromCaller::Unreadable) => session.answer_malformed(&mut connection.out),
-                Ok(FromCaller::Bye) => return Ok(()),
-                Ok(FromCaller::Start { .. }) | Err(_) => {
+                Ok(CallerMessage::Malformed) => session.answer_malformed(&mut connection.out),
+                Ok(CallerMessage::Bye) => return Ok(()),
+                Ok(CallerMessage::Start { .. }) | Err(_) => {
                     let refusal = Refusal::new(Failure::Malformed, "an unknown message");
                     return connection.close_with(&refusal).await;
                 }
@@ -124,7 +124,7 @@
             }
             Event::Closed | Event::IdleTimeout | Event::Shutdown => return Ok(None),
         };
-        if let Ok(FromCaller::Start { database, key }) = wire::decode_caller(&line) {
+        if let Ok(CallerMessage::Start { database, key }) = wire::decode_caller(&line) {
             return Ok(Some((database, key)));
         }
         self.close_with(&Refusal::new(Failure::Malformed, "no session was begun")).await?;
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -73,7 +73,7 @@
                 let feed = store::follow(&client, table, version, wait, STORE_WITHIN).await;
                 match feed {
                     Ok(Feed::Changed(rows)) => Ok((rows, false)),
-                    Ok(Feed::Forgotten) => {
+                    Ok(Feed::Truncated) => {
                         info!(%table, version, "store: the history is gone, reading anew");
                         after = None;
                         continue;
