--- a/components/entry/src/caller.rs
+++ b/components/entry/src/caller.rs
@@ -7,7 +7,7 @@
 use bergamottrack_peer::Question;
 use bergamottrack_pg::{
     answer::{self, Severity},
-    budget::Full,
+    budget::BudgetExhausted,
     stream::{self, Stream},
 };
 use monoio::{io::IntoPollIo, net::TcpStream, time::Instant};
@@ -164,7 +164,7 @@
 
 /// The refusal of a message for which there is no memory.
 pub fn too_much() -> Refusal {
-    Refusal::not_run(Reason::Overload, Some(COME_BACK), Full.to_string())
+    Refusal::not_run(Reason::Overload, Some(COME_BACK), BudgetExhausted.to_string())
 }
 
 /// The refusal of a host that is being stopped; another host serves at once.
--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -12,7 +12,7 @@
 use bergamottrack_pg::{
     Frame, PgReader, PgWriter,
     answer::{self, Severity},
-    budget::{Charge, Full},
+    budget::{BudgetExhausted, Charge},
     frame,
     stream::Stream,
 };
@@ -156,7 +156,7 @@
                 Ok(None) => return Ok(()),
                 // Said goodbye to.
                 Err(error) if error.is::<Refusal>() => return Err(error),
-                Err(error) if error.is::<Full>() => {
+                Err(error) if error.is::<BudgetExhausted>() => {
                     self.exchange = None;
                     let refusal = answer::refusal(Severity::Fatal, &caller::too_much());
                     self.send(&refusal).await?;
@@ -193,19 +193,19 @@
     /// goodbye instead; a request that crosses that on its way is still served.
     async fn next(&mut self) -> anyhow::Result<Option<Frame>> {
         if self.exchange.is_some() {
-            return self.reader.next_within(MESSAGE_WITHIN).await;
+            return self.reader.next_timeout(MESSAGE_WITHIN).await;
         }
         if let Some(frame) = self.reader.ready()? {
             return Ok(Some(frame));
         }
         monoio::select! {
-            frame = self.reader.next_within(MESSAGE_WITHIN) => return frame,
+            frame = self.reader.next_timeout(MESSAGE_WITHIN) => return frame,
             _ = self.seat.leaving() => {}
         }
         // A caller without pauses would be served for ever, so this is done once.
         let wait = if self.told { Duration::ZERO } else { CROSSING };
         self.told = true;
-        let frame = monoio::time::timeout(wait, self.reader.next_within(MESSAGE_WITHIN)).await;
+        let frame = monoio::time::timeout(wait, self.reader.next_timeout(MESSAGE_WITHIN)).await;
         if let Ok(frame) = frame {
             return frame;
         }
--- a/components/fleet/src/roster.rs
+++ b/components/fleet/src/roster.rs
@@ -3,7 +3,7 @@
 use anyhow::Context;
 use bergamottrack_contract::Host;
 use bergamottrack_coordination::HostId;
-use bergamottrack_platform::chain::Appended;
+use bergamottrack_platform::chain::AppendOutcome;
 use tracing::info;
 
 use crate::fleet::{Fleet, new_submit};
@@ -77,7 +77,7 @@
         if doc.roster == doc.before {
             return Ok(());
         }
-        if self.chain.append(&doc).await? == Appended::Yes {
+        if self.chain.append(&doc).await? == AppendOutcome::Accepted {
             if doc.before.is_empty() && before.is_none() {
                 self.limits.begin();
             }
--- a/components/fleet/src/rounds.rs
+++ b/components/fleet/src/rounds.rs
@@ -117,11 +117,11 @@
     pub(crate) async fn keep_told(&self) -> anyhow::Result<()> {
         let told = self.told.get();
         if told < self.current.number() {
-            let marked = self.chain.told().await?;
+            let marked = self.chain.propagated().await?;
             self.marked.set(marked.max(self.marked.get()));
             self.learn_told(marked);
         } else if self.marked.get() < told {
-            self.chain.mark_told(told).await?;
+            self.chain.mark_propagated(told).await?;
             self.marked.set(told);
         }
         Ok(())
--- a/components/fleet/src/submit.rs
+++ b/components/fleet/src/submit.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_contract::{Config, RevisionDoc};
 use bergamottrack_coordination::{HostId, Revision, SubmitId};
-use bergamottrack_platform::chain::{Appended, Entry};
+use bergamottrack_platform::chain::{AppendOutcome, Entry};
 
 use crate::{fleet::Fleet, rounds};
 
@@ -114,7 +114,7 @@
             self.check_told().await.map_err(SubmitError::NoMajority)?;
             let doc = self.draft_config(before.as_deref(), submit.clone(), author, config.clone());
             let number = doc.number;
-            if self.send(&doc).await? == Appended::Yes {
+            if self.send(&doc).await? == AppendOutcome::Accepted {
                 self.adopt(doc);
                 return self.settle(number).await;
             }
@@ -148,7 +148,7 @@
     }
 
     /// Moves the chain on; an answer that was lost is asked for again.
-    async fn send(&self, doc: &RevisionDoc) -> Result<Appended, SubmitError> {
+    async fn send(&self, doc: &RevisionDoc) -> Result<AppendOutcome, SubmitError> {
         let mut tries = 0;
         loop {
             tries += 1;
--- a/components/pg/src/answer.rs
+++ b/components/pg/src/answer.rs
@@ -85,13 +85,13 @@
 }
 
 /// The words that say when to come back.
-pub fn come_back(after: Duration) -> String {
+pub fn retry_hint(after: Duration) -> String {
     format!("Come back in {} ms.", after.as_millis().max(1))
 }
 
 /// The answer to a refused request.
 pub fn refusal(severity: Severity, refusal: &Refusal) -> Bytes {
-    let hint = refusal.retry.map(come_back);
+    let hint = refusal.retry.map(retry_hint);
     let detail = fate(refusal.fate);
     error(severity, code(refusal), &refusal.message, Some(detail), hint.as_deref())
 }
--- a/components/pg/src/budget.rs
+++ b/components/pg/src/budget.rs
@@ -3,7 +3,7 @@
 use std::{cell::Cell, fmt, rc::Rc};
 
 /// Bytes that each connection may hold beside the budget.
-const FREE: usize = 64 << 10;
+const FREE_PER_CONNECTION: usize = 64 << 10;
 
 /// Bytes that all connections together may hold of what they are being sent.
 ///
@@ -17,15 +17,15 @@
 
 /// There is no room for what a connection is being sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Full;
+pub struct BudgetExhausted;
 
-impl fmt::Display for Full {
+impl fmt::Display for BudgetExhausted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("too many large messages are on their way to this host")
     }
 }
 
-impl std::error::Error for Full {}
+impl std::error::Error for BudgetExhausted {}
 
 /// What one connection holds; given back when it is dropped.
 #[derive(Debug)]
@@ -49,11 +49,11 @@
 
 impl Charge {
     /// The connection now holds `bytes`; an error, and no change, when there is no room.
-    pub fn set(&mut self, bytes: usize) -> Result<(), Full> {
-        let bytes = bytes.saturating_sub(FREE);
+    pub fn set(&mut self, bytes: usize) -> Result<(), BudgetExhausted> {
+        let bytes = bytes.saturating_sub(FREE_PER_CONNECTION);
         let used = self.budget.used.get() - self.bytes + bytes;
         if bytes > self.bytes && used > self.budget.limit {
-            return Err(Full);
+            return Err(BudgetExhausted);
         }
         self.budget.used.set(used);
         self.bytes = bytes;
--- a/components/pg/src/frame.rs
+++ b/components/pg/src/frame.rs
@@ -64,7 +64,7 @@
         let mut context = DecodeContext::default();
         context.awaiting_frontend_ssl = false;
         context.awaiting_frontend_startup = false;
-        guarded(|| decode(&mut BytesMut::from(&self.raw[..]), &context))
+        catch_panic(|| decode(&mut BytesMut::from(&self.raw[..]), &context))
             .with_context(|| format!("reading a message of kind {:?}", self.tag as char))?
             .context("a message ended early")
     }
@@ -74,7 +74,7 @@
 ///
 /// One caller's garbage would otherwise end the process and all callers with it.
 /// Nothing is shared with the codec but the bytes, which are dropped.
-pub(crate) fn guarded<T>(decode: impl FnOnce() -> PgWireResult<T>) -> anyhow::Result<T> {
+pub(crate) fn catch_panic<T>(decode: impl FnOnce() -> PgWireResult<T>) -> anyhow::Result<T> {
     let result = panic::catch_unwind(AssertUnwindSafe(decode));
     let result = result.map_err(|_| anyhow::anyhow!("the message is damaged"))?;
     Ok(result?)
--- a/components/pg/src/scram.rs
+++ b/components/pg/src/scram.rs
@@ -65,19 +65,19 @@
         let header = STANDARD.decode(attribute(fields.next(), "c=")?).context("bad header")?;
         ensure!(header == self.header.as_bytes(), "the key exchange changed its header");
         ensure!(attribute(fields.next(), "r=")? == &*self.nonce, "the nonce was changed");
-        let signed = format!("{},{},{bare}", self.first, self.challenge);
+        let auth_message = format!("{},{},{bare}", self.first, self.challenge);
         let proof: [u8; 32] = STANDARD
             .decode(proof)
             .ok()
             .and_then(|bytes| bytes.try_into().ok())
             .context("the proof is damaged")?;
-        let mask = verifier::hmac(&self.verifier.stored, signed.as_bytes());
+        let mask = verifier::hmac(&self.verifier.stored, auth_message.as_bytes());
         let mut client = proof;
         client.iter_mut().zip(mask).for_each(|(byte, m)| *byte ^= m);
         let stored: [u8; 32] = Sha256::digest(client).into();
         // Both sides are hashes of secrets, so the time of the comparison tells nothing.
         ensure!(stored == self.verifier.stored, "the key does not match");
-        let answer = verifier::hmac(&self.verifier.server, signed.as_bytes());
+        let answer = verifier::hmac(&self.verifier.server, auth_message.as_bytes());
         Ok(format!("v={}", STANDARD.encode(answer)))
     }
 }
--- a/components/pg/src/stream.rs
+++ b/components/pg/src/stream.rs
@@ -95,9 +95,9 @@
     /// The next message, which must be whole soon after its first byte.
     ///
     /// Guards against a sender that holds memory with a message it never ends.
-    pub async fn next_within(&mut self, limit: Duration) -> anyhow::Result<Option<Frame>> {
+    pub async fn next_timeout(&mut self, limit: Duration) -> anyhow::Result<Option<Frame>> {
         // Until now the message before was still in use.
-        self.count(self.buf.len())?;
+        self.update_charge(self.buf.len())?;
         if self.buf.is_empty() && !self.fill().await? {
             return Ok(None);
         }
@@ -136,7 +136,7 @@
         context.awaiting_frontend_ssl = !tls_done;
         loop {
             let buf = &mut self.buf;
-            let message = frame::guarded(|| PgWireFrontendMessage::decode(buf, &context))
+            let message = frame::catch_panic(|| PgWireFrontendMessage::decode(buf, &context))
                 .context("reading the start-up message")?;
             match message {
                 Some(PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None)) => {
@@ -151,12 +151,12 @@
         }
     }
 
-    fn count(&mut self, bytes: usize) -> anyhow::Result<()> {
+    fn update_charge(&mut self, bytes: usize) -> anyhow::Result<()> {
         Ok(self.charge.as_mut().map_or(Ok(()), |charge| charge.set(bytes))?)
     }
 
     async fn fill(&mut self) -> anyhow::Result<bool> {
-        self.count(self.buf.len() + READ_CHUNK)?;
+        self.update_charge(self.buf.len() + READ_CHUNK)?;
         self.buf.reserve(READ_CHUNK);
         let n = self.io.read_buf(&mut self.buf).await.context("reading from the stream")?;
         Ok(n > 0)
--- a/components/platform/src/chain.rs
+++ b/components/platform/src/chain.rs
@@ -10,13 +10,13 @@
 use bergamottrack_coordination::{Revision, SubmitId};
 use serde::{Deserialize, Serialize};
 
-use crate::client::{Check, Commit, Listed, Outcome, Platform, Put, Row};
+use crate::client::{Check, Commit, Machine, Outcome, Platform, Put, Row};
 
 const HEAD: &str = "head";
 
 /// The row with the newest revision known to majorities. A host that cannot
 /// reach its peers learns from it when it may use its part of the rates.
-const TOLD: &str = "told";
+const PROPAGATED: &str = "told";
 
 /// The row that names the newest revision.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -29,11 +29,11 @@
 
 /// What became of an attempt to move the chain on.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Appended {
+pub enum AppendOutcome {
     /// The revision is the newest, or was.
-    Yes,
+    Accepted,
     /// Another came first.
-    Lost,
+    Conflict,
 }
 
 /// A line of the history.
@@ -92,7 +92,7 @@
     /// After an error it may have moved: call again with the same document. The
     /// same id is never applied twice, and a change that was not applied is
     /// answered as lost once the head has moved on.
-    pub async fn append(&self, doc: &RevisionDoc) -> anyhow::Result<Appended> {
+    pub async fn append(&self, doc: &RevisionDoc) -> anyhow::Result<AppendOutcome> {
         let row = self.platform.row(HEAD).await.context("reading the head of the chain")?;
         let newest = parse_head(&row)?.map(|head| head.number).unwrap_or_default();
         let bytes = serde_json::to_vec(doc).context("writing a revision")?;
@@ -103,18 +103,18 @@
         self.platform.put_object(&object, bytes.into()).await?;
         let outcome = self.platform.commit(&step(doc, &row, object)?).await?;
         Ok(match outcome {
-            Outcome::Applied => Appended::Yes,
-            Outcome::Conflict => Appended::Lost,
+            Outcome::Applied => AppendOutcome::Accepted,
+            Outcome::Conflict => AppendOutcome::Conflict,
         })
     }
 
     /// Settles whether `doc` came into the chain at its number: a lost answer is
     /// told from a lost race by the document's own object.
-    async fn settle(&self, doc: &RevisionDoc, object: &str) -> anyhow::Result<Appended> {
+    async fn settle(&self, doc: &RevisionDoc, object: &str) -> anyhow::Result<AppendOutcome> {
         let entry = self.entry(doc.number).await?;
         Ok(match entry {
-            Some(entry) if &*entry.object == object => Appended::Yes,
-            _ => Appended::Lost,
+            Some(entry) if &*entry.object == object => AppendOutcome::Accepted,
+            _ => AppendOutcome::Conflict,
         })
     }
 
@@ -128,29 +128,29 @@
     }
 
     /// The newest revision that was told to majorities, as far as marked.
-    pub async fn told(&self) -> anyhow::Result<Revision> {
-        let row = self.platform.row(TOLD).await.context("reading what was told")?;
-        parse_told(&row)
+    pub async fn propagated(&self) -> anyhow::Result<Revision> {
+        let row = self.platform.row(PROPAGATED).await.context("reading what was told")?;
+        parse_propagated(&row)
     }
 
     /// Marks a revision as told to majorities, unless a newer one is.
     ///
     /// Losing a race is well: the other host marked this one or a newer one, or
     /// the next call does.
-    pub async fn mark_told(&self, number: Revision) -> anyhow::Result<()> {
-        let row = self.platform.row(TOLD).await.context("reading what was told")?;
-        if parse_told(&row)? >= number {
+    pub async fn mark_propagated(&self, number: Revision) -> anyhow::Result<()> {
+        let row = self.platform.row(PROPAGATED).await.context("reading what was told")?;
+        if parse_propagated(&row)? >= number {
             return Ok(());
         }
-        let put = Put { key: TOLD.into(), value: number.to_string().into() };
-        let check = Check { key: TOLD.into(), version: row.version };
+        let put = Put { key: PROPAGATED.into(), value: number.to_string().into() };
+        let check = Check { key: PROPAGATED.into(), version: row.version };
         let id = format!("told-{number}-{}", row.version).into();
         let commit = Commit { id, checks: vec![check], puts: vec![put] };
         self.platform.commit(&commit).await.context("marking what was told").map(drop)
     }
 
     /// The platform's list of machines, some time late.
-    pub async fn listed(&self) -> anyhow::Result<Vec<Listed>> {
+    pub async fn listed(&self) -> anyhow::Result<Vec<Machine>> {
         self.platform.listed().await.context("reading the list of machines")
     }
 
@@ -180,7 +180,7 @@
     format!("submit-{submit}")
 }
 
-fn parse_told(row: &Row) -> anyhow::Result<Revision> {
+fn parse_propagated(row: &Row) -> anyhow::Result<Revision> {
     if row.version == 0 {
         return Ok(Revision::default());
     }
--- a/components/platform/src/client.rs
+++ b/components/platform/src/client.rs
@@ -61,7 +61,7 @@
 
 /// A machine as the platform's list shows it, some time late.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listed {
+pub struct Machine {
     /// Name of the host or backend server.
     pub id: Box<str>,
     /// Whether it is about to leave.
@@ -123,7 +123,7 @@
     }
 
     /// The list of machines, some time late.
-    pub async fn listed(&self) -> anyhow::Result<Vec<Listed>> {
+    pub async fn listed(&self) -> anyhow::Result<Vec<Machine>> {
         parse(&self.call(Method::GET, "/hosts", &[], Bytes::new()).await?)
     }
 
--- a/components/platform/src/http.rs
+++ b/components/platform/src/http.rs
@@ -20,7 +20,7 @@
 ///
 /// Guards against a connection that goes silent within an answer. The whole answer has no
 /// limit: one that is large for its link would be given up and begun anew for ever.
-const PART_WITHIN: Duration = Duration::from_secs(1);
+const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An answer.
 pub struct Response {
@@ -71,15 +71,15 @@
     within: Duration,
 ) -> Result<Response, HttpError> {
     let deadline = Instant::now() + within;
-    let late = || std::io::Error::from(std::io::ErrorKind::TimedOut);
+    let timed_out = || std::io::Error::from(std::io::ErrorKind::TimedOut);
     let stream = monoio::time::timeout_at(deadline, TcpStream::connect(address))
         .await
-        .unwrap_or_else(|_| Err(late()))
+        .unwrap_or_else(|_| Err(timed_out()))
         .map_err(|error| HttpError::Unreachable { address, error })?;
     let what = format!("{} {}", call.method, call.path);
     let whole = async {
         let answered = monoio::time::timeout_at(deadline, exchange(address, stream, call));
-        collect(answered.await.unwrap_or_else(|_| Err(late().into()))?).await
+        collect(answered.await.unwrap_or_else(|_| Err(timed_out().into()))?).await
     };
     whole.await.context(what).map_err(|error| HttpError::NoAnswer { address, error })
 }
@@ -116,7 +116,7 @@
 pub struct Client {
     address: SocketAddr,
     /// The connection while no call uses it.
-    kept: RefCell<Option<Sender>>,
+    idle: RefCell<Option<Sender>>,
     /// Calls made, for the metrics.
     pub calls: Cell<u64>,
 }
@@ -124,7 +124,7 @@
 impl Client {
     /// A client that connects with its first call.
     pub fn new(address: SocketAddr) -> Self {
-        Self { address, kept: RefCell::default(), calls: Cell::default() }
+        Self { address, idle: RefCell::default(), calls: Cell::default() }
     }
 
     /// Sends a request and reads the whole answer, which begins `within` that time and
@@ -144,9 +144,9 @@
         let what = format!("{method} {path} at {}", self.address);
         let answered = monoio::time::timeout(within, self.send(method, path, headers, body));
         let whole = async {
-            let (sender, response) = answered.await.unwrap_or_else(|_| Err(late()))?;
+            let (sender, response) = answered.await.unwrap_or_else(|_| Err(timed_out()))?;
             let response = collect(response).await?;
-            *self.kept.borrow_mut() = Some(sender);
+            *self.idle.borrow_mut() = Some(sender);
             anyhow::Ok(response)
         };
         whole.await.context(what)
@@ -160,8 +160,8 @@
         headers: &[(&'static str, &str)],
         body: Bytes,
     ) -> anyhow::Result<(Sender, hyper::Response<Incoming>)> {
-        let kept = self.kept.borrow_mut().take();
-        let mut sender = match kept.filter(|sender| sender.is_ready()) {
+        let idle = self.idle.borrow_mut().take();
+        let mut sender = match idle.filter(|sender| sender.is_ready()) {
             Some(sender) => sender,
             None => connect(self.address).await?,
         };
@@ -176,18 +176,18 @@
     }
 }
 
-fn late() -> anyhow::Error {
+fn timed_out() -> anyhow::Error {
     std::io::Error::from(std::io::ErrorKind::TimedOut).into()
 }
 
-/// Reads an answer whose parts may each take [`PART_WITHIN`].
+/// Reads an answer whose parts may each take [`READ_TIMEOUT`].
 async fn collect(response: hyper::Response<Incoming>) -> anyhow::Result<Response> {
     let status = response.status();
     let mut parts = Limited::new(response.into_body(), MAX_BODY);
     let mut body = BytesMut::new();
     loop {
-        let part = monoio::time::timeout(PART_WITHIN, parts.frame()).await;
-        let part = part.map_err(|_| late()).context("reading the answer")?;
+        let part = monoio::time::timeout(READ_TIMEOUT, parts.frame()).await;
+        let part = part.map_err(|_| timed_out()).context("reading the answer")?;
         let Some(part) = part else { return Ok(Response { status, body: body.freeze() }) };
         let part = part.map_err(|error| anyhow::anyhow!("reading the answer: {error}"))?;
         if let Ok(data) = part.into_data() {
@@ -198,10 +198,10 @@
 
 /// How long a connection to the platform may take to come up. Between machines
 /// of one region it takes milliseconds; a lost first packet is sent again after one second.
-const CONNECT_WITHIN: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 async fn connect(address: SocketAddr) -> anyhow::Result<Sender> {
-    let stream = monoio::time::timeout(CONNECT_WITHIN, TcpStream::connect(address))
+    let stream = monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .context("connecting")?
         .context("connecting")?;
--- a/lab/src/platform/store.rs
+++ b/lab/src/platform/store.rs
@@ -7,7 +7,7 @@
 };
 
 use bergamottrack_operator::Reply;
-use bergamottrack_platform::{Commit, Outcome, Row, client::Listed};
+use bergamottrack_platform::{Commit, Outcome, Row, client::Machine};
 use bytes::Bytes;
 use hyper::StatusCode;
 use serde::Deserialize;
@@ -39,7 +39,7 @@
     before: BTreeMap<Box<str>, (u64, Box<str>)>,
     commits: HashMap<Box<str>, Outcome>,
     objects: HashMap<Box<str>, Bytes>,
-    lists: Vec<(Instant, Vec<Listed>)>,
+    lists: Vec<(Instant, Vec<Machine>)>,
 }
 
 impl Store {
@@ -132,7 +132,7 @@
     }
 
     /// The list as it stood some time ago.
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<Machine> {
         let lag = Duration::from_millis(self.faults.list_lag_ms);
         let old = self.lists.iter().rev().find(|(at, _)| at.elapsed() >= lag);
         old.map(|(_, list)| list.clone()).unwrap_or_default()
