--- a/components/proxy/src/change.rs
+++ b/components/proxy/src/change.rs
@@ -8,8 +8,8 @@
 
 use anyhow::{Context, bail};
 use bergamottrack_adapter::{
-    promotion::{self, PromotionOutcome},
-    store::{self, Change, ChangeOutcome},
+    promotion::{self, Outcome},
+    store::{self, Change, TxOutcome},
 };
 use bergamottrack_coordination::{
     GroupId, HostId, Point, ServerId, Term,
@@ -84,9 +84,9 @@
         };
         let verdict = store::change(&client, &change, STORE_WITHIN).await;
         let intent = match verdict {
-            Ok(ChangeOutcome::Applied(version)) => Some(version),
-            Ok(ChangeOutcome::Conflict) => None,
-            Ok(ChangeOutcome::Refused) => bail!("the store has no capacity"),
+            Ok(TxOutcome::Applied(version)) => Some(version),
+            Ok(TxOutcome::Conflict) => None,
+            Ok(TxOutcome::Refused) => bail!("the store has no capacity"),
             // The answer is lost; what the store holds tells.
             Err(error) => {
                 let view = fleet::read(&client).await.context(error)?;
@@ -275,7 +275,7 @@
         let error = said.as_ref().err().map(tracing::field::display);
         let answer = said.as_ref().ok();
         info!(group = %id, %server, token, ?answer, error, "promotion: asked for");
-        let nothing = matches!(said, Ok(PromotionOutcome::Refused | PromotionOutcome::Unavailable));
+        let nothing = matches!(said, Ok(Outcome::Refused | Outcome::Unavailable));
         if said.is_ok() {
             // Without an answer the call may still be on its way.
             self.free_duty(host, group, token, nothing).await;
@@ -327,7 +327,7 @@
             remove: Vec::new(),
         };
         let verdict = store::change(&self.client, &change, STORE_WITHIN).await?;
-        let ChangeOutcome::Applied(token) = verdict else { return Ok(None) };
+        let TxOutcome::Applied(token) = verdict else { return Ok(None) };
         info!(group = %group.id, token, closed = %after, "duty: taken");
         Ok(Some((token, began + CALL_DEADLINE)))
     }
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -6,7 +6,7 @@
 };
 
 use anyhow::Context;
-use bergamottrack_adapter::store::{self, Change, ChangeOutcome, Rows, Table};
+use bergamottrack_adapter::store::{self, Change, Rows, Table, TxOutcome};
 use bergamottrack_contract as contract;
 use bergamottrack_coordination::{
     Clock, FailureDomain, GroupId, HostId, hubs,
@@ -184,7 +184,7 @@
 }
 
 /// Writes a secret, unless another host was first: it is read again in any case.
-async fn draw_secret(client: &Client) -> anyhow::Result<ChangeOutcome> {
+async fn draw_secret(client: &Client) -> anyhow::Result<TxOutcome> {
     let drawn = format!("{:032x}", rand::random::<u128>());
     let change = Change {
         expect: vec![(SECRET.into(), 0)],
@@ -264,7 +264,7 @@
     let value = serde_json::to_vec(&member)?;
     let put = vec![(member_key(&settings.host), value)];
     let verdict = store::change(client, &Change { put, ..Change::default() }, STORE_WITHIN).await?;
-    anyhow::ensure!(matches!(verdict, ChangeOutcome::Applied(_)), "the store said {verdict:?}");
+    anyhow::ensure!(matches!(verdict, TxOutcome::Applied(_)), "the store said {verdict:?}");
     info!(place = member.place, "fleet: joined");
     Ok(())
 }
