--- a/components/platform/src/chain.rs
+++ b/components/platform/src/chain.rs
@@ -1,4 +1,4 @@
-//! The chain of revisions in the table service, moved on by compare-and-swap.
+//! Chain of revisions in the table service, extended by compare-and-swap.
 
 use std::{
     hash::{DefaultHasher, Hash, Hasher},
@@ -12,66 +12,67 @@
 
 use crate::client::{Check, Commit, Machine, Outcome, Platform, Put, Row};
 
+/// Key of the row with the [`Head`] of the chain.
 const HEAD: &str = "head";
 
-/// The row with the newest revision known to majorities. A host that cannot
-/// reach its peers learns from it when it may use its part of the rates.
+/// Key of the row with the newest revision known to have been propagated to the majorities. A
+/// host that cannot reach its peers reads from it when it may use its share of the rates.
 const PROPAGATED: &str = "told";
 
-/// The row that names the newest revision.
+/// Head of the chain: the newest revision.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Head {
-    /// Its number.
+    /// Number of the revision.
     pub number: Revision,
-    /// The object that holds it.
+    /// Key of the object that holds the revision.
     pub object: Box<str>,
 }
 
-/// What became of an attempt to move the chain on.
+/// Outcome of an attempt to append a revision.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum AppendOutcome {
-    /// The revision is the newest, or was.
+    /// The revision is in the chain: it is the newest one, or was.
     Accepted,
-    /// Another came first.
+    /// Another revision was appended first.
     Conflict,
 }
 
-/// A line of the history.
+/// Entry of the history, one for each revision.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entry {
     /// Number of the revision.
     pub number: Revision,
-    /// The submit that made it.
+    /// Submit that made the revision.
     pub submit: SubmitId,
-    /// Who made it.
+    /// Author of the revision.
     pub author: Box<str>,
-    /// When, in seconds since 1970.
+    /// Time at which the revision was made, in seconds since 1970.
     pub at: u64,
-    /// The revision that brought the configuration in it.
+    /// Revision that introduced the configuration of this one.
     pub config_revision: Revision,
-    /// The object that holds it.
+    /// Key of the object that holds the revision.
     pub object: Box<str>,
 }
 
-/// The chain of revisions.
+/// Chain of revisions in the table service.
 #[derive(Clone, Debug)]
 pub struct Chain {
     platform: Rc<Platform>,
 }
 
 impl Chain {
-    /// The chain that stands in this platform.
+    /// Creates a client of the chain stored in `platform`.
     pub fn new(platform: Rc<Platform>) -> Self {
         Self { platform }
     }
 
-    /// The newest revision's head; `None` before the first revision.
+    /// Reads the head of the chain; `None` before the first revision.
     pub async fn head(&self) -> anyhow::Result<Option<Head>> {
         let row = self.platform.row(HEAD).await.context("reading the head of the chain")?;
         parse_head(&row)
     }
 
-    /// Reads the revision that a head names.
+    /// Reads the revision at `head`.
     pub async fn load(&self, head: &Head) -> anyhow::Result<RevisionDoc> {
         let bytes = self.platform.object(&head.object).await;
         let bytes = bytes.with_context(|| format!("reading revision {}", head.number))?;
@@ -87,30 +88,30 @@
         Ok(doc)
     }
 
-    /// Moves the chain on to `doc` if the newest is still the one before it.
+    /// Appends `doc` if the newest revision is still its predecessor.
     ///
-    /// After an error it may have moved: call again with the same document. The
-    /// same id is never applied twice, and a change that was not applied is
-    /// answered as lost once the head has moved on.
+    /// After an error the revision may have been appended; the call can be repeated with the same
+    /// document. The platform never applies a commit id twice, and a revision that was not
+    /// appended gets [`AppendOutcome::Conflict`] once the head has advanced.
     pub async fn append(&self, doc: &RevisionDoc) -> anyhow::Result<AppendOutcome> {
         let row = self.platform.row(HEAD).await.context("reading the head of the chain")?;
         let newest = parse_head(&row)?.map(|head| head.number).unwrap_or_default();
         let bytes = serde_json::to_vec(doc).context("writing a revision")?;
         let object = object_key(doc, &bytes);
         if newest.next() != doc.number {
-            return self.settle(doc, &object).await;
+            return self.resolve(doc, &object).await;
         }
         self.platform.put_object(&object, bytes.into()).await?;
-        let outcome = self.platform.commit(&step(doc, &row, object)?).await?;
+        let outcome = self.platform.commit(&append_commit(doc, &row, object)?).await?;
         Ok(match outcome {
             Outcome::Applied => AppendOutcome::Accepted,
             Outcome::Conflict => AppendOutcome::Conflict,
         })
     }
 
-    /// Settles whether `doc` came into the chain at its number: a lost answer is
-    /// told from a lost race by the document's own object.
-    async fn settle(&self, doc: &RevisionDoc, object: &str) -> anyhow::Result<AppendOutcome> {
+    /// Determines whether `doc` is in the chain at its number. The key of its object distinguishes
+    /// an append whose answer was lost from a conflict.
+    async fn resolve(&self, doc: &RevisionDoc, object: &str) -> anyhow::Result<AppendOutcome> {
         let entry = self.entry(doc.number).await?;
         Ok(match entry {
             Some(entry) if &*entry.object == object => AppendOutcome::Accepted,
@@ -118,7 +119,7 @@
         })
     }
 
-    /// The revision that a submit made, if it has made one.
+    /// Returns the revision that a submit made; `None` if it has made none.
     pub async fn submitted(&self, submit: &SubmitId) -> anyhow::Result<Option<Revision>> {
         let row = self.platform.row(&submit_key(submit)).await.context("reading a submit")?;
         if row.version == 0 {
@@ -127,18 +128,18 @@
         row.value.parse().map(Some).context("reading a submit")
     }
 
-    /// The newest revision that was told to majorities, as far as marked.
+    /// Returns the newest revision marked as propagated to the majorities.
     pub async fn propagated(&self) -> anyhow::Result<Revision> {
-        let row = self.platform.row(PROPAGATED).await.context("reading what was told")?;
+        let row = self.platform.row(PROPAGATED).await.context("reading the propagated revision")?;
         parse_propagated(&row)
     }
 
-    /// Marks a revision as told to majorities, unless a newer one is.
+    /// Marks a revision as propagated to the majorities, unless it or a newer one is marked.
     ///
-    /// Losing a race is well: the other host marked this one or a newer one, or
-    /// the next call does.
+    /// A conflict is not an error: the other host marked this revision or a newer one, or the next
+    /// call marks it.
     pub async fn mark_propagated(&self, number: Revision) -> anyhow::Result<()> {
-        let row = self.platform.row(PROPAGATED).await.context("reading what was told")?;
+        let row = self.platform.row(PROPAGATED).await.context("reading the propagated revision")?;
         if parse_propagated(&row)? >= number {
             return Ok(());
         }
@@ -146,15 +147,15 @@
         let check = Check { key: PROPAGATED.into(), version: row.version };
         let id = format!("told-{number}-{}", row.version).into();
         let commit = Commit { id, checks: vec![check], puts: vec![put] };
-        self.platform.commit(&commit).await.context("marking what was told").map(drop)
+        self.platform.commit(&commit).await.context("marking the propagated revision").map(drop)
     }
 
-    /// The platform's list of machines, some time late.
+    /// Returns the platform's list of machines, which lags behind.
     pub async fn listed(&self) -> anyhow::Result<Vec<Machine>> {
         self.platform.listed().await.context("reading the list of machines")
     }
 
-    /// The history's line of one revision.
+    /// Returns the history entry of a revision; `None` if there is none.
     pub async fn entry(&self, number: Revision) -> anyhow::Result<Option<Entry>> {
         let row = self.platform.row(&entry_key(number)).await.context("reading the history")?;
         if row.version == 0 {
@@ -164,8 +165,8 @@
     }
 }
 
-/// The object of a revision. Two runs of one submit may write different
-/// documents at the same number, so its name depends on what it holds.
+/// Returns the key of a revision's object. Two runs of one submit may write different documents
+/// with the same number, so the key contains a hash of the content.
 fn object_key(doc: &RevisionDoc, bytes: &[u8]) -> String {
     let mut hasher = DefaultHasher::new();
     bytes.hash(&mut hasher);
@@ -184,7 +185,7 @@
     if row.version == 0 {
         return Ok(Revision::default());
     }
-    row.value.parse().context("reading what was told")
+    row.value.parse().context("reading the propagated revision")
 }
 
 fn parse_head(row: &Row) -> anyhow::Result<Option<Head>> {
@@ -194,7 +195,8 @@
     serde_json::from_str(&row.value).context("reading the head of the chain").map(Some)
 }
 
-fn step(doc: &RevisionDoc, head: &Row, object: String) -> anyhow::Result<Commit> {
+/// Builds the commit that appends `doc` to the chain with the head row `head`.
+fn append_commit(doc: &RevisionDoc, head: &Row, object: String) -> anyhow::Result<Commit> {
     let object: Box<str> = object.into();
     let entry = Entry {
         number: doc.number,
@@ -209,7 +211,7 @@
         id: object,
         checks: vec![
             Check { key: HEAD.into(), version: head.version },
-            // A submit run twice at once is accepted once.
+            // A submit that runs twice concurrently is accepted once.
             Check { key: submit_key(&doc.submit).into(), version: 0 },
         ],
         puts: vec![
