--- a/components/platform/src/client.rs
+++ b/components/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's services as this program uses them: HTTP/1.1 with JSON.
+//! Client of the platform's table service, object store and host list, over HTTP/1.1 with JSON.
 
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 
@@ -12,59 +12,59 @@
 /// A row of the table service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// Its key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// Grows with each change; 0 for a row that does not exist.
+    /// Version, which increases with each change; 0 for a row that does not exist.
     pub version: u64,
-    /// Its value, as text.
+    /// Value of the row, as text.
     pub value: Box<str>,
 }
 
-/// A condition of a commit: the row still has this version.
+/// Precondition of a commit: the row still has this version.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Check {
-    /// The row's key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// The version wanted; 0 for a row that must not exist.
+    /// Required version; 0 for a row that must not exist.
     pub version: u64,
 }
 
 /// A row to write.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Put {
-    /// The row's key.
+    /// Key of the row.
     pub key: Box<str>,
-    /// Its new value.
+    /// New value of the row.
     pub value: Box<str>,
 }
 
-/// A change of several rows, all or none.
+/// Atomic change of several rows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Commit {
-    /// Names the change, so that a lost answer can be asked for again: the same
-    /// id is never applied twice.
+    /// Id of the change. The same id is never applied twice, so a commit whose answer was lost can
+    /// be repeated.
     pub id: Box<str>,
-    /// What must hold.
+    /// Preconditions, all of which must hold.
     pub checks: Vec<Check>,
-    /// What is written.
+    /// Rows to write.
     pub puts: Vec<Put>,
 }
 
-/// What became of a commit.
+/// Outcome of a commit.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// Applied, now or by an earlier call of the same id.
+    /// The commit was applied, by this call or by an earlier one with the same id.
     Applied,
-    /// A check failed; nothing was changed.
+    /// A precondition failed; nothing was changed.
     Conflict,
 }
 
-/// A machine as the platform's list shows it, some time late.
+/// Machine in the platform's list, which lags behind.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Machine {
     /// Name of the host or backend server.
     pub id: Box<str>,
-    /// Whether it is about to leave.
+    /// Whether the machine is about to leave.
     pub leaving: bool,
 }
 
@@ -73,31 +73,31 @@
 pub struct Platform {
     address: SocketAddr,
     timeout: Duration,
-    /// Calls made, for the metrics.
+    /// Number of calls made, exported as a metric.
     pub calls: Cell<u64>,
 }
 
 impl Platform {
-    /// A client that waits at most `timeout` for each answer.
+    /// Creates a client whose calls have `timeout` as in [`http::call`].
     pub fn new(address: SocketAddr, timeout: Duration) -> Self {
         Self { address, timeout, calls: Cell::new(0) }
     }
 
-    /// Reads a row; version 0 when there is none.
+    /// Reads a row; its version is 0 if it does not exist.
     pub async fn row(&self, key: &str) -> anyhow::Result<Row> {
         let path = format!("/table/row/{key}");
         parse(&self.call(Method::GET, &path, &[], Bytes::new()).await?)
     }
 
-    /// Reads all rows whose keys start with `prefix`, in order of their keys.
+    /// Reads all rows whose keys start with `prefix`, ordered by key.
     pub async fn rows(&self, prefix: &str) -> anyhow::Result<Vec<Row>> {
         let path = format!("/table/rows/{prefix}");
         parse(&self.call(Method::GET, &path, &[], Bytes::new()).await?)
     }
 
-    /// Changes several rows, all or none.
+    /// Applies a commit.
     ///
-    /// After an error the change may have been applied: call again with the same id.
+    /// After an error the commit may have been applied; the call can be repeated with the same id.
     pub async fn commit(&self, commit: &Commit) -> anyhow::Result<Outcome> {
         let body = serde_json::to_vec(commit).context("writing a commit")?;
         let response = self.call(Method::POST, "/table/commit", &[], body.into());
@@ -110,7 +110,7 @@
         Ok(self.call(Method::GET, &path, &[], Bytes::new()).await?.body)
     }
 
-    /// Writes an object that does not exist yet; one with the same bytes is well too.
+    /// Creates an object. An existing object with the same bytes is not an error.
     pub async fn put_object(&self, key: &str, body: Bytes) -> anyhow::Result<()> {
         let path = format!("/objects/{key}");
         match self.call(Method::PUT, &path, &[("if-none-match", "*")], body.clone()).await {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The list of machines, some time late.
+    /// Returns the list of machines, which lags behind.
     pub async fn listed(&self) -> anyhow::Result<Vec<Machine>> {
         parse(&self.call(Method::GET, "/hosts", &[], Bytes::new()).await?)
     }
