--- a/components/platform/src/http.rs
+++ b/components/platform/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP requests: each on a connection of its own, or one after the other on one that is kept.
+//! HTTP requests, each on its own connection or one after the other on a persistent connection.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,39 +13,39 @@
 use monoio::{io::IntoPollIo, net::TcpStream, time::Instant};
 use monoio_compat::hyper::MonoioIo;
 
-/// The most bytes of an answer that are read.
+/// Maximum size of an answer's body in bytes; reading a larger one fails.
 const MAX_BODY: usize = 16 << 20;
 
-/// How long the next part of an answer may take.
+/// Timeout of each frame of an answer's body.
 ///
-/// Guards against a connection that goes silent within an answer. The whole answer has no
-/// limit: one that is large for its link would be given up and begun anew for ever.
+/// Detects a connection that goes silent within an answer. The whole answer has no timeout: one
+/// that is large for its link would be aborted and started again forever.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An answer.
+/// Answer to a request.
 pub struct Response {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// A request.
+/// Request to send.
 pub struct Call<'a> {
-    /// The method.
+    /// Method.
     pub method: Method,
-    /// The path and the query.
+    /// Path and query.
     pub path: &'a str,
-    /// Further headers.
+    /// Names and values of additional headers.
     pub headers: &'a [(&'static str, &'a str)],
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// Reason why a request has no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// Nothing was sent.
+    /// The connection failed; nothing was sent.
     #[error("{address} cannot be reached: {error}")]
     Unreachable {
         /// The address.
@@ -63,28 +63,30 @@
     },
 }
 
-/// Sends a request and reads the whole answer, which begins `within` that time and takes
-/// as long as it goes on coming.
+/// Sends a request on its own connection and reads the whole answer.
+///
+/// `timeout` bounds the time until the answer begins, including the connection set-up. Its body
+/// may take any time as long as each frame arrives within the read timeout.
 pub async fn call(
     address: SocketAddr,
     call: Call<'_>,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Response, HttpError> {
-    let deadline = Instant::now() + within;
+    let deadline = Instant::now() + timeout;
     let timed_out = || std::io::Error::from(std::io::ErrorKind::TimedOut);
     let stream = monoio::time::timeout_at(deadline, TcpStream::connect(address))
         .await
         .unwrap_or_else(|_| Err(timed_out()))
         .map_err(|error| HttpError::Unreachable { address, error })?;
-    let what = format!("{} {}", call.method, call.path);
+    let description = format!("{} {}", call.method, call.path);
     let whole = async {
         let answered = monoio::time::timeout_at(deadline, exchange(address, stream, call));
         collect(answered.await.unwrap_or_else(|_| Err(timed_out().into()))?).await
     };
-    whole.await.context(what).map_err(|error| HttpError::NoAnswer { address, error })
+    whole.await.context(description).map_err(|error| HttpError::NoAnswer { address, error })
 }
 
-/// Sends a request on a connection of its own; the answer's body is still to come.
+/// Sends a request on its own connection and returns the answer, whose body is not read yet.
 async fn exchange(
     address: SocketAddr,
     stream: TcpStream,
@@ -108,51 +110,53 @@
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// A client that keeps its connection for the next call.
+/// Client that keeps its connection open for the next call.
 ///
-/// A new connection for each call costs two more round trips and, on a small
-/// host, more processor time than the call itself.
+/// A new connection for each call takes two more round trips and, on a small host, more CPU time
+/// than the call itself.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
-    /// The connection while no call uses it.
+    /// Connection that no call uses at the moment.
     idle: RefCell<Option<Sender>>,
-    /// Calls made, for the metrics.
+    /// Number of calls made, exported as a metric.
     pub calls: Cell<u64>,
 }
 
 impl Client {
-    /// A client that connects with its first call.
+    /// Creates a client, which connects on its first call.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, idle: RefCell::default(), calls: Cell::default() }
     }
 
-    /// Sends a request and reads the whole answer, which begins `within` that time and
-    /// takes as long as it goes on coming.
+    /// Sends a request and reads the whole answer.
+    ///
+    /// `timeout` bounds the time until the answer begins. Its body may take any time as long as
+    /// each frame arrives within the read timeout.
     ///
-    /// After an error the request may have been acted on. The connection is then
-    /// given up: one that went silent would swallow every later call too.
+    /// After an error the request may have been processed. The connection is then dropped, since
+    /// every later call on a silent connection would fail too.
     pub async fn call(
         &self,
         method: Method,
         path: &str,
         headers: &[(&'static str, &str)],
         body: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> anyhow::Result<Response> {
         self.calls.set(self.calls.get() + 1);
-        let what = format!("{method} {path} at {}", self.address);
-        let answered = monoio::time::timeout(within, self.send(method, path, headers, body));
+        let description = format!("{method} {path} at {}", self.address);
+        let answered = monoio::time::timeout(timeout, self.send(method, path, headers, body));
         let whole = async {
             let (sender, response) = answered.await.unwrap_or_else(|_| Err(timed_out()))?;
             let response = collect(response).await?;
             *self.idle.borrow_mut() = Some(sender);
             anyhow::Ok(response)
         };
-        whole.await.context(what)
+        whole.await.context(description)
     }
 
-    /// Sends a request; the connection and the answer, of which the body is still to come.
+    /// Sends a request and returns the connection and the answer, whose body is not read yet.
     async fn send(
         &self,
         method: Method,
@@ -180,7 +184,7 @@
     std::io::Error::from(std::io::ErrorKind::TimedOut).into()
 }
 
-/// Reads an answer whose parts may each take [`READ_TIMEOUT`].
+/// Reads the body of an answer, with [`READ_TIMEOUT`] for each frame.
 async fn collect(response: hyper::Response<Incoming>) -> anyhow::Result<Response> {
     let status = response.status();
     let mut parts = Limited::new(response.into_body(), MAX_BODY);
@@ -196,8 +200,8 @@
     }
 }
 
-/// How long a connection to the platform may take to come up. Between machines
-/// of one region it takes milliseconds; a lost first packet is sent again after one second.
+/// Timeout of connecting to the platform. Between machines of one region connecting takes
+/// milliseconds; a lost first packet is retransmitted after one second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 
 async fn connect(address: SocketAddr) -> anyhow::Result<Sender> {
@@ -207,10 +211,10 @@
         .context("connecting")?;
     stream.set_nodelay(true)?;
     let io = MonoioIo::new(stream.into_poll_io()?);
-    let (sender, conn) = http1::handshake(io).await.context("shaking hands")?;
+    let (sender, conn) = http1::handshake(io).await.context("HTTP handshake")?;
     monoio::spawn(async move {
         if let Err(error) = conn.await {
-            tracing::debug!(%address, %error, "http: a kept connection ended");
+            tracing::debug!(%address, %error, "http: persistent connection failed");
         }
     });
     Ok(sender)
