--- a/components/platform/tests/http.rs
+++ b/components/platform/tests/http.rs
@@ -1,4 +1,4 @@
-//! Answers that come slowly, or not at all.
+//! HTTP answers that arrive slowly or stop arriving.
 
 use std::{
     future::Future,
@@ -14,12 +14,12 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Parts of an answer, and the time between two of them.
+/// Number of parts of an answer, and the interval between them.
 const PARTS: usize = 12;
-const EVERY: Duration = Duration::from_millis(100);
+const INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an answer may take to begin. All parts need three times as long.
-const WITHIN: Duration = Duration::from_millis(400);
+/// Timeout for the start of an answer. Sending all parts takes three times as long.
+const TIMEOUT: Duration = Duration::from_millis(400);
 
 fn on_runtime<T>(test: impl Future<Output = T>) -> T {
     monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
@@ -29,7 +29,7 @@
         .block_on(test)
 }
 
-/// A server that sends so many of the parts that it announces, and is silent then.
+/// Starts a server that sends the first `sends` of the announced parts and then nothing more.
 fn server(sends: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -46,38 +46,40 @@
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {PARTS}\r\n\r\n");
     let _ = stream.write_all(head.into_bytes()).await;
     for _ in 0..sends {
-        monoio::time::sleep(EVERY).await;
+        monoio::time::sleep(INTERVAL).await;
         let _ = stream.write_all(b"x".to_vec()).await;
     }
     monoio::time::sleep(Duration::from_secs(60)).await;
 }
 
-async fn kept(address: SocketAddr) -> anyhow::Result<Response> {
-    Client::new(address).call(Method::GET, "/", &[], Bytes::new(), WITHIN).await
+async fn persistent(address: SocketAddr) -> anyhow::Result<Response> {
+    Client::new(address).call(Method::GET, "/", &[], Bytes::new(), TIMEOUT).await
 }
 
 async fn single(address: SocketAddr) -> anyhow::Result<Response> {
     let call = Call { method: Method::GET, path: "/", headers: &[], body: Bytes::new() };
-    Ok(http::call(address, call, WITHIN).await?)
+    Ok(http::call(address, call, TIMEOUT).await?)
 }
 
-/// A host with a slow link starts and reads a large configuration. The call had one second in
-/// all, which the answer outlasted; it was begun anew each time, and the host never served.
+/// A host with a slow link starts and reads a large configuration. With a timeout of one second
+/// for the whole call, which the answer exceeded, each attempt was aborted and started again, and
+/// the host never became ready.
 #[test]
-fn an_answer_that_goes_on_coming_is_read_to_its_end() {
+fn a_slow_but_steady_answer_is_read_completely() {
     on_runtime(async {
-        for answer in [kept(server(PARTS)).await, single(server(PARTS)).await] {
+        for answer in [persistent(server(PARTS)).await, single(server(PARTS)).await] {
             assert_eq!(answer.unwrap().body.len(), PARTS);
         }
     });
 }
 
-/// The connection goes silent within an answer. It is given up soon, not when the system ends it.
+/// The connection goes silent within an answer. The call must fail soon, not only when the
+/// operating system closes the connection.
 #[test]
-fn an_answer_that_stops_is_given_up() {
+fn an_answer_that_stops_is_aborted() {
     on_runtime(async {
         let began = Instant::now();
-        assert!(kept(server(1)).await.is_err());
+        assert!(persistent(server(1)).await.is_err());
         assert!(single(server(1)).await.is_err());
         assert!(began.elapsed() < Duration::from_secs(10));
     });
