--- a/components/platform/src/http.rs
+++ b/components/platform/src/http.rs
@@ -48,17 +48,17 @@
     /// The connection failed; nothing was sent.
     #[error("{address} cannot be reached: {error}")]
     Unreachable {
-        /// The address.
+        /// Address of the server.
         address: SocketAddr,
-        /// What failed.
+        /// Error of the connection attempt.
         error: std::io::Error,
     },
-    /// The request may have been acted on.
+    /// The request may have been processed.
     #[error("no answer from {address}: {error:#}")]
     NoAnswer {
-        /// The address.
+        /// Address of the server.
         address: SocketAddr,
-        /// What failed.
+        /// Error of sending the request or reading the answer.
         error: anyhow::Error,
     },
 }
