--- a/components/pg/src/answer.rs
+++ b/components/pg/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that this program makes itself.
+//! Messages to callers that this program generates itself.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::frame;
 
-/// How grave an error is.
+/// Severity of an error.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Severity {
     /// The statement failed.
@@ -29,7 +29,7 @@
     }
 }
 
-/// An error with the code of the SQL standard.
+/// Builds an error message with an SQLSTATE code.
 pub fn error(
     severity: Severity,
     code: &str,
@@ -48,14 +48,14 @@
     frame::bytes(&ErrorResponse::new(fields))
 }
 
-/// A notice, with a code of the SQL standard.
+/// Builds a warning notice with an SQLSTATE code.
 pub fn notice(code: &str, message: &str) -> Bytes {
     let fields = [(b'S', "WARNING"), (b'V', "WARNING"), (b'C', code), (b'M', message)];
     let fields = fields.map(|(kind, text)| (kind, text.to_owned()));
     frame::bytes(&NoticeResponse::new(fields.into()))
 }
 
-/// The code of the SQL standard for a refusal.
+/// Returns the SQLSTATE code of a refusal.
 pub fn code(refusal: &Refusal) -> &'static str {
     if refusal.fate == Fate::Unknown {
         return "08007";
@@ -75,7 +75,7 @@
     }
 }
 
-/// The words that say what became of a request.
+/// Returns the text for the fate of a request.
 pub fn fate(fate: Fate) -> &'static str {
     match fate {
         Fate::NotRun => "not run",
@@ -84,34 +84,34 @@
     }
 }
 
-/// The words that say when to come back.
+/// Returns the hint with the retry delay `after`, in whole milliseconds and at least 1.
 pub fn retry_hint(after: Duration) -> String {
     format!("Come back in {} ms.", after.as_millis().max(1))
 }
 
-/// The answer to a refused request.
+/// Builds the error message of a refused request.
 pub fn refusal(severity: Severity, refusal: &Refusal) -> Bytes {
     let hint = refusal.retry.map(retry_hint);
     let detail = fate(refusal.fate);
     error(severity, code(refusal), &refusal.message, Some(detail), hint.as_deref())
 }
 
-/// The end of an answer.
+/// Builds the `ReadyForQuery` message, which ends an answer.
 pub fn ready(status: TransactionStatus) -> Bytes {
     frame::bytes(&ReadyForQuery::new(status))
 }
 
-/// The end of a statement.
+/// Builds the `CommandComplete` message, which ends a statement.
 pub fn complete(tag: &str) -> Bytes {
     frame::bytes(&CommandComplete::new(tag.to_owned()))
 }
 
-/// A setting that the caller is told of.
+/// Builds the `ParameterStatus` message, which reports the value of a setting to a caller.
 pub fn parameter(name: &str, value: &str) -> Bytes {
     frame::bytes(&ParameterStatus::new(name.to_owned(), value.to_owned()))
 }
 
-/// Joins messages.
+/// Concatenates messages.
 pub fn join<'a>(parts: impl IntoIterator<Item = &'a Bytes>) -> Bytes {
     let mut buf = BytesMut::new();
     for part in parts {
