--- a/components/pg/src/budget.rs
+++ b/components/pg/src/budget.rs
@@ -1,21 +1,21 @@
-//! Memory that many connections share.
+//! Memory budget shared by connections.
 
 use std::{cell::Cell, fmt, rc::Rc};
 
-/// Bytes that each connection may hold beside the budget.
+/// Bytes that each connection may hold without a charge to the budget.
 const FREE_PER_CONNECTION: usize = 64 << 10;
 
-/// Bytes that all connections together may hold of what they are being sent.
+/// Maximum number of bytes of incoming messages that all connections together may hold.
 ///
-/// Each may be sent a large message. Without a common limit, enough of them
-/// that are sent one at the same time take all the memory of the host.
+/// Each connection may receive a large message. Without a common limit, enough large messages at
+/// the same time exhaust the memory of the host.
 #[derive(Debug)]
 pub struct Budget {
     limit: usize,
     used: Cell<usize>,
 }
 
-/// There is no room for what a connection is being sent.
+/// Error of a connection whose buffer does not fit into the budget.
 #[derive(Clone, Copy, Debug)]
 pub struct BudgetExhausted;
 
@@ -27,28 +27,29 @@
 
 impl std::error::Error for BudgetExhausted {}
 
-/// What one connection holds; given back when it is dropped.
+/// Part of a budget used by one connection, released on drop.
 #[derive(Debug)]
 pub struct Charge {
     budget: Rc<Budget>,
-    /// Part of the budget's use.
+    /// Bytes charged to the budget.
     bytes: usize,
 }
 
 impl Budget {
-    /// A budget of which nothing is used.
+    /// Creates an unused budget of `limit` bytes.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self { limit, used: Cell::default() })
     }
 
-    /// A connection that holds nothing.
+    /// Creates the charge of a connection that holds nothing.
     pub fn charge(self: &Rc<Self>) -> Charge {
         Charge { budget: self.clone(), bytes: 0 }
     }
 }
 
 impl Charge {
-    /// The connection now holds `bytes`; an error, and no change, when there is no room.
+    /// Sets the number of bytes that the connection holds. If they do not fit into the budget,
+    /// returns an error and changes nothing. A charge that does not grow never fails.
     pub fn set(&mut self, bytes: usize) -> Result<(), BudgetExhausted> {
         let bytes = bytes.saturating_sub(FREE_PER_CONNECTION);
         let used = self.budget.used.get() - self.bytes + bytes;
