--- a/components/pg/src/frame.rs
+++ b/components/pg/src/frame.rs
@@ -1,4 +1,4 @@
-//! One message as it stands on the wire.
+//! Frames: single messages in their wire format.
 
 use std::panic::{self, AssertUnwindSafe};
 
@@ -9,22 +9,23 @@
     messages::{DecodeContext, Message, PgWireBackendMessage, PgWireFrontendMessage},
 };
 
-/// Bytes of a message before its body: the tag and the length.
+/// Length in bytes of a message's header: tag and length field.
 pub const HEADER_LEN: usize = 5;
 
-/// A message as it stands on the wire.
+/// Message in its wire format.
 #[derive(Clone, Debug)]
 pub struct Frame {
-    /// The kind of message.
+    /// Tag, which identifies the kind of message.
     pub tag: u8,
-    /// All of it: tag, length and body.
+    /// Whole message: tag, length and body.
     pub raw: Bytes,
 }
 
 impl Frame {
-    /// Splits the first message off `buf`; `None` when it is not whole yet.
+    /// Splits the first message off `buf`; `None` while it is incomplete.
     ///
-    /// A length below 4 or above `max` is an error, so no peer makes us hold more.
+    /// A length below 4, or of `max` or more, is an error, so no peer can make this process buffer
+    /// more.
     pub fn split_from(buf: &mut BytesMut, max: usize) -> anyhow::Result<Option<Self>> {
         let Some(header) = buf.first_chunk::<HEADER_LEN>() else {
             return Ok(None);
@@ -42,17 +43,17 @@
         Ok(Some(Self { tag, raw: buf.split_to(length + 1).freeze() }))
     }
 
-    /// The body without tag and length.
+    /// Returns the body, without tag and length.
     pub fn body(&self) -> &[u8] {
         &self.raw[HEADER_LEN..]
     }
 
-    /// Reads the message as one from a caller.
+    /// Decodes the message as one of a caller.
     pub fn frontend(&self) -> anyhow::Result<PgWireFrontendMessage> {
         self.decode(PgWireFrontendMessage::decode)
     }
 
-    /// Reads the message as one from a server.
+    /// Decodes the message as one of a server.
     pub fn backend(&self) -> anyhow::Result<PgWireBackendMessage> {
         self.decode(PgWireBackendMessage::decode)
     }
@@ -70,17 +71,18 @@
     }
 }
 
-/// Runs the codec, which panics on a body that is shorter than its own counts say.
+/// Runs the codec and turns a panic into an error. The codec panics on a body that is shorter than
+/// the counts in it.
 ///
-/// One caller's garbage would otherwise end the process and all callers with it.
-/// Nothing is shared with the codec but the bytes, which are dropped.
+/// Otherwise an invalid message of one caller would end the process and all sessions. The codec
+/// shares only the bytes with the rest of the process, and they are dropped.
 pub(crate) fn catch_panic<T>(decode: impl FnOnce() -> PgWireResult<T>) -> anyhow::Result<T> {
     let result = panic::catch_unwind(AssertUnwindSafe(decode));
     let result = result.map_err(|_| anyhow::anyhow!("the message is damaged"))?;
     Ok(result?)
 }
 
-/// Splits bytes that hold whole messages only.
+/// Splits bytes into messages; an incomplete last message is an error.
 pub fn frames(bytes: Bytes) -> anyhow::Result<Vec<Frame>> {
     let mut buf = BytesMut::from(bytes);
     let mut out = Vec::new();
@@ -91,16 +93,16 @@
     Ok(out)
 }
 
-/// Appends a message that this program makes.
+/// Appends a message that this program generates to `buf`.
 pub fn put(buf: &mut BytesMut, message: &impl Message) {
     if let Err(error) = message.encode(buf) {
-        // The codec refuses only messages over its size limits.
+        // The codec rejects only messages over its size limits.
         debug_assert!(false, "encoding a message: {error}");
         buf.put_slice(b"");
     }
 }
 
-/// One message as bytes.
+/// Encodes a message.
 pub fn bytes(message: &impl Message) -> Bytes {
     let mut buf = BytesMut::new();
     put(&mut buf, message);
