--- a/components/pg/src/lib.rs
+++ b/components/pg/src/lib.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL messages and streams over the codec of `pgwire`.
+//! PostgreSQL messages and message streams, on top of the `pgwire` codec.
 
 pub mod answer;
 pub mod budget;
