--- a/components/pg/src/scram.rs
+++ b/components/pg/src/scram.rs
@@ -1,35 +1,37 @@
-//! SCRAM-SHA-256 (RFC 5802, RFC 7677), the server's side.
+//! Server side of SCRAM-SHA-256 (RFC 5802, RFC 7677).
 //!
-//! The key itself never crosses the wire; the configuration holds verifiers only.
+//! The key itself is never sent, and the configuration holds only verifiers.
 
 use anyhow::{Context, ensure};
 use base64::{Engine, engine::general_purpose::STANDARD};
 use bergamottrack_contract::{Verifier, verifier};
 use sha2::{Digest, Sha256};
 
-/// Name of the mechanism.
+/// Name of the SASL mechanism.
 pub const MECHANISM: &str = "SCRAM-SHA-256";
 
-/// An exchange that has begun.
+/// SCRAM exchange after the client's first message.
 #[derive(Debug)]
 pub struct Exchange {
     verifier: Verifier,
     nonce: Box<str>,
-    /// The client's first message without its header.
+    /// First message of the client, without its GS2 header.
     first: Box<str>,
-    /// The client's header, which its last message must repeat.
+    /// GS2 header of the client, which its final message must repeat.
     header: Box<str>,
-    /// What the server answered to the first message.
+    /// First message of the server.
     challenge: Box<str>,
 }
 
+/// Returns the value of the attribute `part`, whose required prefix is `name`.
 fn attribute<'a>(part: Option<&'a str>, name: &str) -> anyhow::Result<&'a str> {
     part.and_then(|text| text.strip_prefix(name))
         .with_context(|| format!("the key exchange lacks the part {name:?}"))
 }
 
 impl Exchange {
-    /// Begins with the client's first message; `nonce` is the server's random part.
+    /// Starts an exchange with the client's first message; `nonce` is the server's part of the
+    /// nonce.
     pub fn begin(message: &[u8], verifier: Verifier, nonce: &str) -> anyhow::Result<Self> {
         let text = std::str::from_utf8(message).context("the key exchange is not text")?;
         let mut parts = text.splitn(3, ',');
@@ -52,12 +54,13 @@
         })
     }
 
-    /// What to answer to the client's first message.
+    /// Returns the answer to the client's first message.
     pub fn challenge(&self) -> &str {
         &self.challenge
     }
 
-    /// Checks the client's last message; gives what to answer when it proves the key.
+    /// Verifies the client's final message and returns the server's final message. A proof that
+    /// does not match the key is an error.
     pub fn finish(&self, message: &[u8]) -> anyhow::Result<String> {
         let text = std::str::from_utf8(message).context("the key exchange is not text")?;
         let (bare, proof) = text.rsplit_once(",p=").context("the key exchange has no proof")?;
@@ -75,7 +78,7 @@
         let mut client = proof;
         client.iter_mut().zip(mask).for_each(|(byte, m)| *byte ^= m);
         let stored: [u8; 32] = Sha256::digest(client).into();
-        // Both sides are hashes of secrets, so the time of the comparison tells nothing.
+        // Both sides are hashes of secrets, so the duration of the comparison reveals nothing.
         ensure!(stored == self.verifier.stored, "the key does not match");
         let answer = verifier::hmac(&self.verifier.server, auth_message.as_bytes());
         Ok(format!("v={}", STANDARD.encode(answer)))
