--- a/components/pg/src/stream.rs
+++ b/components/pg/src/stream.rs
@@ -1,4 +1,4 @@
-//! Messages over a byte stream, with bounded memory.
+//! Message streams over byte streams, with bounded memory.
 
 use std::time::Duration;
 
@@ -12,37 +12,38 @@
     frame::{self, Frame},
 };
 
-/// The most bytes that a start-up message may have.
+/// Maximum length of a start-up message in bytes.
 pub const MAX_STARTUP: usize = 10_000;
 
+/// Minimum buffer space reserved for each read, in bytes.
 const READ_CHUNK: usize = 8 * 1024;
 
-/// A connection, encrypted or not.
+/// Connection, encrypted or plain.
 pub type Stream = Box<dyn ReadWrite>;
 
-/// What can be read from and written to.
+/// Byte stream that can be read and written.
 pub trait ReadWrite: AsyncRead + AsyncWrite + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin> ReadWrite for T {}
 
-/// Reads messages.
+/// Reader of messages.
 #[derive(Debug)]
 pub struct PgReader<R> {
     io: R,
     buf: BytesMut,
-    /// The most bytes that one message may have.
+    /// Upper bound of a message's length in bytes, as in [`Frame::split_from`].
     max: usize,
-    /// What is held, when the memory is shared.
+    /// Charge for the buffer, if its memory counts against a shared budget.
     charge: Option<Charge>,
 }
 
-/// Writes messages.
+/// Writer of messages.
 #[derive(Debug)]
 pub struct PgWriter<W> {
     io: W,
 }
 
-/// Makes a reader and a writer of one stream.
+/// Splits a stream into a message reader and a message writer.
 pub fn split<S: AsyncRead + AsyncWrite>(
     stream: S,
     max: usize,
@@ -52,14 +53,14 @@
 }
 
 impl<R: AsyncRead + Unpin> PgReader<R> {
-    /// A reader that accepts messages up to `max` bytes.
+    /// Creates a reader of messages bounded by `max` bytes.
     pub fn new(io: R, max: usize) -> Self {
         Self { io, buf: BytesMut::new(), max, charge: None }
     }
 
-    /// The next message; `None` when the stream has ended between two messages.
+    /// Reads the next message; `None` if the stream ended between two messages.
     ///
-    /// May be dropped and called again: no byte is lost.
+    /// Cancel safe: if the future is dropped, no byte is lost.
     pub async fn next(&mut self) -> anyhow::Result<Option<Frame>> {
         loop {
             if let Some(frame) = Frame::split_from(&mut self.buf, self.max)? {
@@ -72,31 +73,32 @@
         }
     }
 
-    /// Whether nothing has arrived that was not taken.
+    /// Returns whether no bytes are buffered.
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// What is read from.
+    /// Returns the underlying stream.
     pub fn into_inner(self) -> R {
         self.io
     }
 
-    /// Accepts messages up to `max` bytes from now on.
+    /// Sets the bound in bytes of further messages.
     pub fn set_max(&mut self, max: usize) {
         self.max = max;
     }
 
-    /// Holds what arrives at the cost of a shared budget from now on.
+    /// Charges the buffer to a shared budget from now on.
     pub fn set_charge(&mut self, charge: Charge) {
         self.charge = Some(charge);
     }
 
-    /// The next message, which must be whole soon after its first byte.
+    /// Reads the next message, which must be complete within `limit` after its first bytes. The
+    /// wait for these has no timeout.
     ///
-    /// Guards against a sender that holds memory with a message it never ends.
+    /// Guards against a sender that occupies memory with a message that it never completes.
     pub async fn next_timeout(&mut self, limit: Duration) -> anyhow::Result<Option<Frame>> {
-        // Until now the message before was still in use.
+        // Until this call the previous message was in use.
         self.update_charge(self.buf.len())?;
         if self.buf.is_empty() && !self.fill().await? {
             return Ok(None);
@@ -105,22 +107,22 @@
         next.with_context(|| format!("a message did not come to its end in {limit:?}"))?
     }
 
-    /// Reads to the end of the stream and keeps nothing.
+    /// Reads to the end of the stream and discards all bytes.
     pub async fn discard(&mut self) {
-        // An error ends the stream as well.
+        // An error also ends the stream.
         while self.fill().await.unwrap_or(false) {
             self.buf.clear();
         }
     }
 
-    /// The next message, if it has already arrived.
+    /// Returns the next message if it is already buffered.
     pub fn ready(&mut self) -> anyhow::Result<Option<Frame>> {
         Frame::split_from(&mut self.buf, self.max)
     }
 
-    /// Reads on while fewer than `limit` bytes are waiting, and no further.
+    /// Reads into the buffer while it holds fewer than `limit` bytes, then waits forever.
     ///
-    /// Ends with an error only, when the stream has. May be dropped and called again.
+    /// Returns only with an error, when reading fails or the stream has ended. Cancel safe.
     pub async fn read_ahead(&mut self, limit: usize) -> anyhow::Result<()> {
         while self.buf.len() < limit {
             anyhow::ensure!(self.fill().await?, "the stream ended");
@@ -128,9 +130,9 @@
         std::future::pending().await
     }
 
-    /// The next message of the start-up phase, which has no kind.
+    /// Reads the next message of the start-up phase, which has no tag.
     ///
-    /// `tls_done` tells that encryption is no longer open to negotiation.
+    /// With `tls_done`, encryption can no longer be negotiated.
     pub async fn startup(&mut self, tls_done: bool) -> anyhow::Result<PgWireFrontendMessage> {
         let mut context = DecodeContext::default();
         context.awaiting_frontend_ssl = !tls_done;
@@ -151,10 +153,12 @@
         }
     }
 
+    /// Sets the charge to `bytes`, if there is one.
     fn update_charge(&mut self, bytes: usize) -> anyhow::Result<()> {
         Ok(self.charge.as_mut().map_or(Ok(()), |charge| charge.set(bytes))?)
     }
 
+    /// Reads once into the buffer; `false` at the end of the stream.
     async fn fill(&mut self) -> anyhow::Result<bool> {
         self.update_charge(self.buf.len() + READ_CHUNK)?;
         self.buf.reserve(READ_CHUNK);
@@ -164,17 +168,17 @@
 }
 
 impl<W: AsyncWrite + Unpin> PgWriter<W> {
-    /// A writer onto the stream.
+    /// Creates a writer to the stream.
     pub fn new(io: W) -> Self {
         Self { io }
     }
 
-    /// What is written to.
+    /// Returns the underlying stream.
     pub fn into_inner(self) -> W {
         self.io
     }
 
-    /// Writes whole messages.
+    /// Writes complete messages and flushes the stream.
     pub async fn send(&mut self, bytes: &[u8]) -> anyhow::Result<()> {
         self.io.write_all(bytes).await.context("writing to the stream")?;
         self.io.flush().await.context("writing to the stream")
@@ -182,7 +186,7 @@
 
     /// Closes the writing side.
     pub async fn close(&mut self) {
-        // The other side may be gone already.
+        // The peer may already have closed the connection.
         let _ = self.io.shutdown().await;
     }
 }
