--- a/components/platform/src/http.rs
+++ b/components/platform/src/http.rs
@@ -131,8 +131,8 @@
 
     /// Sends a request and reads the whole answer.
     ///
-    /// `timeout` bounds the time until the answer begins. Its body may take any time as long as
-    /// each frame arrives within the read timeout.
+    /// `timeout` bounds the time until the answer begins, including the connection set-up if there
+    /// is one. Its body may take any time as long as each frame arrives within the read timeout.
     ///
     /// After an error the request may have been processed. The connection is then dropped, since
     /// every later call on a silent connection would fail too.
--- a/components/platform/tests/http.rs
+++ b/components/platform/tests/http.rs
@@ -14,7 +14,7 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Number of parts of an answer, and the interval between them.
+/// Number of parts of an answer, and the interval between two of them.
 const PARTS: usize = 12;
 const INTERVAL: Duration = Duration::from_millis(100);
 
