--- a/components/proxy/src/backend.rs
+++ b/components/proxy/src/backend.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, io, time::Duration};
 
 use anyhow::Context;
-use bergamottrack_adapter::wire::{self, Answers};
+use bergamottrack_adapter::wire::{self, AnswerReader};
 use bergamottrack_coordination::{AccountId, ServerId};
 use bergamottrack_model::{
     Failure, Listed, ServerAnswer, State, session::Carried, statement::Shape,
@@ -47,7 +47,7 @@
 pub struct Backend {
     io: TcpStreamPoll,
     buf: BytesMut,
-    answers: Answers,
+    answers: AnswerReader,
     /// Bytes to write with the next exchange.
     pub out: BytesMut,
     /// Session steps whose answers precede that of the statement.
@@ -82,7 +82,7 @@
         let mut backend = Self {
             io,
             buf: BytesMut::new(),
-            answers: Answers::default(),
+            answers: AnswerReader::default(),
             out: BytesMut::new(),
             pending_steps: 0,
             account: account.clone(),
@@ -93,7 +93,7 @@
         let started = monoio::time::timeout(SESSION_START_TIMEOUT, backend.exchange()).await;
         match started {
             Ok(Ok(_)) => Ok(backend),
-            Ok(Err(error)) => match backend.answers.refused() {
+            Ok(Err(error)) => match backend.answers.refusal() {
                 Some(failure) => Err(OpenError::Rejected(failure)),
                 None => Err(OpenError::Silent(error)),
             },
--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -8,8 +8,8 @@
 
 use anyhow::{Context, bail};
 use bergamottrack_adapter::{
-    promotion::{self, Promoted},
-    store::{self, Change, Verdict},
+    promotion::{self, Outcome},
+    store::{self, Change, TxOutcome},
 };
 use bergamottrack_coordination::{
     GroupId, HostId, Point, ServerId, Term,
@@ -86,9 +86,9 @@
         };
         let verdict = store::change(&client, &change, STORE_TIMEOUT).await;
         let intent = match verdict {
-            Ok(Verdict::Applied(version)) => Some(version),
-            Ok(Verdict::Conflict) => None,
-            Ok(Verdict::Refused) => bail!("store refused to write the intent: no capacity"),
+            Ok(TxOutcome::Applied(version)) => Some(version),
+            Ok(TxOutcome::Conflict) => None,
+            Ok(TxOutcome::Refused) => bail!("store refused to write the intent: no capacity"),
             // The answer was lost: the row shows whether the write was applied.
             Err(error) => {
                 let view = fleet::read(&client).await.context(error)?;
@@ -298,7 +298,7 @@
         let error = promoted.as_ref().err().map(tracing::field::display);
         let answer = promoted.as_ref().ok();
         info!(group = %id, %server, token, ?answer, error, "promotion: requested");
-        let rejected = matches!(promoted, Ok(Promoted::Refused | Promoted::Unavailable));
+        let rejected = matches!(promoted, Ok(Outcome::Refused | Outcome::Unavailable));
         if promoted.is_ok() {
             // Without an answer the call may still be in flight.
             self.release_duty(host, group, token, rejected).await;
@@ -350,7 +350,7 @@
             remove: Vec::new(),
         };
         let verdict = store::change(&self.client, &change, STORE_TIMEOUT).await?;
-        let Verdict::Applied(token) = verdict else { return Ok(None) };
+        let TxOutcome::Applied(token) = verdict else { return Ok(None) };
         info!(group = %group.id, token, closed = %after, "duty: acquired");
         Ok(Some((token, began + CALL_DEADLINE)))
     }
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -6,7 +6,7 @@
 };
 
 use anyhow::Context;
-use bergamottrack_adapter::store::{self, Change, Rows, Table, Verdict};
+use bergamottrack_adapter::store::{self, Change, Rows, Table, TxOutcome};
 use bergamottrack_contract as contract;
 use bergamottrack_coordination::{
     Clock, FailureDomain, GroupId, HostId, hubs,
@@ -186,7 +186,7 @@
 }
 
 /// Writes a random secret unless there is one. The caller reads the view again in any case.
-async fn create_secret(client: &Client) -> anyhow::Result<Verdict> {
+async fn create_secret(client: &Client) -> anyhow::Result<TxOutcome> {
     let secret = format!("{:032x}", rand::random::<u128>());
     let change = Change {
         expect: vec![(SECRET_KEY.into(), 0)],
@@ -268,7 +268,7 @@
     let verdict =
         store::change(client, &Change { put, ..Change::default() }, STORE_TIMEOUT).await?;
     anyhow::ensure!(
-        matches!(verdict, Verdict::Applied(_)),
+        matches!(verdict, TxOutcome::Applied(_)),
         "joining the fleet: the store answered {verdict:?}"
     );
     info!(place = member.place, "fleet: joined");
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -74,7 +74,7 @@
                 let feed = store::follow(&client, table, version, wait, STORE_TIMEOUT).await;
                 match feed {
                     Ok(Feed::Changed(rows)) => Ok((rows, false)),
-                    Ok(Feed::Forgotten) => {
+                    Ok(Feed::Truncated) => {
                         info!(
                             %table, version,
                             "store: history of changes expired, reading the whole table"
