--- a/components/entry/src/caller.rs
+++ b/components/entry/src/caller.rs
@@ -180,7 +180,7 @@
     for link in entry.mesh.links() {
         if process::belongs_to(pid, &link.host) {
             // A cancel is a wish: when it does not arrive, the statement runs on.
-            let _ = link.ask(Question::Cancel { pid, secret }, CANCEL_WITHIN).await;
+            let _ = link.query(Question::Cancel { pid, secret }, CANCEL_WITHIN).await;
         }
     }
 }
--- a/components/entry/src/local.rs
+++ b/components/entry/src/local.rs
@@ -1,6 +1,6 @@
 //! Statements that the entry answers itself, without any server.
 
-use bergamottrack_peer::message::Standing;
+use bergamottrack_peer::message::TransactionState;
 use bergamottrack_pg::{answer, frame};
 use bytes::{BufMut, Bytes, BytesMut};
 use pgwire::messages::{
@@ -121,8 +121,8 @@
 
     /// Ends a transaction that is rolled back already, or none.
     fn end(&mut self, tag: &str) -> Bytes {
-        if self.standing == Standing::Failed {
-            self.standing = Standing::Idle;
+        if self.standing == TransactionState::Failed {
+            self.standing = TransactionState::Idle;
             return answer::complete("ROLLBACK");
         }
         let notice = answer::notice("25P01", "there is no transaction in progress");
--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -4,7 +4,7 @@
 
 use anyhow::Context;
 use bergamottrack_coordination::{Fate, Point, Reason, Refusal, pace};
-use bergamottrack_peer::{Exchange, Intent, ToEntry, ToHome, message::Standing};
+use bergamottrack_peer::{Exchange, Intent, ToEntry, ToHome, message::TransactionState};
 use bytes::Bytes;
 
 use crate::{
@@ -28,7 +28,7 @@
     /// Messages that end the answer, without `ReadyForQuery`.
     pub frames: Bytes,
     /// How the transaction stands.
-    pub standing: Standing,
+    pub standing: TransactionState,
     /// What a confirmed write has reached.
     pub point: Option<Point>,
     /// Whether a replica answered.
@@ -87,7 +87,7 @@
             };
             match item {
                 Some(ToEntry::Part(bytes)) => self.pass(bytes).await?,
-                Some(ToEntry::Turn { frames, standing, point, replica }) => {
+                Some(ToEntry::AnswerEnd { frames, state: standing, point, replica }) => {
                     let frames = self.steps.pass(frames, self.statements, self.watch)?;
                     return Ok(Ok(Answered { frames, standing, point, replica }));
                 }
--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, bail};
 use bergamottrack_coordination::{Reason, Refusal};
-use bergamottrack_peer::{Exchange, Intent, Open, ToHome, message::Standing};
+use bergamottrack_peer::{Exchange, Intent, Open, ToHome, message::TransactionState};
 use bergamottrack_pg::{
     Frame, PgReader, PgWriter,
     answer::{self, Severity},
@@ -102,7 +102,7 @@
     pub(crate) exchange: Option<Exchange>,
     /// `Failed` without an exchange stands for a transaction that is already
     /// rolled back and whose end the caller has not asked for yet.
-    pub(crate) standing: Standing,
+    pub(crate) standing: TransactionState,
     cancel: Rc<Cancel>,
     pub(crate) statements: Statements,
     /// What each portal runs; those of an open transaction stay.
@@ -133,7 +133,7 @@
             seat,
             told: false,
             exchange: None,
-            standing: Standing::Idle,
+            standing: TransactionState::Idle,
             cancel,
             statements: Statements::default(),
             portals: HashMap::new(),
@@ -268,15 +268,15 @@
 
     pub(crate) fn ready(&self) -> Bytes {
         answer::ready(match self.standing {
-            Standing::Idle => TransactionStatus::Idle,
-            Standing::Open => TransactionStatus::Transaction,
-            Standing::Failed => TransactionStatus::Error,
+            TransactionState::Idle => TransactionStatus::Idle,
+            TransactionState::Open => TransactionStatus::Transaction,
+            TransactionState::Failed => TransactionStatus::Error,
         })
     }
 
     /// Whether a transaction has failed and is already rolled back.
     pub(crate) fn is_aborted(&self) -> bool {
-        self.standing == Standing::Failed && self.exchange.is_none()
+        self.standing == TransactionState::Failed && self.exchange.is_none()
     }
 
     /// Ends what a refused request leaves open.
@@ -286,10 +286,11 @@
     /// would run outside of the transaction they were meant for. So it counts as
     /// failed until the caller asks for its end, as with any server.
     pub(crate) fn abort(&mut self, ends: bool) {
-        let was_open = self.standing != Standing::Idle;
+        let was_open = self.standing != TransactionState::Idle;
         self.exchange = None;
         self.portals.clear();
-        self.standing = if was_open && !ends { Standing::Failed } else { Standing::Idle };
+        self.standing =
+            if was_open && !ends { TransactionState::Failed } else { TransactionState::Idle };
     }
 
     async fn query(&mut self, frame: &Frame) -> anyhow::Result<()> {
@@ -341,7 +342,7 @@
                 // Statements that a caller has sent behind its BEGIN are for the
                 // transaction that was refused: run alone they would be half of it.
                 if begins && !ends && !self.reader.is_empty() {
-                    self.standing = Standing::Failed;
+                    self.standing = TransactionState::Failed;
                 }
                 self.skipping = unfinished;
                 let mut out = BytesMut::from(&answer::refusal(Severity::Error, &refusal)[..]);
@@ -435,15 +436,15 @@
         let floor = self.settings.token.floor(&self.caller.group);
         match work {
             _ if self.exchange.is_some() => Intent::Write,
-            Work::Describe => Intent::Read { floor, max_age: None },
-            Work::Read => Intent::Read { floor, max_age: self.settings.max_age },
+            Work::Describe => Intent::Read { required_position: floor, max_age: None },
+            Work::Read => Intent::Read { required_position: floor, max_age: self.settings.max_age },
             Work::Write => Intent::Write,
         }
     }
 
     fn settle(&mut self, answered: Answered) -> BytesMut {
         self.standing = answered.standing;
-        if answered.standing == Standing::Idle {
+        if answered.standing == TransactionState::Idle {
             self.exchange = None;
             self.portals.clear();
         }
--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -153,7 +153,7 @@
         Some(match question {
             Question::Ping if self.leaving.get() => Answer::Leaving,
             Question::Ping => Answer::Pong,
-            Question::Vouch => Answer::Vouch(self.vouch()),
+            Question::Freshness => Answer::Freshness(self.vouch()),
             Question::Revision => {
                 Answer::Revision(self.current.get().map(|doc| Box::new((*doc).clone())))
             }
@@ -163,14 +163,14 @@
             }
             Question::Lend(lend) => self.limits.lend(&peer.host, &lend),
             Question::Cancel { .. } | Question::Outcome(_) | Question::Report => return None,
-            Question::Act { .. }
+            Question::ApplyLeadership { .. }
             | Question::Heartbeat(_)
-            | Question::Newest(_)
+            | Question::Updates(_)
             | Question::Piece(_)
-            | Question::Relay(_)
-            | Question::Hang(_)
-            | Question::Silence(_)
-            | Question::Take { .. } => {
+            | Question::Forward(_)
+            | Question::CancelTransaction(_)
+            | Question::LastContact(_)
+            | Question::TakeToken { .. } => {
                 return None;
             }
         })
--- a/components/fleet/src/rounds.rs
+++ b/components/fleet/src/rounds.rs
@@ -78,12 +78,13 @@
     /// Asks one host; one that is behind is told the revision.
     async fn question(&self, host: HostId, doc: &RevisionDoc) -> Option<(HostId, FreshnessVote)> {
         let link = self.mesh.link(&host)?;
-        let Ok(Answer::Vouch(mut vouch)) = link.ask(Question::Vouch, ANSWER_WITHIN).await else {
+        let Ok(Answer::Freshness(mut vouch)) = link.query(Question::Freshness, ANSWER_WITHIN).await
+        else {
             return None;
         };
         if vouch.known < doc.number {
             let adopt = Question::Adopt(Box::new(doc.clone()));
-            if let Ok(Answer::Adopted(number)) = link.ask(adopt, ANSWER_WITHIN).await {
+            if let Ok(Answer::Adopted(number)) = link.query(adopt, ANSWER_WITHIN).await {
                 vouch.known = number;
             }
         }
@@ -92,7 +93,7 @@
 
     async fn fetch(&self, host: &HostId, number: Revision) {
         let Some(link) = self.mesh.link(host) else { return };
-        match link.ask(Question::Revision, ANSWER_WITHIN).await {
+        match link.query(Question::Revision, ANSWER_WITHIN).await {
             Ok(Answer::Revision(Some(doc))) => self.adopt(*doc),
             Ok(_) => {}
             Err(error) => debug!("fleet: revision {number} was not fetched: {error:#}."),
--- a/components/home/src/homes.rs
+++ b/components/home/src/homes.rs
@@ -13,7 +13,7 @@
 };
 use bergamottrack_metrics::Metrics;
 use bergamottrack_peer::{
-    Answer, HomeSide, Mesh, Open, OutcomeOf, Question, ToEntry, accept::Replier,
+    Answer, HomeSide, Mesh, Open, OutcomeQuery, Question, ToEntry, accept::Replier,
 };
 use bergamottrack_platform::Platform;
 use tracing::{debug, info};
@@ -111,13 +111,13 @@
     ///
     /// Works as long as the group has a primary and the hosts reach each other,
     /// also while the platform is down.
-    pub async fn outcome(&self, config: &Config, mesh: &Mesh, of: OutcomeOf) -> Outcome {
+    pub async fn outcome(&self, config: &Config, mesh: &Mesh, of: OutcomeQuery) -> Outcome {
         for host in mesh.homes(&of.group) {
             if host == self.me {
                 return self.outcome_here(config, &of).await;
             }
             let Some(link) = mesh.link(&host) else { continue };
-            match link.ask(Question::Outcome(Box::new(of.clone())), of.within).await {
+            match link.query(Question::Outcome(Box::new(of.clone())), of.timeout).await {
                 Ok(Answer::Outcome(outcome)) => return outcome,
                 Ok(other) => debug!("home: {host} answered {other:?} for an outcome."),
                 Err(error) => debug!("home: an outcome is not known: {error:#}."),
@@ -128,18 +128,23 @@
         self.outcome_here(config, &of).await
     }
 
-    async fn outcome_here(&self, config: &Config, of: &OutcomeOf) -> Outcome {
+    async fn outcome_here(&self, config: &Config, of: &OutcomeQuery) -> Outcome {
         let Some(home) = self.home(config, &of.group) else {
             return Outcome::Unknown { again: COME_BACK_LATER };
         };
         let _active = home.enter();
-        let deadline = self.clock.now() + of.within;
+        let deadline = self.clock.now() + of.timeout;
         let key = Key { account: of.account.clone(), request: of.request.clone() };
         outcome::ask(&home, &key, deadline).await
     }
 
     /// Answers a peer's question in a task of its own.
-    pub fn tell_outcome(self: Rc<Self>, doc: Option<Rc<RevisionDoc>>, of: OutcomeOf, to: Replier) {
+    pub fn tell_outcome(
+        self: Rc<Self>,
+        doc: Option<Rc<RevisionDoc>>,
+        of: OutcomeQuery,
+        to: Replier,
+    ) {
         monoio::spawn(async move {
             let outcome = match doc.as_ref().and_then(|doc| doc.config.as_ref()) {
                 Some(config) => self.outcome_here(config, &of).await,
--- a/components/home/src/outcome.rs
+++ b/components/home/src/outcome.rs
@@ -13,7 +13,7 @@
     fair::Ticket,
     outcome::{self, Attempt, Claim, Outcome, Plan},
 };
-use bergamottrack_peer::{HomeSide, Intent, ToEntry, ToHome, message::Standing};
+use bergamottrack_peer::{HomeSide, Intent, ToEntry, ToHome, message::TransactionState};
 use bergamottrack_pg::answer::{self, Severity};
 use bytes::Bytes;
 use tracing::{debug, info};
@@ -144,17 +144,18 @@
         &self,
         turn: &Turn<'_>,
         conn: &mut Conn,
-        standing: Standing,
+        standing: TransactionState,
         answer: &mut Answer,
-    ) -> Result<Standing, Failure> {
+    ) -> Result<TransactionState, Failure> {
         let sql = match standing {
             // The statement has ended the transaction itself.
-            Standing::Idle => return Ok(Standing::Idle),
-            Standing::Failed => "ROLLBACK",
-            Standing::Open => "COMMIT",
+            TransactionState::Idle => return Ok(TransactionState::Idle),
+            TransactionState::Failed => "ROLLBACK",
+            TransactionState::Open => "COMMIT",
         };
         let reply = within(turn, conn.run(sql)).await.map_err(|error| {
-            let fate = if standing == Standing::Open { Fate::Unknown } else { Fate::NotRun };
+            let fate =
+                if standing == TransactionState::Open { Fate::Unknown } else { Fate::NotRun };
             let message = format!("{error:#}").into();
             Refusal { reason: Reason::Lost, fate, retry: Some(COME_BACK), message }
         })?;
@@ -163,10 +164,10 @@
             let bytes = answer::error(Severity::Error, &error.code, &error.text, None, None);
             answer.pending.extend_from_slice(&bytes);
         }
-        if standing == Standing::Open && reply.error.is_none() && reply.point.is_none() {
+        if standing == TransactionState::Open && reply.error.is_none() && reply.point.is_none() {
             return Err(turn::unconfirmed().into());
         }
-        Ok(Standing::Idle)
+        Ok(TransactionState::Idle)
     }
 }
 
--- a/components/home/src/route.rs
+++ b/components/home/src/route.rs
@@ -89,7 +89,9 @@
     /// What the answer of the primary, or of a replica, must show; `None` when
     /// no answer of such a server can show it.
     pub fn need(&self, intent: &Intent, primary: bool) -> Option<Need> {
-        let Intent::Read { floor, max_age } = intent else { return Some(Need::default()) };
+        let Intent::Read { required_position: floor, max_age } = intent else {
+            return Some(Need::default());
+        };
         let Some(max_age) = max_age else {
             // A session that has been told nothing reads where writes are.
             let known = primary || floor.is_some();
--- a/components/home/src/serve.rs
+++ b/components/home/src/serve.rs
@@ -7,7 +7,7 @@
 
 use bergamottrack_coordination::{Fate, Reason, Refusal, Term, fair::Ticket};
 use bergamottrack_metrics::Timing;
-use bergamottrack_peer::{HomeSide, Intent, Open, ToEntry, ToHome, message::Standing};
+use bergamottrack_peer::{HomeSide, Intent, Open, ToEntry, ToHome, message::TransactionState};
 use bytes::Bytes;
 use tracing::debug;
 
@@ -90,7 +90,7 @@
             Some(running) => claimed(running, &mut turn, &mut taken.conn, side, &batch).await?,
             None => turn.run(&mut taken.conn, side, &batch).await?,
         };
-        if standing == Standing::Idle {
+        if standing == TransactionState::Idle {
             // While a write is confirmed the server works for others.
             slot = None;
         }
@@ -98,7 +98,7 @@
         let wait = placed.saturating_duration_since(arrived);
         let service = home.clock.now().saturating_duration_since(placed);
         home.metrics.served(&open.account, &home.id, Timing { wait, service });
-        if standing == Standing::Idle {
+        if standing == TransactionState::Idle {
             taken.give_back();
             return Ok(());
         }
@@ -123,12 +123,12 @@
     conn: &mut Conn,
     side: &mut HomeSide,
     batch: &Batch,
-) -> Result<(Standing, Answer), Failure> {
+) -> Result<(TransactionState, Answer), Failure> {
     let claim = running.plan(turn, conn).await?;
     running.is_wanted(turn, side).await?;
     if batch.only_begins() {
         let (standing, answer) = turn.run(conn, side, batch).await?;
-        if standing == Standing::Open {
+        if standing == TransactionState::Open {
             running.claim(turn, conn, &claim).await?;
         }
         return Ok((standing, answer));
--- a/components/home/src/turn.rs
+++ b/components/home/src/turn.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bergamottrack_coordination::{Fate, Point, Reason, Refusal, Term, pace};
-use bergamottrack_peer::{HomeSide, Intent, ToEntry, ToHome, message::Standing};
+use bergamottrack_peer::{HomeSide, Intent, ToEntry, ToHome, message::TransactionState};
 use bergamottrack_pg::Frame;
 use bytes::{Bytes, BytesMut};
 use tracing::debug;
@@ -88,7 +88,7 @@
         conn: &mut Conn,
         side: &mut HomeSide,
         batch: &Batch,
-    ) -> Result<(Standing, Answer), Failure> {
+    ) -> Result<(TransactionState, Answer), Failure> {
         let mut answer = Answer::default();
         let result = self.read(conn, side, batch, &mut answer).await;
         match result {
@@ -103,7 +103,7 @@
         side: &mut HomeSide,
         batch: &Batch,
         answer: &mut Answer,
-    ) -> Result<Standing, Refusal> {
+    ) -> Result<TransactionState, Refusal> {
         conn.send(&batch.raw).await.map_err(|error| self.lost(error))?;
         loop {
             let frame = monoio::select! {
@@ -212,14 +212,14 @@
     pub async fn finish(
         &self,
         side: &HomeSide,
-        standing: Standing,
+        standing: TransactionState,
         answer: Answer,
     ) -> Result<(), Failure> {
         let point = self.settle(standing, answer.point).await?;
         let replica = !matches!(self.intent, Intent::Write)
             && self.server.seen.get().is_some_and(|seen| !seen.status.leads());
         let frames: Bytes = answer.pending.freeze();
-        side.send(ToEntry::Turn { frames, standing, point, replica });
+        side.send(ToEntry::AnswerEnd { frames, state: standing, point, replica });
         Ok(())
     }
 
@@ -228,10 +228,11 @@
     /// knowing still commits. No other server holds such a record in its term.
     async fn settle(
         &self,
-        standing: Standing,
+        standing: TransactionState,
         point: Option<Point>,
     ) -> Result<Option<Point>, Refusal> {
-        let (Intent::Write, Standing::Idle, Some(point)) = (self.intent, standing, point) else {
+        let (Intent::Write, TransactionState::Idle, Some(point)) = (self.intent, standing, point)
+        else {
             return Ok(None);
         };
         if self.home.confirm(self.server, point, self.deadline).await {
@@ -266,7 +267,7 @@
 }
 
 /// Takes one message of the answer; the standing when it is the last one.
-fn take(frame: Frame, conn: &mut Conn, answer: &mut Answer) -> Option<Standing> {
+fn take(frame: Frame, conn: &mut Conn, answer: &mut Answer) -> Option<TransactionState> {
     match frame.tag {
         b'Z' => return Some(standing(&frame)),
         b'S' => {
@@ -285,10 +286,10 @@
     None
 }
 
-fn standing(frame: &Frame) -> Standing {
+fn standing(frame: &Frame) -> TransactionState {
     match frame.body().first() {
-        Some(b'T') => Standing::Open,
-        Some(b'E') => Standing::Failed,
-        _ => Standing::Idle,
+        Some(b'T') => TransactionState::Open,
+        Some(b'E') => TransactionState::Failed,
+        _ => TransactionState::Idle,
     }
 }
--- a/components/operator/src/pages/outcome.rs
+++ b/components/operator/src/pages/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bergamottrack_peer::OutcomeOf;
+use bergamottrack_peer::OutcomeQuery;
 use hyper::StatusCode;
 
 use crate::{
@@ -17,11 +17,11 @@
 
 /// Asks the home of the group.
 pub async fn show(operator: &Operator, request: &Request) -> Shown {
-    let of = OutcomeOf {
+    let of = OutcomeQuery {
         group: needed(request, "group")?,
         account: needed(request, "account")?,
         request: needed(request, "id")?,
-        within: WITHIN,
+        timeout: WITHIN,
     };
     let doc = operator.fleet.current.get();
     let config = doc.as_ref().and_then(|doc| doc.config.as_ref());
--- a/components/operator/src/pages/status.rs
+++ b/components/operator/src/pages/status.rs
@@ -44,7 +44,7 @@
         return Some(operator.report());
     }
     let link = operator.fleet.mesh.link(&host.id)?;
-    match link.ask(Question::Report, REPORT_WITHIN).await {
+    match link.query(Question::Report, REPORT_WITHIN).await {
         Ok(Answer::Report(report)) => Some(*report),
         _ => None,
     }
--- a/components/peer/src/accept.rs
+++ b/components/peer/src/accept.rs
@@ -13,8 +13,8 @@
 use tracing::{debug, warn};
 
 use crate::{
+    activity::ActivityStream,
     exchange::HomeSide,
-    heard::Heard,
     message::{Answer, End, Hello, Message, Open, Proof, Question, RequestNo, ToHome},
     socket,
 };
@@ -39,22 +39,22 @@
 impl Replier {
     /// Sends the answer to the peer, which may be gone by now.
     pub fn reply(self, answer: Answer) {
-        let _ = self.out.send(Message::Tell(self.no, answer));
+        let _ = self.out.send(Message::Answer(self.no, answer));
     }
 
     /// Watches the link that the question was received by.
-    pub fn watch(&self) -> Watch {
-        Watch { out: self.out.clone() }
+    pub fn watch(&self) -> LinkMonitor {
+        LinkMonitor { out: self.out.clone() }
     }
 }
 
 /// Watches a peer's link.
 #[derive(Clone, Debug)]
-pub struct Watch {
+pub struct LinkMonitor {
     out: UnboundedSender<Message>,
 }
 
-impl Watch {
+impl LinkMonitor {
     /// Whether it is.
     pub fn is_open(&self) -> bool {
         !self.out.is_closed()
@@ -81,7 +81,7 @@
 async fn run(stream: TcpStream, hello: Hello, service: &Service) -> anyhow::Result<()> {
     stream.set_nodelay(true)?;
     // Whether the peer is silent is judged by the host that connected.
-    let io = Heard::new(stream.into_poll_io()?, || {});
+    let io = ActivityStream::new(stream.into_poll_io()?, || {});
     let handshake = tokio_tungstenite::accept_async_with_config(io, Some(socket::config()));
     let ws = monoio::time::timeout(socket::HELLO_TIMEOUT, handshake)
         .await
@@ -110,7 +110,7 @@
     let proof = Proof::new(secret, End::Accepting, &theirs, mine);
     socket::send(writing, &Message::Proof(proof)).await?;
     match socket::next(reading).await? {
-        Message::Proof(proof) if proof.holds(secret, End::Dialling, &theirs, mine) => Ok(theirs),
+        Message::Proof(proof) if proof.is_valid(secret, End::Dialling, &theirs, mine) => Ok(theirs),
         _ => bail!("who says to be {} does not know the fleet's secret", theirs.host),
     }
 }
@@ -145,7 +145,7 @@
                     exchanges.remove(&no);
                 }
             }
-            Message::Ask(no, question) => {
+            Message::Question(no, question) => {
                 (service.answer)(peer, question, Replier { no, out: out.clone() });
             }
             other => bail!("the peer said what only an accepting host says: {other:?}"),
--- a/components/peer/src/heard.rs
+++ b/components/peer/src/activity.rs
@@ -10,19 +10,19 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// A stream that calls `came` whenever bytes have come.
-pub struct Heard {
+pub struct ActivityStream {
     io: TcpStreamPoll,
     came: Box<dyn Fn()>,
 }
 
-impl Heard {
+impl ActivityStream {
     /// A stream that calls `came`.
     pub fn new(io: TcpStreamPoll, came: impl Fn() + 'static) -> Self {
         Self { io, came: Box::new(came) }
     }
 }
 
-impl AsyncRead for Heard {
+impl AsyncRead for ActivityStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -37,7 +37,7 @@
     }
 }
 
-impl AsyncWrite for Heard {
+impl AsyncWrite for ActivityStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/components/peer/src/errand.rs
+++ b/components/peer/src/forward.rs
@@ -11,11 +11,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Number of a transaction; each of a host has its own.
-pub type WorkNo = u64;
+pub type TransactionId = u64;
 
 /// A statement for a server.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Errand {
+pub struct ForwardedStatement {
     /// The server.
     #[serde(rename = "s")]
     pub server: ServerId,
@@ -33,7 +33,7 @@
     pub shape: Option<Shape>,
     /// The transaction that it opens or belongs to.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
-    pub work: Option<WorkNo>,
+    pub transaction: Option<TransactionId>,
     /// Whether it opens the transaction.
     #[serde(rename = "o", default, skip_serializing_if = "std::ops::Not::not")]
     pub opens: bool,
@@ -42,21 +42,21 @@
     pub priority: u32,
     /// How long it may wait for its turn, in milliseconds.
     #[serde(rename = "q")]
-    pub patience_ms: u32,
+    pub queue_timeout_ms: u32,
     /// How long it may take in all, in milliseconds.
     #[serde(rename = "t")]
-    pub within_ms: u32,
+    pub timeout_ms: u32,
 }
 
-impl Errand {
+impl ForwardedStatement {
     /// How long it may wait for its turn.
-    pub fn patience(&self) -> Duration {
-        Duration::from_millis(self.patience_ms.into())
+    pub fn queue_timeout(&self) -> Duration {
+        Duration::from_millis(self.queue_timeout_ms.into())
     }
 
     /// How long it may take in all.
-    pub fn within(&self) -> Duration {
-        Duration::from_millis(self.within_ms.into())
+    pub fn timeout(&self) -> Duration {
+        Duration::from_millis(self.timeout_ms.into())
     }
 }
 
@@ -64,7 +64,8 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum NotSent {
     /// Too many wait for the server; there is room after this many milliseconds.
-    Crowded(u32),
+    #[serde(rename = "Crowded")]
+    QueueFull(u32),
     /// All connections are in use.
     Full,
     /// The server's process does not run.
@@ -76,7 +77,8 @@
     /// The server takes no connection.
     Rejected,
     /// The holder does not know the server.
-    Unlisted,
+    #[serde(rename = "Unlisted")]
+    UnknownServer,
     /// The holder knows no such transaction: its connection was closed.
     Closed,
     /// The holder is being stopped.
@@ -89,7 +91,7 @@
 
 /// What became of a statement.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub enum Relayed {
+pub enum ForwardResult {
     /// The server's answer.
     #[serde(rename = "A")]
     Answered(ServerAnswer),
@@ -101,5 +103,5 @@
     Lost,
     /// The server did not answer in time.
     #[serde(rename = "T")]
-    Late,
+    TimedOut,
 }
--- a/components/peer/src/lib.rs
+++ b/components/peer/src/lib.rs
@@ -1,16 +1,16 @@
 //! Messages and links between the hosts.
 
 pub mod accept;
-pub mod errand;
+mod activity;
 pub mod exchange;
-mod heard;
+pub mod forward;
 pub mod link;
 pub mod mesh;
 pub mod message;
 mod socket;
 
-pub use errand::{Errand, NotSent, Relayed, WorkNo};
 pub use exchange::{Exchange, HomeSide, open_local};
+pub use forward::{ForwardResult, ForwardedStatement, NotSent, TransactionId};
 pub use link::Link;
 pub use mesh::Mesh;
-pub use message::{Answer, Intent, Message, Open, OutcomeOf, Question, ToEntry, ToHome};
+pub use message::{Answer, Intent, Message, Open, OutcomeQuery, Question, ToEntry, ToHome};
--- a/components/peer/src/link.rs
+++ b/components/peer/src/link.rs
@@ -22,8 +22,8 @@
 use tracing::{debug, info};
 
 use crate::{
+    activity::ActivityStream,
     exchange::Exchange,
-    heard::Heard,
     message::{Answer, End, Hello, Message, Open, Proof, Question, RequestNo, ToEntry},
     socket,
 };
@@ -32,23 +32,23 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// How often a link is tried out.
-pub const PING_EVERY: Duration = Duration::from_millis(100);
+pub const PING_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a silent peer counts as there, where links are tried out so often.
-pub const SILENCE: Duration = Duration::from_millis(600);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How a link is tried out.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Keepalive {
     /// How often.
-    pub every: Duration,
-    /// How long a silent peer counts as there; several times `every`.
-    pub silence: Duration,
+    pub interval: Duration,
+    /// How long a silent peer counts as there; several times `interval`.
+    pub timeout: Duration,
 }
 
-impl Default for Pace {
+impl Default for Keepalive {
     fn default() -> Self {
-        Self { every: PING_EVERY, silence: SILENCE }
+        Self { interval: PING_INTERVAL, timeout: SILENCE_TIMEOUT }
     }
 }
 
@@ -80,7 +80,7 @@
     tried: Cell<bool>,
     /// Wakes those who wait for the first attempt.
     first: Notify,
-    pace: Pace,
+    pace: Keepalive,
 }
 
 impl Link {
@@ -93,7 +93,7 @@
         hello: impl Fn() -> Hello + 'static,
         secret: Secret,
         clock: Rc<dyn Clock>,
-        pace: Pace,
+        pace: Keepalive,
     ) -> Rc<Self> {
         let link = Rc::new(Self {
             host,
@@ -126,14 +126,14 @@
     }
 
     fn is_heard(&self) -> bool {
-        self.heard.get().is_some_and(|t| self.clock.now() < t + self.pace.silence)
+        self.heard.get().is_some_and(|t| self.clock.now() < t + self.pace.timeout)
     }
 
     /// Whether the peer has said something within that time, if it owes an answer.
     ///
     /// Guards against a host that froze: its link counts as up for seconds, and all that
     /// is asked of it meanwhile waits in vain.
-    pub fn is_prompt(&self, within: Duration) -> bool {
+    pub fn is_responsive(&self, within: Duration) -> bool {
         self.is_up() && self.owes.get().is_none_or(|since| self.clock.now() < since + within)
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// Waits until a new link has been tried for the first time.
-    pub async fn settled(&self, within: Duration) {
+    pub async fn first_attempt(&self, within: Duration) {
         if !self.tried.get() {
             // A peer that does not answer by then is passed over.
             let _ = monoio::time::timeout(within, self.first.notified()).await;
@@ -170,13 +170,13 @@
     }
 
     /// Asks the peer; an error when the link is down or goes down.
-    pub async fn ask(&self, question: Question, within: Duration) -> anyhow::Result<Answer> {
+    pub async fn query(&self, question: Question, within: Duration) -> anyhow::Result<Answer> {
         let out = self.out.borrow().clone();
         let out = out.with_context(|| format!("the link to {} is down", self.host))?;
         let (tx, rx) = oneshot::channel();
         let no = self.wait(Waiter::Question(tx));
         self.owes.set(self.owes.get().or_else(|| Some(self.clock.now())));
-        let sent = out.send(Message::Ask(no, question));
+        let sent = out.send(Message::Question(no, question));
         let answer = monoio::time::timeout(within, rx).await;
         self.waiters.borrow_mut().remove(&no);
         sent.ok().with_context(|| format!("the link to {} is down", self.host))?;
@@ -200,7 +200,7 @@
         stream.set_nodelay(true)?;
         let url = format!("ws://{address}/");
         let (heard, clock) = (self.heard.clone(), self.clock.clone());
-        let io = Heard::new(stream.into_poll_io()?, move || heard.set(Some(clock.now())));
+        let io = ActivityStream::new(stream.into_poll_io()?, move || heard.set(Some(clock.now())));
         let handshake =
             tokio_tungstenite::client_async_with_config(url, io, Some(socket::config()));
         let (ws, _) = monoio::time::timeout(socket::HELLO_TIMEOUT, handshake).await??;
@@ -227,7 +227,7 @@
             self.owes.set((self.waiters.borrow().len() > 1).then(|| self.clock.now()));
             match message {
                 Message::ToEntry(no, item) => self.hand_over(no, item),
-                Message::Tell(no, answer) => {
+                Message::Answer(no, answer) => {
                     // An answer that nobody waits for any more is late: dropped.
                     if let Some(Waiter::Question(tx)) = self.waiters.borrow_mut().remove(&no) {
                         let _ = tx.send(answer);
@@ -257,12 +257,12 @@
     /// over it, and the large message, asked for again, would have the same end.
     async fn ping(&self) -> anyhow::Result<()> {
         while !self.closed.get() {
-            match self.ask(Question::Ping, self.pace.silence).await {
+            match self.query(Question::Ping, self.pace.timeout).await {
                 Ok(answer) => self.leaving.set(matches!(answer, Answer::Leaving)),
                 Err(_) if self.is_heard() => continue,
                 Err(error) => return Err(error),
             }
-            monoio::time::sleep(self.pace.every).await;
+            monoio::time::sleep(self.pace.interval).await;
         }
         bail!("the host left the roster")
     }
@@ -291,7 +291,8 @@
             _ => bail!("another host answered at {}", self.address),
         };
         match socket::next(reading).await? {
-            Message::Proof(proof) if proof.holds(&self.secret, End::Accepting, &mine, &theirs) => {}
+            Message::Proof(proof)
+                if proof.is_valid(&self.secret, End::Accepting, &mine, &theirs) => {}
             _ => bail!("who answered at {} does not know the fleet's secret", self.address),
         }
         let proof = Proof::new(&self.secret, End::Dialling, &mine, &theirs);
--- a/components/peer/src/mesh.rs
+++ b/components/peer/src/mesh.rs
@@ -11,7 +11,7 @@
 use bergamottrack_coordination::{Clock, GroupId, HostId, rendezvous, token::Secret};
 
 use crate::{
-    link::{Link, Pace},
+    link::{Keepalive, Link},
     message::Hello,
 };
 
@@ -27,11 +27,11 @@
     pub secret: Secret,
     clock: Rc<dyn Clock>,
     routes: Routes,
-    pace: Pace,
+    pace: Keepalive,
     /// Links to the hosts of the roster, and of the roster before it.
     links: RefCell<HashMap<HostId, (Host, Rc<Link>)>>,
     /// Links to hosts that are not spoken to all the time, and since when.
-    guests: RefCell<HashMap<HostId, (Rc<Link>, Instant)>>,
+    temporary_links: RefCell<HashMap<HostId, (Rc<Link>, Instant)>>,
     /// The hosts that left with the last revision: they are told of it, and
     /// asked for nothing else.
     left: RefCell<Vec<HostId>>,
@@ -40,16 +40,16 @@
 impl Mesh {
     /// A mesh of this host alone.
     pub fn new(me: Host, secret: Secret, clock: Rc<dyn Clock>, routes: Routes) -> Rc<Self> {
-        Self::with_pace(me, secret, clock, routes, Pace::default())
+        Self::with_keepalive(me, secret, clock, routes, Keepalive::default())
     }
 
     /// A mesh whose links are tried out at another pace.
-    pub fn with_pace(
+    pub fn with_keepalive(
         me: Host,
         secret: Secret,
         clock: Rc<dyn Clock>,
         routes: Routes,
-        pace: Pace,
+        pace: Keepalive,
     ) -> Rc<Self> {
         Rc::new(Self {
             me,
@@ -58,7 +58,7 @@
             routes,
             pace,
             links: RefCell::default(),
-            guests: RefCell::default(),
+            temporary_links: RefCell::default(),
             left: RefCell::default(),
         })
     }
@@ -86,7 +86,7 @@
             links.entry(host.id.clone()).or_insert_with(|| (host.clone(), self.start(host)));
         }
         let now = self.clock.now();
-        self.guests.borrow_mut().retain(|_, (link, since)| {
+        self.temporary_links.borrow_mut().retain(|_, (link, since)| {
             let stays = now.saturating_duration_since(*since) < GUEST_FOR;
             if !stays {
                 link.close();
@@ -110,13 +110,13 @@
             return link;
         }
         let start = || (self.start(host), self.clock.now());
-        let mut guests = self.guests.borrow_mut();
-        guests.entry(host.id.clone()).or_insert_with(start).0.clone()
+        let mut temporary_links = self.temporary_links.borrow_mut();
+        temporary_links.entry(host.id.clone()).or_insert_with(start).0.clone()
     }
 
     /// The links to hosts that are not of the roster.
-    pub fn guests(&self) -> Vec<Rc<Link>> {
-        self.guests.borrow().values().map(|(link, _)| link.clone()).collect()
+    pub fn temporary_links(&self) -> Vec<Rc<Link>> {
+        self.temporary_links.borrow().values().map(|(link, _)| link.clone()).collect()
     }
 
     /// The link to a host, whether up or not.
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -21,7 +21,7 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-use crate::errand::{Errand, Relayed, WorkNo};
+use crate::forward::{ForwardResult, ForwardedStatement, TransactionId};
 
 /// Number of an exchange or question on its link; never used twice on one link.
 pub type RequestNo = u64;
@@ -31,11 +31,12 @@
 pub enum Intent {
     /// It may change data: the primary.
     Write,
-    /// It reads: any server that shows all up to `floor`, or whose data is no
+    /// It reads: any server that shows all up to `required_position`, or whose data is no
     /// older than `max_age`; the primary when neither is stated.
     Read {
         /// What the session has been told of.
-        floor: Option<Point>,
+        #[serde(rename = "floor")]
+        required_position: Option<Point>,
         /// The age that the caller accepts.
         max_age: Option<Duration>,
     },
@@ -78,7 +79,7 @@
 
 /// How an exchange stands after a statement.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Standing {
+pub enum TransactionState {
     /// The transaction is over, and so is the exchange.
     Idle,
     /// The transaction goes on.
@@ -94,11 +95,13 @@
     /// passes it on and says so by [`ToHome::Credit`], also of an empty one.
     Part(Bytes),
     /// The end of an answer, without its `ReadyForQuery`.
-    Turn {
+    #[serde(rename = "Turn")]
+    AnswerEnd {
         /// Whole PostgreSQL messages.
         frames: Bytes,
         /// How the exchange stands.
-        standing: Standing,
+        #[serde(rename = "standing")]
+        state: TransactionState,
         /// What a confirmed write has reached.
         point: Option<Point>,
         /// Whether a replica answered.
@@ -111,7 +114,7 @@
 impl ToEntry {
     /// Whether the home says nothing more within the exchange.
     pub fn is_last(&self) -> bool {
-        matches!(self, Self::Refused(_) | Self::Turn { standing: Standing::Idle, .. })
+        matches!(self, Self::Refused(_) | Self::AnswerEnd { state: TransactionState::Idle, .. })
     }
 }
 
@@ -121,7 +124,8 @@
     /// Is the host there?
     Ping,
     /// Is there a newer revision than the asker's?
-    Vouch,
+    #[serde(rename = "Vouch")]
+    Freshness,
     /// What is the newest revision known?
     Revision,
     /// What does the host report of itself?
@@ -138,29 +142,35 @@
         secret: i32,
     },
     /// What became of a request that runs at most once?
-    Outcome(Box<OutcomeOf>),
+    Outcome(Box<OutcomeQuery>),
     /// What a host tells the others all the time.
     Heartbeat(Box<Heartbeat>),
     /// Act on this row, unless a newer one is known; answered once work at a
     /// leader that it names no more has ended.
-    Act {
+    #[serde(rename = "Act")]
+    ApplyLeadership {
         /// The group.
         group: GroupId,
         /// Who leads it.
         row: Versioned<Leadership>,
     },
     /// What the host knows that the asker does not.
-    Newest(Known),
+    #[serde(rename = "Newest")]
+    Updates(KnownVersions),
     /// A piece of a configuration.
     Piece(pieces::PieceRequest),
     /// How long ago did this server last answer the host anything?
-    Silence(ServerId),
+    #[serde(rename = "Silence")]
+    LastContact(ServerId),
     /// Run this at a server whose connections the host holds.
-    Relay(Box<Errand>),
+    #[serde(rename = "Relay")]
+    Forward(Box<ForwardedStatement>),
     /// Close the connection of this transaction, which rolls it back.
-    Hang(WorkNo),
+    #[serde(rename = "Hang")]
+    CancelTransaction(TransactionId),
     /// A token of an account's rate.
-    Take {
+    #[serde(rename = "Take")]
+    TakeToken {
         /// The account.
         account: AccountId,
         /// Its rate, as the asker knows it.
@@ -172,7 +182,7 @@
 
 /// A request of which somebody wants to know what became of it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct OutcomeOf {
+pub struct OutcomeQuery {
     /// The database group.
     pub group: GroupId,
     /// The client account.
@@ -180,7 +190,8 @@
     /// The caller's id of the request.
     pub request: RequestId,
     /// How long the asker waits.
-    pub within: Duration,
+    #[serde(rename = "within")]
+    pub timeout: Duration,
 }
 
 /// A question for tokens of an account.
@@ -193,7 +204,8 @@
     /// Tokens wanted.
     pub tokens: f64,
     /// Earlier loans of the host that is asked, of which nothing will be spent any more.
-    pub over: Vec<LoanId>,
+    #[serde(rename = "over")]
+    pub settled: Vec<LoanId>,
 }
 
 /// The answer to a question.
@@ -204,7 +216,8 @@
     /// The host is there, but being stopped: it is to get nothing new.
     Leaving,
     /// What the host can vouch for.
-    Vouch(FreshnessVote),
+    #[serde(rename = "Vouch")]
+    Freshness(FreshnessVote),
     /// What the host reports of itself.
     Report(Box<HostReport>),
     /// The newest revision that the host knows.
@@ -221,29 +234,34 @@
         spare: f64,
     },
     /// The host acts on the group's row of this version or a newer one.
-    Acting(u64),
+    #[serde(rename = "Acting")]
+    LeadershipApplied(u64),
     /// What the host tells all the time.
     Heartbeat(Box<Heartbeat>),
     /// The newest that the host knows.
-    Newest(Box<Newest>),
+    #[serde(rename = "Newest")]
+    Updates(Box<Updates>),
     /// The piece; none of a configuration that the host does not hold.
     Piece(Option<pieces::Piece>),
     /// Whether the token was given.
     Ruling(demand::Ruling),
     /// What became of a statement.
-    Relayed(Relayed),
+    #[serde(rename = "Relayed")]
+    ForwardResult(ForwardResult),
     /// How long ago a server last answered the host anything; none if it never did, or the host
     /// does not know it.
-    Silence(Option<Duration>),
+    #[serde(rename = "Silence")]
+    LastContact(Option<Duration>),
 }
 
 /// What a host tells the others all the time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Heartbeat {
     /// What callers ask for that this host gives tokens to; none if it gives none.
-    pub asked: Option<demand::Report>,
+    #[serde(rename = "asked")]
+    pub report: Option<demand::Report>,
     /// What it knows.
-    pub known: Known,
+    pub known: KnownVersions,
     /// Whether it hears most of the fleet.
     pub majority: bool,
     /// Evacuated failure domains, once it knows them.
@@ -251,16 +269,16 @@
     pub evacuations: Option<evacuation::Set>,
     /// Positions of leaders; in a question those that the sender saw itself since its last
     /// one, in an answer the newest that it knows.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<LeaderPosition>,
     /// The sender's clock; in an answer only.
-    pub clock: Option<Stamp>,
+    pub clock: Option<ClockReading>,
     /// The newest clock of the receiver's that the sender was sent; in a question only.
-    pub echo: Option<Stamp>,
+    pub echo: Option<ClockReading>,
 }
 
 /// A moment on the steady clock of one process.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Stamp {
+pub struct ClockReading {
     /// The process, since clocks of others say nothing of its own.
     pub run: u64,
     /// Since its start.
@@ -269,7 +287,7 @@
 
 /// A position of a group's leader, seen under a lease.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Seen {
+pub struct LeaderPosition {
     /// The group.
     #[serde(rename = "g")]
     pub group: GroupId,
@@ -288,7 +306,7 @@
 /// Which versions a host knows, each with the store's clock at which it was the
 /// newest for certain.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Known {
+pub struct KnownVersions {
     /// Version of the configuration.
     pub plan: (Revision, Duration),
     /// Stamp of the view.
@@ -301,9 +319,9 @@
 
 /// What a host knows that another one does not. A newer configuration is fetched in pieces.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Newest {
+pub struct Updates {
     /// Which versions it knows.
-    pub known: Known,
+    pub known: KnownVersions,
     /// What the view has that the asker's has not.
     pub view: Option<Changes>,
     /// The list of servers.
@@ -352,7 +370,7 @@
     }
 
     /// Whether this is the proof that `end` must give.
-    pub fn holds(&self, secret: &Secret, end: End, dialling: &Hello, accepting: &Hello) -> bool {
+    pub fn is_valid(&self, secret: &Secret, end: End, dialling: &Hello, accepting: &Hello) -> bool {
         secret.verify(&parts(end, dialling, accepting), &self.0)
     }
 }
@@ -387,9 +405,11 @@
     /// Within an exchange, towards the entry.
     ToEntry(RequestNo, ToEntry),
     /// A question.
-    Ask(RequestNo, Question),
+    #[serde(rename = "Ask")]
+    Question(RequestNo, Question),
     /// Its answer.
-    Tell(RequestNo, Answer),
+    #[serde(rename = "Tell")]
+    Answer(RequestNo, Answer),
 }
 
 impl Message {
--- a/components/peer/src/socket.rs
+++ b/components/peer/src/socket.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio_tungstenite::{WebSocketStream, tungstenite};
 
-use crate::{heard::Heard, message::Message};
+use crate::{activity::ActivityStream, message::Message};
 
 /// How long a peer may take to say who it is.
 pub const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
@@ -18,7 +18,7 @@
 /// The most messages written before they are flushed together.
 const BATCH: usize = 64;
 
-pub type Socket = WebSocketStream<Heard>;
+pub type Socket = WebSocketStream<ActivityStream>;
 pub type Reading = SplitStream<Socket>;
 pub type Writing = SplitSink<Socket, tungstenite::Message>;
 
--- a/components/peer/tests/message.rs
+++ b/components/peer/tests/message.rs
@@ -3,7 +3,7 @@
 use bergamottrack_coordination::demand::{AccountReport, Report};
 use bergamottrack_peer::{
     Question,
-    message::{Heartbeat, Known, Message},
+    message::{Heartbeat, KnownVersions, Message},
 };
 
 /// The most bytes that an account with a name of eight letters may cost in a heartbeat.
@@ -18,15 +18,15 @@
     };
     let asked = Report { run: 7, no: 9, figures: (0..accounts).map(figures).collect() };
     let beat = Heartbeat {
-        asked: Some(asked),
-        known: Known::default(),
+        report: Some(asked),
+        known: KnownVersions::default(),
         majority: true,
         evacuations: None,
         seen: Vec::new(),
         clock: None,
         echo: None,
     };
-    Message::Ask(1, Question::Heartbeat(Box::new(beat)))
+    Message::Question(1, Question::Heartbeat(Box::new(beat)))
 }
 
 /// Guards against heartbeats that fill the links between failure domains: each hub sends one
@@ -41,10 +41,10 @@
 /// Guards against figures that are rounded up, or lost, on their way.
 #[test]
 fn figures_arrive_hardly_less_than_they_were() {
-    let Message::Ask(_, Question::Heartbeat(sent)) = beat(200) else { unreachable!() };
+    let Message::Question(_, Question::Heartbeat(sent)) = beat(200) else { unreachable!() };
     let decoded = Message::decode(&beat(200).encode()).unwrap();
-    let Message::Ask(_, Question::Heartbeat(told)) = decoded else { unreachable!() };
-    let (sent, told) = (sent.asked.unwrap(), told.asked.unwrap());
+    let Message::Question(_, Question::Heartbeat(told)) = decoded else { unreachable!() };
+    let (sent, told) = (sent.report.unwrap(), told.report.unwrap());
     assert_eq!((sent.run, sent.no, sent.figures.len()), (told.run, told.no, told.figures.len()));
     for (sent, told) in sent.figures.iter().zip(&told.figures) {
         assert_eq!((&sent.account, sent.admitted), (&told.account, told.admitted));
--- a/components/peer/tests/slow.rs
+++ b/components/peer/tests/slow.rs
@@ -106,10 +106,10 @@
     link
 }
 
-async fn ask(link: &Link) -> anyhow::Result<Answer> {
+async fn query(link: &Link) -> anyhow::Result<Answer> {
     let (revision, from, most) = (Revision(1), Size(0), Size(LARGE as u64));
     let question = Question::Piece(PieceRequest { revision, from, most });
-    link.ask(question, Duration::from_secs(20)).await
+    link.query(question, Duration::from_secs(20)).await
 }
 
 /// A caller's large row is on its way over a slow link, and the answer to the try of the link
@@ -118,9 +118,9 @@
 #[monoio::test(driver = "legacy", enable_timer = true)]
 async fn a_link_on_which_a_message_goes_on_coming_is_up() {
     let link = link_over(slow_way(teller(), usize::MAX)).await;
-    let asked = ask(&link);
+    let asked = query(&link);
     let watched = async {
-        monoio::time::sleep(2 * link::SILENCE).await;
+        monoio::time::sleep(2 * link::SILENCE_TIMEOUT).await;
         link.is_up()
     };
     let (answer, up) = monoio::join!(asked, watched);
@@ -134,6 +134,6 @@
 async fn a_link_that_goes_silent_within_a_message_is_given_up() {
     let link = link_over(slow_way(teller(), LARGE / 10)).await;
     let began = Instant::now();
-    assert!(ask(&link).await.is_err());
+    assert!(query(&link).await.is_err());
     assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
 }
--- a/components/peer/tests/stranger.rs
+++ b/components/peer/tests/stranger.rs
@@ -48,16 +48,16 @@
     dialler.set_roster(std::slice::from_ref(whom), &[]);
     let id: HostId = whom.id.clone();
     let link = dialler.link(&id).unwrap();
-    link.ask(Question::Ping, Duration::from_secs(1)).await.is_ok()
+    link.query(Question::Ping, Duration::from_secs(1)).await.is_ok()
 }
 
 async fn until_asked(dialler: &Mesh, whom: &Host) {
-    let ask = async {
+    let query = async {
         while !asked(dialler, whom).await {
             monoio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    monoio::time::timeout(PATIENCE, ask).await.expect("a host is answered");
+    monoio::time::timeout(PATIENCE, query).await.expect("a host is answered");
 }
 
 type Socket = WebSocketStream<TcpStreamPoll>;
@@ -87,7 +87,7 @@
     assert!(matches!(hear(&mut socket).await, Some(Message::Hello(_))));
     let Some(Message::Proof(theirs)) = hear(&mut socket).await else { panic!("no proof") };
     say(&mut socket, &Message::Proof(proof(theirs))).await;
-    say(&mut socket, &Message::Ask(1, Question::Ping)).await;
+    say(&mut socket, &Message::Question(1, Question::Ping)).await;
     hear(&mut socket).await
 }
 
--- a/components/proxy/src/change.rs
+++ b/components/proxy/src/change.rs
@@ -424,12 +424,12 @@
 
 /// Tells who leads a group to all hosts that can be reached.
 fn tell(host: &Rc<Host>, id: &GroupId, row: &Versioned<Leadership>) {
-    let links = host.mesh.links().into_iter().chain(host.mesh.guests());
+    let links = host.mesh.links().into_iter().chain(host.mesh.temporary_links());
     for link in links.filter(|link| link.is_up()) {
-        let act = Question::Act { group: id.clone(), row: row.clone() };
+        let act = Question::ApplyLeadership { group: id.clone(), row: row.clone() };
         monoio::spawn(async move {
             // A host that is not reached hears of it from its hub or the store.
-            let _ = link.ask(act, ACT_WITHIN).await;
+            let _ = link.query(act, ACT_WITHIN).await;
         });
     }
 }
@@ -447,9 +447,9 @@
         let was_up = link.as_ref().is_some_and(|link| link.is_up());
         let returned = match link.filter(|_| was_up) {
             Some(link) => {
-                let act = Question::Act { group: group.clone(), row: row.clone() };
-                let answer = link.ask(act, ACT_WITHIN).await;
-                matches!(answer, Ok(Answer::Acting(version)) if version >= row.version)
+                let act = Question::ApplyLeadership { group: group.clone(), row: row.clone() };
+                let answer = link.query(act, ACT_WITHIN).await;
+                matches!(answer, Ok(Answer::LeadershipApplied(version)) if version >= row.version)
             }
             None => lead::is_dead(&host, &id).await,
         };
--- a/components/proxy/src/conn.rs
+++ b/components/proxy/src/conn.rs
@@ -9,7 +9,9 @@
 
 use bergamottrack_coordination::AccountId;
 use bergamottrack_model::{Failure, ServerAnswer, Session, State, statement::Shape};
-use bergamottrack_peer::{Answer, Errand, Link, NotSent, Question, Relayed, WorkNo};
+use bergamottrack_peer::{
+    Answer, ForwardResult, ForwardedStatement, Link, NotSent, Question, TransactionId,
+};
 use bytes::{Bytes, BytesMut};
 use monoio::time::Instant;
 
@@ -66,7 +68,7 @@
     /// Whether the line runs whatever the values are.
     bare: bool,
     /// The transaction that it was or is to be opened for.
-    work: Option<WorkNo>,
+    work: Option<TransactionId>,
     /// Whether the holder keeps the connection for the transaction.
     kept: bool,
 }
@@ -221,22 +223,22 @@
         if !self.link.is_up() {
             return Err(Broken::NotSent(NotSent::Unreachable));
         }
-        let errand = Errand {
+        let statement = ForwardedStatement {
             server: self.pool.listed.borrow().id.clone(),
             account: (!self.bare).then(|| self.account.clone()),
             line: self.line.split().freeze(),
             values: std::mem::take(&mut self.values),
             shape: self.shape.take(),
-            work: self.work,
+            transaction: self.work,
             opens: self.work.is_some() && !self.kept,
             priority: self.turn.priority,
-            patience_ms: self.turn.patience.as_millis() as u32,
-            within_ms: within.as_millis() as u32,
+            queue_timeout_ms: self.turn.patience.as_millis() as u32,
+            timeout_ms: within.as_millis() as u32,
         };
         // Until the answer is there the holder may keep the connection.
         self.kept = self.work.is_some();
         self.bare = false;
-        let answer = run(&self.link, errand).await?;
+        let answer = run(&self.link, statement).await?;
         self.kept = self.work.is_some() && answer.state != State::Idle;
         Ok(answer)
     }
@@ -248,18 +250,18 @@
         let link = self.link.clone();
         monoio::spawn(async move {
             // A holder that is not reached closes it by itself.
-            let _ = link.ask(Question::Hang(work), HANG_WITHIN).await;
+            let _ = link.query(Question::CancelTransaction(work), HANG_WITHIN).await;
         });
     }
 }
 
 /// Has the host at the other end of the link run an errand.
-async fn run(link: &Link, errand: Errand) -> Result<ServerAnswer, Broken> {
-    let within = errand.within() + WORD_WITHIN;
-    match link.ask(Question::Relay(Box::new(errand)), within).await {
-        Ok(Answer::Relayed(Relayed::Answered(answer))) => Ok(answer),
-        Ok(Answer::Relayed(Relayed::NotSent(why))) => Err(Broken::NotSent(why)),
-        Ok(Answer::Relayed(Relayed::Late)) => Err(Broken::Late),
+async fn run(link: &Link, statement: ForwardedStatement) -> Result<ServerAnswer, Broken> {
+    let within = statement.timeout() + WORD_WITHIN;
+    match link.query(Question::Forward(Box::new(statement)), within).await {
+        Ok(Answer::ForwardResult(ForwardResult::Answered(answer))) => Ok(answer),
+        Ok(Answer::ForwardResult(ForwardResult::NotSent(why))) => Err(Broken::NotSent(why)),
+        Ok(Answer::ForwardResult(ForwardResult::TimedOut)) => Err(Broken::Late),
         _ => Err(Broken::Lost),
     }
 }
@@ -271,24 +273,24 @@
     line: Bytes,
     within: Duration,
 ) -> Result<ServerAnswer, Broken> {
-    let errand = Errand {
+    let statement = ForwardedStatement {
         server: pool.listed.borrow().id.clone(),
         account: None,
         line,
         values: BTreeMap::new(),
         shape: None,
-        work: None,
+        transaction: None,
         opens: false,
         priority: 0,
-        patience_ms: within.as_millis() as u32,
-        within_ms: within.as_millis() as u32,
+        queue_timeout_ms: within.as_millis() as u32,
+        timeout_ms: within.as_millis() as u32,
     };
-    run(link, errand).await
+    run(link, statement).await
 }
 
 /// What is told of a server that has no room for so long.
 pub fn crowded(wait: Duration) -> NotSent {
-    NotSent::Crowded(wait.as_millis() as u32)
+    NotSent::QueueFull(wait.as_millis() as u32)
 }
 
 /// Why no connection came, for a host that asked for one.
--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -35,7 +35,7 @@
     let began = host.now();
     loop {
         let asked = host.now();
-        let answer = link.ask(Question::Piece(fetch.next_request()), pieces::PIECE_TIMEOUT).await;
+        let answer = link.query(Question::Piece(fetch.next_request()), pieces::PIECE_TIMEOUT).await;
         let piece = match answer {
             Ok(Answer::Piece(piece)) => piece,
             Ok(_) => None,
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -13,7 +13,7 @@
     view::{self, Leadership, Member, Versioned, View},
 };
 use bergamottrack_model::Settings;
-use bergamottrack_peer::link::Pace;
+use bergamottrack_peer::link::Keepalive;
 use bergamottrack_platform::http::Client;
 use tracing::{info, warn};
 
@@ -59,8 +59,8 @@
 const ASKED_WITHIN: Duration = Duration::from_millis(400);
 
 /// How links between hosts are tried out. Demand is told more often anyway.
-pub const PACE: Pace =
-    Pace { every: Duration::from_millis(1000), silence: Duration::from_millis(2200) };
+pub const KEEPALIVE: Keepalive =
+    Keepalive { interval: Duration::from_millis(1000), timeout: Duration::from_millis(2200) };
 
 const MEMBER: &str = "host/";
 
--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -10,8 +10,8 @@
 use bergamottrack_coordination::HostId;
 use bergamottrack_model::{ServerAnswer, State};
 use bergamottrack_peer::{
-    Answer, Errand, NotSent, Relayed, WorkNo,
-    accept::{Replier, Watch},
+    Answer, ForwardResult, ForwardedStatement, NotSent, TransactionId,
+    accept::{LinkMonitor, Replier},
 };
 use tracing::info;
 
@@ -35,16 +35,16 @@
     leased: Leased,
     since: Instant,
     /// Link by which its statements are forwarded.
-    watch: Watch,
+    watch: LinkMonitor,
 }
 
 /// Transactions of other hosts on connections held by this host.
 #[derive(Default)]
 pub struct RemoteTransactions {
-    idle: RefCell<HashMap<(HostId, WorkNo), IdleTransaction>>,
+    idle: RefCell<HashMap<(HostId, TransactionId), IdleTransaction>>,
     /// Transactions cancelled while one of their statements was running, with the time of the
     /// cancellation.
-    cancelled: RefCell<HashMap<(HostId, WorkNo), Instant>>,
+    cancelled: RefCell<HashMap<(HostId, TransactionId), Instant>>,
 }
 
 impl RemoteTransactions {
@@ -84,7 +84,7 @@
 
     /// Cancels a transaction by closing its connection, after the answer if one of its statements
     /// is running.
-    pub fn cancel(&self, host: &HostId, work: WorkNo, now: Instant) {
+    pub fn cancel(&self, host: &HostId, work: TransactionId, now: Instant) {
         let key = (host.clone(), work);
         if self.idle.borrow_mut().remove(&key).is_none() {
             self.cancelled.borrow_mut().insert(key, now);
@@ -92,7 +92,7 @@
     }
 
     /// Stores a transaction until its next statement, unless it has been cancelled meanwhile.
-    fn store(&self, key: (HostId, WorkNo), transaction: IdleTransaction) {
+    fn store(&self, key: (HostId, TransactionId), transaction: IdleTransaction) {
         if self.cancelled.borrow_mut().remove(&key).is_none() {
             self.idle.borrow_mut().insert(key, transaction);
         }
@@ -100,26 +100,26 @@
 }
 
 /// Runs a forwarded statement and replies with the result.
-pub async fn serve(host: Rc<Host>, from: HostId, errand: Errand, replier: Replier) {
+pub async fn serve(host: Rc<Host>, from: HostId, statement: ForwardedStatement, replier: Replier) {
     let watch = replier.watch();
-    let relayed = match acquire(&host, &from, &errand).await {
-        Ok((leased, permit)) => run(&host, from, errand, leased, permit, watch).await,
+    let relayed = match acquire(&host, &from, &statement).await {
+        Ok((leased, permit)) => run(&host, from, statement, leased, permit, watch).await,
         Err(reason) => {
-            record_failure(&host, &errand, reason);
-            Relayed::NotSent(reason)
+            record_failure(&host, &statement, reason);
+            ForwardResult::NotSent(reason)
         }
     };
-    replier.reply(Answer::Relayed(relayed));
+    replier.reply(Answer::ForwardResult(relayed));
 }
 
 /// Records a failed connection to a leader with the group's failure detector.
 ///
 /// Guards against a leader that closes every connection: other hosts leave its detection to this
 /// one, the holder, which may send it no statements of its own.
-fn record_failure(host: &Host, errand: &Errand, reason: NotSent) {
-    let Some(pool) = host.server(&errand.server) else { return };
+fn record_failure(host: &Host, statement: &ForwardedStatement, reason: NotSent) {
+    let Some(pool) = host.server(&statement.server) else { return };
     let group = host.group(&pool.listed.borrow().group);
-    if group.leader().as_ref() != Some(&errand.server) {
+    if group.leader().as_ref() != Some(&statement.server) {
         return;
     }
     match reason {
@@ -134,30 +134,30 @@
 async fn acquire(
     host: &Host,
     from: &HostId,
-    errand: &Errand,
+    statement: &ForwardedStatement,
 ) -> Result<(Leased, Option<Permit>), NotSent> {
-    let pool = host.server(&errand.server).ok_or(NotSent::Unlisted)?;
+    let pool = host.server(&statement.server).ok_or(NotSent::UnknownServer)?;
     if placement::is_forbidden(host, &pool) {
         return Err(NotSent::Evacuated);
     }
-    if let Some(work) = errand.work.filter(|_| !errand.opens) {
+    if let Some(work) = statement.transaction.filter(|_| !statement.opens) {
         let idle = host.works.idle.borrow_mut().remove(&(from.clone(), work));
         let idle = idle.ok_or(NotSent::Closed)?;
-        let until = monoio::time::Instant::now() + errand.within();
+        let until = monoio::time::Instant::now() + statement.timeout();
         let permit = pool.go_on(until).await.map_err(conn::crowded)?;
         return Ok((idle.leased, Some(permit)));
     }
     if *host.phase.borrow() == Phase::Closing {
         return Err(NotSent::Leaving);
     }
-    let until = monoio::time::Instant::now() + errand.within();
-    let Some(account) = &errand.account else {
+    let until = monoio::time::Instant::now() + statement.timeout();
+    let Some(account) = &statement.account else {
         let leased = pool.lease_any(&lead::any_account(host), until).await;
         return Ok((leased.map_err(conn::not_sent)?, None));
     };
-    let permit = pool.enter(errand.priority, errand.patience(), host.now()).await;
+    let permit = pool.enter(statement.priority, statement.queue_timeout(), host.now()).await;
     let permit = permit.map_err(conn::crowded)?;
-    let leased = pool.lease(account, &errand.values, until).await;
+    let leased = pool.lease(account, &statement.values, until).await;
     let leased = leased.map_err(conn::not_sent)?;
     // The server may have been evacuated while the statement was queued.
     if placement::is_forbidden(host, &pool) {
@@ -169,40 +169,40 @@
 async fn run(
     host: &Host,
     from: HostId,
-    errand: Errand,
+    statement: ForwardedStatement,
     mut leased: Leased,
     permit: Option<Permit>,
-    watch: Watch,
-) -> Relayed {
+    watch: LinkMonitor,
+) -> ForwardResult {
     let backend = leased.backend();
-    if errand.account.is_some() {
-        let shape = errand.shape.as_ref();
-        backend.put(&errand.values, shape, |out| out.extend_from_slice(&errand.line));
+    if statement.account.is_some() {
+        let shape = statement.shape.as_ref();
+        backend.put(&statement.values, shape, |out| out.extend_from_slice(&statement.line));
     } else {
-        backend.out.extend_from_slice(&errand.line);
+        backend.out.extend_from_slice(&statement.line);
     }
     let sent_at = Instant::now();
     let pool = leased.pool().clone();
     pool.exchanges.borrow_mut().begin(host.now());
-    let answer = monoio::time::timeout(errand.within(), leased.backend().exchange()).await;
+    let answer = monoio::time::timeout(statement.timeout(), leased.backend().exchange()).await;
     pool.exchanges.borrow_mut().end(matches!(answer, Ok(Ok(_))), host.now());
     match answer {
         Ok(Ok(answer)) => {
             if let Some(permit) = permit {
                 permit.took.set(Some(sent_at.elapsed()));
             }
-            release(host, from, &errand, leased, &answer, watch);
-            Relayed::Answered(answer)
+            release(host, from, &statement, leased, &answer, watch);
+            ForwardResult::Answered(answer)
         }
         Ok(Err(error)) => {
             let error = format_args!("{error:#}");
-            info!(server = %errand.server, %from, %error, "relay: connection to server lost");
+            info!(server = %statement.server, %from, %error, "relay: connection to server lost");
             leased.pool().note_lost();
-            Relayed::Lost
+            ForwardResult::Lost
         }
         Err(_) => {
-            record_timeout(leased.pool(), &errand);
-            Relayed::Late
+            record_timeout(leased.pool(), &statement);
+            ForwardResult::TimedOut
         }
     }
 }
@@ -212,12 +212,12 @@
 fn release(
     host: &Host,
     from: HostId,
-    errand: &Errand,
+    statement: &ForwardedStatement,
     mut leased: Leased,
     answer: &ServerAnswer,
-    watch: Watch,
+    watch: LinkMonitor,
 ) {
-    let open = errand.work.filter(|_| answer.state != State::Idle);
+    let open = statement.transaction.filter(|_| answer.state != State::Idle);
     match open {
         Some(work) => {
             let transaction = IdleTransaction { leased, since: host.now(), watch };
@@ -229,7 +229,7 @@
 }
 
 /// Logs a timeout and closes the idle connections to the server.
-fn record_timeout(pool: &Pool, errand: &Errand) {
-    info!(server = %errand.server, ms = errand.within_ms, "relay: the server did not answer in time");
+fn record_timeout(pool: &Pool, statement: &ForwardedStatement) {
+    info!(server = %statement.server, ms = statement.timeout_ms, "relay: the server did not answer in time");
     pool.drop_idle();
 }
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -12,7 +12,7 @@
 use bergamottrack_peer::{
     Answer, Link, Question,
     accept::Replier,
-    message::{Heartbeat, Hello, Known, Newest, Seen, Stamp},
+    message::{ClockReading, Heartbeat, Hello, KnownVersions, LeaderPosition, Updates},
 };
 use tracing::info;
 
@@ -55,31 +55,31 @@
         Question::Heartbeat(beat) => {
             positions::apply_heartbeat(host, &beat);
             replier.reply(Answer::Heartbeat(Box::new(answered_heartbeat(host))));
-            if beat.asked.is_none() && peer.domain == host.settings.domain {
+            if beat.report.is_none() && peer.domain == host.settings.domain {
                 host.demand.borrow_mut().mark_idle(&peer.host);
             }
             take_heartbeat(host, &peer.host, &peer.domain, *beat);
         }
-        Question::Take { account, rate, burst } => {
+        Question::TakeToken { account, rate, burst } => {
             replier.reply(Answer::Ruling(tokens::admit(host, &account, rate, burst)));
         }
-        Question::Silence(server) => {
+        Question::LastContact(server) => {
             let pool = host.server(&server);
             let answered = pool.and_then(|pool| pool.exchanges.borrow().answered(host.now()));
-            replier.reply(Answer::Silence(answered));
+            replier.reply(Answer::LastContact(answered));
         }
-        Question::Relay(errand) => {
-            monoio::spawn(forward::serve(host.clone(), peer.host.clone(), *errand, replier));
+        Question::Forward(statement) => {
+            monoio::spawn(forward::serve(host.clone(), peer.host.clone(), *statement, replier));
         }
-        Question::Hang(work) => {
+        Question::CancelTransaction(work) => {
             host.works.cancel(&peer.host, work, host.now());
             replier.reply(Answer::Pong);
         }
-        Question::Act { group, row } => {
+        Question::ApplyLeadership { group, row } => {
             monoio::spawn(act(host.clone(), group, row, replier));
         }
         Question::Piece(wanted) => replier.reply(Answer::Piece(fetch::piece(host, wanted))),
-        Question::Newest(known) => replier.reply(Answer::Newest(Box::new(newest(host, known)))),
+        Question::Updates(known) => replier.reply(Answer::Updates(Box::new(newest(host, known)))),
         _ if *host.phase.borrow() != Phase::Serving => replier.reply(Answer::Leaving),
         _ => replier.reply(Answer::Pong),
     }
@@ -95,17 +95,17 @@
         let newest = host.held.borrow().leadership(&id).cloned().unwrap_or(row.clone());
         let moves = matches!(newest.value, Leadership::Moving { .. });
         if !moves || group.released.get() >= newest.version {
-            return replier.reply(Answer::Acting(newest.version));
+            return replier.reply(Answer::LeadershipApplied(newest.version));
         }
         monoio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-fn newest(host: &Host, asker: Known) -> Newest {
+fn newest(host: &Host, asker: KnownVersions) -> Updates {
     let known = host.known();
     let view = || host.held.borrow().changes(asker.view_version);
     let servers = known.servers.0 != asker.servers.0 && known.servers.1 > asker.servers.1;
-    Newest {
+    Updates {
         known,
         view: (known.view.0 != asker.view.0 && known.view.1 > asker.view.1).then(view),
         servers: servers.then(|| host.listed()),
@@ -122,19 +122,32 @@
     let asked = tokens::is_reporter(host).then(|| host.demand.borrow().report(host.now()));
     let (known, majority) = (host.known(), host.hears_majority());
     let evacuations = evacuations(host);
-    Heartbeat { asked, known, majority, evacuations, seen: Vec::new(), clock: None, echo: None }
+    Heartbeat {
+        report: asked,
+        known,
+        majority,
+        evacuations,
+        seen: Vec::new(),
+        clock: None,
+        echo: None,
+    }
 }
 
 /// The answer to a heartbeat: requests that were admitted here are reported in this host's own.
 fn answered_heartbeat(host: &Host) -> Heartbeat {
     let clock = host.now().saturating_duration_since(host.began);
-    let clock = Some(Stamp { run: host.run, clock });
+    let clock = Some(ClockReading { run: host.run, clock });
     let seen = if host.is_hub() { positions::newest(host) } else { Vec::new() };
-    Heartbeat { asked: None, seen, clock, ..own_heartbeat(host) }
+    Heartbeat { report: None, seen, clock, ..own_heartbeat(host) }
 }
 
 /// The heartbeat for the host at the other end of the link, with positions that this host saw.
-fn heartbeat_for(host: &Host, link: &Link, beat: &Heartbeat, own: &[(Instant, Seen)]) -> Heartbeat {
+fn heartbeat_for(
+    host: &Host,
+    link: &Link,
+    beat: &Heartbeat,
+    own: &[(Instant, LeaderPosition)],
+) -> Heartbeat {
     let Some((clock, received)) = host.clocks.borrow().get(&link.host).copied() else {
         return beat.clone();
     };
@@ -143,7 +156,7 @@
 
 /// Takes what another host's heartbeat says, and asks it for what is new.
 fn take_heartbeat(host: &Rc<Host>, id: &HostId, domain: &FailureDomain, beat: Heartbeat) {
-    if let Some(asked) = beat.asked {
+    if let Some(asked) = beat.report {
         let mesh = host.neighbours.borrow().mesh;
         let party = if mesh { id.clone() } else { fleet::party_of(domain) };
         host.demand.borrow_mut().receive_report(&party, id, &asked, host.now());
@@ -185,7 +198,7 @@
 }
 
 /// Notes that what this host knows was still the newest when another one looked.
-fn renew(host: &Host, known: Known) {
+fn renew(host: &Host, known: KnownVersions) {
     host.newest.set(host.newest.get().max(known.plan.0));
     if known.plan.0 == host.version() {
         host.shelf.borrow_mut().confirm(known.plan.1);
@@ -215,7 +228,7 @@
                 let sent = host.now();
                 // A host that does not answer is noticed by its own silence.
                 if let Ok(Answer::Heartbeat(answer)) =
-                    link.ask(Question::Heartbeat(beat), PEER_WITHIN).await
+                    link.query(Question::Heartbeat(beat), PEER_WITHIN).await
                 {
                     take_clock(&host, &link, &answer, sent);
                     let member = host.held.borrow().view().members.get(&link.host).cloned();
@@ -264,10 +277,10 @@
     let mut known = host.known();
     loop {
         let asked = host.now();
-        let answer = link.ask(Question::Newest(known), NEWS_WITHIN).await;
+        let answer = link.query(Question::Updates(known), NEWS_WITHIN).await;
         let ms = (host.now() - asked).as_millis() as u64;
         let newest = match answer {
-            Ok(Answer::Newest(newest)) => newest,
+            Ok(Answer::Updates(newest)) => newest,
             Ok(_) => return,
             Err(error) => {
                 host.measures.unanswered.inc();
@@ -285,12 +298,12 @@
             return;
         }
         info!(from = %link.host, "fleet: changes of the view do not fit, asking for all of it");
-        known = Known { view_version: 0, ..host.known() };
+        known = KnownVersions { view_version: 0, ..host.known() };
     }
 }
 
 /// Takes what another host knows; false when its changes of the view do not fit.
-fn take_newest(host: &Rc<Host>, newest: Newest) -> bool {
+fn take_newest(host: &Rc<Host>, newest: Updates) -> bool {
     let changed = newest.view.map(|changes| changes.apply_to(host.held.borrow().view()));
     let fits = !matches!(changed, Some(None));
     if let Some(view) = changed.flatten() {
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -23,7 +23,7 @@
 use bergamottrack_model::{Account, Listed, Plan, Role, Route, Settings, settings::Mechanism};
 use bergamottrack_peer::{
     Link, Mesh,
-    message::{Known, Stamp},
+    message::{ClockReading, KnownVersions},
 };
 use bytes::Bytes;
 use tokio::sync::{Notify, watch};
@@ -76,7 +76,7 @@
     /// When it started; clocks that are sent to other hosts count from it.
     pub began: Instant,
     /// The newest clock of each host that this one was sent, and when it was received.
-    pub clocks: RefCell<HashMap<HostId, (Stamp, Instant)>>,
+    pub clocks: RefCell<HashMap<HostId, (ClockReading, Instant)>>,
     /// Tells this run of the host from others.
     pub run: u64,
     /// The configuration in force.
@@ -264,9 +264,9 @@
     }
 
     /// Which versions this host knows.
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> KnownVersions {
         let held = self.held.borrow();
-        Known {
+        KnownVersions {
             plan: (self.version(), self.shelf.borrow().confirmed()),
             view: (held.stamp(), held.view().clock),
             view_version: held.view().version,
@@ -504,7 +504,7 @@
                 return None;
             }
             let link = self.reach(holder);
-            let fit = |link: &Rc<Link>| link.is_prompt(HOLDER_WITHIN) && !link.is_leaving();
+            let fit = |link: &Rc<Link>| link.is_responsive(HOLDER_WITHIN) && !link.is_leaving();
             if let Some(link) = link.filter(fit) {
                 return Some(link);
             }
@@ -521,7 +521,7 @@
             let holders = pool.holders.borrow().clone();
             for holder in holders.iter().take_while(|holder| **holder != self.settings.host) {
                 if let Some(link) = self.reach(holder) {
-                    link.settled(LINK_WITHIN).await;
+                    link.first_attempt(LINK_WITHIN).await;
                     if link.is_up() {
                         break;
                     }
--- a/components/proxy/src/lead.rs
+++ b/components/proxy/src/lead.rs
@@ -182,9 +182,9 @@
 /// takes a connection and a slot of a server that has none to spare.
 async fn told_by_holder(host: &Host, pool: &Pool) -> Option<Duration> {
     let link = host.holder(pool)?;
-    let question = Question::Silence(pool.listed.borrow().id.clone());
-    match link.ask(question, HOLDER_WITHIN).await {
-        Ok(Answer::Silence(lasts)) => lasts,
+    let question = Question::LastContact(pool.listed.borrow().id.clone());
+    match link.query(question, HOLDER_WITHIN).await {
+        Ok(Answer::LastContact(lasts)) => lasts,
         _ => None,
     }
 }
--- a/components/proxy/src/positions.rs
+++ b/components/proxy/src/positions.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bergamottrack_coordination::offsets;
-use bergamottrack_peer::message::{Heartbeat, Seen};
+use bergamottrack_peer::message::{Heartbeat, LeaderPosition};
 
 use crate::host::Host;
 
@@ -18,34 +18,35 @@
 
 /// Takes the positions that this host observed and has not sent yet, each with the time at which
 /// the statement that returned it was sent.
-pub fn own(host: &Host) -> Vec<(Instant, Seen)> {
+pub fn own(host: &Host) -> Vec<(Instant, LeaderPosition)> {
     let groups = host.groups.borrow();
     let seen = groups.values().filter_map(|group| {
         let (at, point) = group.seen.take()?;
         let leader = group.leader()?;
-        Some((at, Seen { group: group.id.clone(), leader, point, offset_ms: 0 }))
+        Some((at, LeaderPosition { group: group.id.clone(), leader, point, offset_ms: 0 }))
     });
     seen.collect()
 }
 
 /// Returns positions with their times as offsets from `base`, the time at which the receiver's
 /// clock reading arrived here.
-pub fn since(observed: &[(Instant, Seen)], base: Instant) -> Vec<Seen> {
-    let seen = observed
-        .iter()
-        .map(|(at, seen)| Seen { offset_ms: offsets::offset_ms(*at, base), ..seen.clone() });
+pub fn since(observed: &[(Instant, LeaderPosition)], base: Instant) -> Vec<LeaderPosition> {
+    let seen = observed.iter().map(|(at, seen)| LeaderPosition {
+        offset_ms: offsets::offset_ms(*at, base),
+        ..seen.clone()
+    });
     seen.collect()
 }
 
 /// Returns the newest known position of each group, if it is recent enough to be sent.
-pub fn newest(host: &Host) -> Vec<Seen> {
+pub fn newest(host: &Host) -> Vec<LeaderPosition> {
     let now = host.now();
     let groups = host.groups.borrow();
     let seen = groups.values().filter_map(|group| {
         let (at, point) = group.ages.borrow().newest()?;
         let recent = now.saturating_duration_since(at) < POSITION_TTL;
         let leader = group.leader().filter(|_| recent)?;
-        Some(Seen {
+        Some(LeaderPosition {
             group: group.id.clone(),
             leader,
             point,
@@ -69,8 +70,8 @@
     apply(host, sent_at, &beat.seen);
 }
 
-fn apply(host: &Host, base: Instant, seen: &[Seen]) {
-    for Seen { group, leader, point, offset_ms } in seen {
+fn apply(host: &Host, base: Instant, seen: &[LeaderPosition]) {
+    for LeaderPosition { group, leader, point, offset_ms } in seen {
         let at = offsets::instant(base, *offset_ms);
         let group = host.group(group);
         // Positions of a former leader say nothing about the log of the current one.
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -106,7 +106,7 @@
     let secret = Secret::new(secret.as_bytes());
     let began = clock.now();
     let routes = contract::Routes::new(&[]);
-    let mesh = Mesh::with_pace(me, secret, clock.clone(), routes, fleet::PACE);
+    let mesh = Mesh::with_keepalive(me, secret, clock.clone(), routes, fleet::KEEPALIVE);
     let demand = Demand::new(settings.tolerance, run, began);
     Rc::new(Host {
         held: RefCell::new(LocalView::new(settings.host.clone(), fleet::place(&settings))),
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -54,12 +54,15 @@
 }
 
 async fn request_token(link: &Rc<Link>, id: &str, account: &Account) -> Option<Ruling> {
-    if !link.is_prompt(TOKEN_TIMEOUT) {
+    if !link.is_responsive(TOKEN_TIMEOUT) {
         return None;
     }
-    let question =
-        Question::Take { account: account.id.clone(), rate: account.rate, burst: account.burst };
-    match link.ask(question, TOKEN_TIMEOUT).await {
+    let question = Question::TakeToken {
+        account: account.id.clone(),
+        rate: account.rate,
+        burst: account.burst,
+    };
+    match link.query(question, TOKEN_TIMEOUT).await {
         Ok(Answer::Ruling(ruling)) => Some(ruling),
         Ok(_) => None,
         Err(error) => {
