--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -7,8 +7,8 @@
 pub mod settings;
 pub mod statement;
 
-pub use plan::{Account, Currency, Plan, Route};
-pub use server::{Listed, Role, Status};
+pub use plan::{Account, Consistency, Plan, Route};
+pub use server::{ListedServer, Role, Status};
 pub use session::Session;
 pub use settings::Settings;
 pub use statement::{Access, Failure, Outcome, Request, ServerAnswer, State, Statement};
--- a/components/model/src/plan.rs
+++ b/components/model/src/plan.rs
@@ -10,7 +10,7 @@
 
 /// Which commits a read must show.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Currency {
+pub enum Consistency {
     /// All that were acknowledged before it came.
     Current,
     /// All that were acknowledged longer ago than this.
@@ -25,11 +25,11 @@
     /// The group that holds it.
     pub group: GroupId,
     /// What its reads must show.
-    pub currency: Currency,
+    pub consistency: Consistency,
     /// The longest that one statement may take.
     pub timeout: Duration,
     /// The latency that a whole operation aims at.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Who goes first where not all can be served; 0 is the most urgent.
     pub priority: u32,
     /// Whether it is served without a key.
@@ -72,7 +72,7 @@
     /// What the servers of each group take.
     pub groups: HashMap<GroupId, Limits>,
     /// How long a transaction may rest between statements.
-    pub idle_limit: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
 impl Plan {
--- a/components/model/src/server.rs
+++ b/components/model/src/server.rs
@@ -16,7 +16,7 @@
 
 /// A backend server as it listed itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Listed {
+pub struct ListedServer {
     /// Its name.
     pub id: ServerId,
     /// The group that it belongs to.
@@ -32,7 +32,8 @@
     /// What it says it is.
     pub role: Role,
     /// When it started, in milliseconds since 1970; tells two runs of one id apart.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub started_ms: u64,
     /// Until when it is cold after its start, by the store's clock; zero if it is not.
     pub cold: Duration,
 }
--- a/components/model/src/session.rs
+++ b/components/model/src/session.rs
@@ -17,7 +17,7 @@
 
 /// Values and named statements that a connection to a server holds.
 #[derive(Clone, Debug, Default)]
-pub struct Carried {
+pub struct ConnectionState {
     /// Values by name; just those that the server acknowledged.
     pub values: BTreeMap<Box<str>, Box<str>>,
     /// Named statements, by the name that [`shared_name`] gives them.
@@ -47,7 +47,7 @@
     format!("{kind}{:016x}", xxh3::xxh3_64(shape.text.as_bytes())).into()
 }
 
-impl Carried {
+impl ConnectionState {
     /// How many steps away from the values the connection is; less is better.
     pub fn distance(&self, values: &BTreeMap<Box<str>, Box<str>>) -> usize {
         if self.values == *values { 0 } else { 1 + values.len() }
@@ -58,7 +58,7 @@
     /// Values must be equal, not just present: a value left by another session
     /// would change what this one's statements do. It is only a reset that takes
     /// values away, and it drops the names too.
-    pub fn adopt(
+    pub fn reconcile(
         &mut self,
         values: &BTreeMap<Box<str>, Box<str>>,
         shape: Option<&Shape>,
--- a/components/model/src/settings.rs
+++ b/components/model/src/settings.rs
@@ -14,42 +14,42 @@
     /// The region of each failure domain, as far as it is known.
     pub regions: HashMap<FailureDomain, Region>,
     /// Thousandths of a processor core that this host has.
-    pub power: u32,
+    pub cpu_millicores: u32,
     /// Where callers connect.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Where readiness is asked for.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Where other hosts connect.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where metrics are served.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
     /// The platform's table service.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// The platform's promotion service.
-    pub promoter: SocketAddr,
+    pub promoter_address: SocketAddr,
     /// Whether the whole system starts for the first time.
     pub first_start: bool,
     /// From the order to stop until the process is killed.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// How soon a configuration must be in force.
-    pub apply: Duration,
+    pub apply_bound: Duration,
     /// How soon nothing is sent any more to the servers of an evacuated failure domain.
-    pub evacuate: Duration,
+    pub evacuation_bound: Duration,
     /// How far the limit for cold servers may be exceeded.
-    pub cold: cold::Tolerance,
+    pub cold_tolerance: cold::Tolerance,
     /// Within which time a withdrawn key must stop working also on hosts that are
     /// cut off; none where such hosts may go on with what they know.
-    pub strict: Option<Duration>,
+    pub revocation_bound: Option<Duration>,
     /// How far an account's rate may be exceeded, so that hosts can share it out.
-    pub tolerance: Tolerance,
+    pub rate_tolerance: Tolerance,
     /// Mechanisms that are switched off.
-    pub without: Vec<Mechanism>,
+    pub disabled: Vec<Mechanism>,
 }
 
 impl Settings {
     /// Whether a mechanism is switched on.
-    pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.without.contains(&mechanism)
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.disabled.contains(&mechanism)
     }
 }
 
--- a/components/model/src/statement.rs
+++ b/components/model/src/statement.rs
@@ -48,7 +48,7 @@
         args: Box<str>,
     },
     /// Drops a named statement.
-    Forget {
+    Deallocate {
         /// The session's name for it.
         name: Box<str>,
     },
@@ -143,7 +143,7 @@
 pub struct ServerAnswer {
     /// Rows and outcome as the server sent them, to be passed on unchanged.
     #[serde(rename = "r")]
-    pub relay: Bytes,
+    pub raw: Bytes,
     /// How it ended.
     #[serde(rename = "o")]
     pub outcome: Outcome,
--- a/components/model/tests/session.rs
+++ b/components/model/tests/session.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_model::{
     Access,
-    session::{Carried, Step, shared_name},
+    session::{ConnectionState, Step, shared_name},
     statement::Shape,
 };
 
@@ -20,9 +20,9 @@
 /// used by a session with one value more, and only missing values were set.
 #[test]
 fn no_value_of_another_session_stays() {
-    let mut carried = Carried::default();
-    carried.adopt(&values(&[("lang", "wo"), ("zone", "utc")]), Some(&shape("q1")));
-    let steps = carried.adopt(&values(&[("lang", "fr")]), Some(&shape("q1")));
+    let mut carried = ConnectionState::default();
+    carried.reconcile(&values(&[("lang", "wo"), ("zone", "utc")]), Some(&shape("q1")));
+    let steps = carried.reconcile(&values(&[("lang", "fr")]), Some(&shape("q1")));
     let name = shared_name(&shape("q1"));
     let expected =
         [Step::Reset, Step::Set("lang".into(), "fr".into()), Step::Prepare(name, shape("q1"))];
@@ -31,10 +31,10 @@
 
 #[test]
 fn a_connection_that_fits_needs_no_step() {
-    let mut carried = Carried::default();
+    let mut carried = ConnectionState::default();
     let own = values(&[("lang", "wo")]);
-    assert_eq!(carried.adopt(&own, Some(&shape("q1"))).len(), 2);
-    assert_eq!(carried.adopt(&own, Some(&shape("q1"))), []);
+    assert_eq!(carried.reconcile(&own, Some(&shape("q1"))).len(), 2);
+    assert_eq!(carried.reconcile(&own, Some(&shape("q1"))), []);
     assert_eq!(carried.distance(&own), 0);
     assert!(carried.distance(&values(&[])) > 0);
 }
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -17,7 +17,7 @@
     view::{Leadership, Versioned},
 };
 use bergamottrack_metrics::HostReport;
-use bergamottrack_model::Listed;
+use bergamottrack_model::ListedServer;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
@@ -325,7 +325,7 @@
     /// What the view has that the asker's has not.
     pub view: Option<Changes>,
     /// The list of servers.
-    pub servers: Option<Vec<Listed>>,
+    pub servers: Option<Vec<ListedServer>>,
     /// Evacuated failure domains, once it knows them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations: Option<evacuation::Set>,
--- a/components/proxy/src/backend.rs
+++ b/components/proxy/src/backend.rs
@@ -6,7 +6,7 @@
 use bergamottrack_adapter::wire::{self, Answers};
 use bergamottrack_coordination::{AccountId, ServerId};
 use bergamottrack_model::{
-    Failure, Listed, ServerAnswer, State, session::Carried, statement::Shape,
+    Failure, ListedServer, ServerAnswer, State, session::ConnectionState, statement::Shape,
 };
 use bytes::BytesMut;
 use futures_util::FutureExt;
@@ -56,12 +56,12 @@
     /// The server's name.
     pub server: ServerId,
     /// Values and named statements that it holds.
-    pub carried: Carried,
+    pub carried: ConnectionState,
 }
 
 impl Backend {
     /// Connects and begins a session of the account.
-    pub async fn open(listed: &Listed, account: &AccountId) -> Result<Self, OpenError> {
+    pub async fn open(listed: &ListedServer, account: &AccountId) -> Result<Self, OpenError> {
         let io = match monoio::time::timeout(CONNECT_WITHIN, connect(listed)).await {
             Ok(Ok(io)) => io,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
@@ -86,7 +86,7 @@
             ahead: 0,
             account: account.clone(),
             server: listed.id.clone(),
-            carried: Carried::default(),
+            carried: ConnectionState::default(),
         };
         wire::put_start(&listed.group, account, &listed.id, &mut backend.out);
         let started = monoio::time::timeout(START_WITHIN, backend.exchange()).await;
@@ -110,7 +110,7 @@
         shape: Option<&Shape>,
         write: impl FnOnce(&mut BytesMut),
     ) {
-        let steps = self.carried.adopt(values, shape);
+        let steps = self.carried.reconcile(values, shape);
         for step in &steps {
             wire::put_step(step, &mut self.out);
         }
@@ -167,7 +167,7 @@
     }
 }
 
-async fn connect(listed: &Listed) -> io::Result<TcpStreamPoll> {
+async fn connect(listed: &ListedServer) -> io::Result<TcpStreamPoll> {
     let stream = TcpStream::connect(listed.address).await?;
     stream.set_nodelay(true)?;
     let (time, interval, tries) = KEEP_ALIVE;
--- a/components/proxy/src/change.rs
+++ b/components/proxy/src/change.rs
@@ -71,7 +71,7 @@
         from: Option<ServerId>,
         planned: bool,
     ) -> anyhow::Result<Option<Self>> {
-        let client = Client::new(host.settings.store);
+        let client = Client::new(host.settings.store_address);
         let key = fleet::group_key(&group.id);
         let now = host.now();
         let (holder, since) = (host.settings.host.clone(), lead::store_now(host));
@@ -270,7 +270,7 @@
         // Guards against a holder that was held up: another may call by now.
         anyhow::ensure!(host.now() < by, "the time for the call is over");
         let duty = promotion::Duty { holder: &host.settings.host, token };
-        let (address, id) = (host.settings.promoter, &group.id);
+        let (address, id) = (host.settings.promoter_address, &group.id);
         let said = promotion::promote(address, duty, id, &server, CALL_TIMEOUT).await;
         let error = said.as_ref().err().map(tracing::field::display);
         let answer = said.as_ref().ok();
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -158,7 +158,7 @@
 
 /// The place of this host.
 pub fn place(settings: &Settings) -> u64 {
-    view::place(settings.peers, &settings.domain, settings.power)
+    view::place(settings.peer_address, &settings.domain, settings.cpu_millicores)
 }
 
 /// Whether the view has a row of this host as it is now.
@@ -202,7 +202,7 @@
 
 /// Reads the view for ever.
 pub async fn follow(host: Rc<Host>) {
-    let client = Client::new(host.settings.store);
+    let client = Client::new(host.settings.store_address);
     let mut lost = false;
     let mut woken = false;
     loop {
@@ -254,12 +254,12 @@
 /// Writes this host into the view.
 async fn join(settings: &Settings, client: &Client) -> anyhow::Result<()> {
     let member = Member {
-        peer: settings.peers,
+        peer: settings.peer_address,
         domain: settings.domain.clone(),
         place: place(settings),
         left: None,
         released: 0,
-        power: settings.power,
+        power: settings.cpu_millicores,
     };
     let value = serde_json::to_vec(&member)?;
     let put = vec![(member_key(&settings.host), value)];
@@ -271,7 +271,7 @@
 
 /// Takes this host out of the view, once it uses no leader any more.
 pub async fn leave(settings: &Settings) -> anyhow::Result<()> {
-    let client = Client::new(settings.store);
+    let client = Client::new(settings.store_address);
     let remove = vec![member_key(&settings.host)];
     store::change(&client, &Change { remove, ..Change::default() }, STORE_WITHIN).await?;
     Ok(())
@@ -361,7 +361,7 @@
         put: vec![(key, serde_json::to_vec(&member)?)],
         remove: Vec::new(),
     };
-    let client = Client::new(host.settings.store);
+    let client = Client::new(host.settings.store_address);
     let verdict = store::change(&client, &change, STORE_WITHIN).await?;
     info!(%holder, version, ?verdict, "fleet: release told by the store");
     Ok(())
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -7,7 +7,7 @@
     store::{self, Feed, Row, Rows, Table},
 };
 use bergamottrack_coordination::{ServerId, freshness};
-use bergamottrack_model::Listed;
+use bergamottrack_model::ListedServer;
 use bergamottrack_platform::http::Client;
 use bytes::Bytes;
 use tracing::{debug, info, warn};
@@ -55,7 +55,7 @@
     needed: impl Fn() -> bool,
     take: impl Fn(&Rows, bool),
 ) -> ! {
-    let client = Client::new(host.settings.store);
+    let client = Client::new(host.settings.store_address);
     let mut after = None;
     let mut lost = false;
     // In a large fleet the hub tells a new host what it needs; the store has calls
@@ -121,7 +121,9 @@
             host.shelf.borrow_mut().confirm(rows.clock);
         }
     };
-    let pace = freshness::PollIntervals::for_bound(host.settings.apply.min(host.settings.evacuate));
+    let pace = freshness::PollIntervals::for_bound(
+        host.settings.apply_bound.min(host.settings.evacuation_bound),
+    );
     let needed = || host.is_reader() || host.plan_age().is_none_or(|age| age > pace.read);
     follow(&host, Table::Configuration, pace.wait, needed, take).await
 }
@@ -166,7 +168,7 @@
 /// That host may have started just after an outage of the store, in which entries
 /// lapsed, and know none of them yet: what is missing there is kept as long as what
 /// is missing in the store.
-pub fn adopt_servers(host: &Rc<Host>, listed: Vec<Listed>) {
+pub fn adopt_servers(host: &Rc<Host>, listed: Vec<ListedServer>) {
     let stays = |id: &ServerId| listed.iter().any(|listed| listed.id == *id);
     let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
     known.into_iter().filter(|id| !stays(id)).for_each(|id| miss(host, id));
@@ -184,8 +186,8 @@
     rows: &[Row],
     expected: Vec<ServerId>,
     clock: Duration,
-) -> (Vec<Listed>, Vec<ServerId>) {
-    let mut entries: BTreeMap<ServerId, Option<Listed>> =
+) -> (Vec<ListedServer>, Vec<ServerId>) {
+    let mut entries: BTreeMap<ServerId, Option<ListedServer>> =
         expected.into_iter().map(|id| (id, None)).collect();
     for row in rows {
         // No server has a name that cannot be one.
@@ -199,7 +201,7 @@
     (there, missing.into_iter().map(|(id, _)| id).collect())
 }
 
-fn entry(row: &Row, clock: Duration) -> Option<Listed> {
+fn entry(row: &Row, clock: Duration) -> Option<ListedServer> {
     if row.removed {
         return None;
     }
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -254,7 +254,9 @@
 /// Asks other hosts for the newest view and configuration while the store does
 /// not tell them to this one, for ever.
 pub async fn ask_hosts(host: Rc<Host>) {
-    let pace = freshness::PollIntervals::for_bound(host.settings.apply.min(host.settings.evacuate));
+    let pace = freshness::PollIntervals::for_bound(
+        host.settings.apply_bound.min(host.settings.evacuation_bound),
+    );
     let mut turn = 0;
     loop {
         monoio::time::sleep(ASK_EVERY).await;
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -9,7 +9,7 @@
 use bergamottrack_coordination::{
     GroupId, Point, ServerId, ages::PositionHistory, suspicion::Suspicion,
 };
-use bergamottrack_model::Currency;
+use bergamottrack_model::Consistency;
 use tokio::sync::Notify;
 
 use crate::confirm::Receipts;
@@ -163,11 +163,11 @@
     ///
     /// A point of an earlier term than the leader's may have been taken back; what
     /// remains of that term is in every log that reaches the leader's own.
-    pub fn need(&self, currency: Currency, floor: Option<Point>, now: Instant) -> Need {
-        let (age, floor) = match currency {
-            Currency::Current => return Need::Leader,
-            Currency::MaxAge(age) => (age, None),
-            Currency::OwnWrites(age) => (age, floor),
+    pub fn need(&self, consistency: Consistency, floor: Option<Point>, now: Instant) -> Need {
+        let (age, floor) = match consistency {
+            Consistency::Current => return Need::Leader,
+            Consistency::MaxAge(age) => (age, None),
+            Consistency::OwnWrites(age) => (age, floor),
         };
         let ages = self.ages.borrow();
         let aged = ages.floor(age.saturating_sub(AGE_MARGIN), now);
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -20,7 +20,9 @@
     pieces::{Documents, Fetch},
     view::{Leadership, LocalView},
 };
-use bergamottrack_model::{Account, Listed, Plan, Role, Route, Settings, settings::Mechanism};
+use bergamottrack_model::{
+    Account, ListedServer, Plan, Role, Route, Settings, settings::Mechanism,
+};
 use bergamottrack_peer::{
     Link, Mesh,
     message::{ClockReading, KnownVersions},
@@ -218,7 +220,7 @@
             outdated: self.newest.get() > self.version(),
             majority: self.hears_majority(),
         };
-        let (apply, strict) = (self.settings.apply, self.settings.strict);
+        let (apply, strict) = (self.settings.apply_bound, self.settings.revocation_bound);
         self.evacuations.borrow().is_known() && standing.may_serve(Bounds { apply, strict })
     }
 
@@ -281,7 +283,7 @@
     }
 
     /// The list of servers, without those whose entry is missing.
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<ListedServer> {
         let (pools, missing) = (self.pools.borrow(), self.missing.borrow());
         let there = pools.iter().filter(|(id, _)| !missing.contains_key(*id));
         let mut listed: Vec<_> = there.map(|(_, pool)| pool.listed.borrow().clone()).collect();
@@ -293,7 +295,7 @@
     pub fn stamp_servers(&self) {
         let mut hash = DefaultHasher::new();
         for listed in self.listed() {
-            (listed.id, listed.group, listed.address, listed.born).hash(&mut hash);
+            (listed.id, listed.group, listed.address, listed.started_ms).hash(&mut hash);
             (listed.leaving, listed.role == Role::Primary, listed.slots).hash(&mut hash);
             listed.cold.hash(&mut hash);
         }
@@ -351,7 +353,7 @@
         for pool in self.pools.borrow().values() {
             let group = pool.listed.borrow().group.clone();
             let limits = plan.as_ref().and_then(|plan| plan.groups.get(&group).copied());
-            let shared = self.settings.has(Mechanism::SharedConnections);
+            let shared = self.settings.is_enabled(Mechanism::SharedConnections);
             let rank = pool.holders.borrow().iter().position(|host| *host == self.settings.host);
             let role = match rank.filter(|_| shared) {
                 Some(0) => connections::Role::Holder,
@@ -360,7 +362,7 @@
             };
             pool.set_bounds(limits.map_or(1, |limits| limits.connections), hosts, role);
             let cold = limits.and_then(|limits| limits.cold);
-            pool.set_cold(cold, self.settings.cold);
+            pool.set_cold(cold, self.settings.cold_tolerance);
             self.group(&group);
         }
         let groups: Vec<_> = self.groups.borrow().values().cloned().collect();
@@ -416,13 +418,13 @@
     }
 
     /// Takes a server's own entry.
-    pub fn list(&self, mut listed: Listed) {
+    pub fn list(&self, mut listed: ListedServer) {
         self.missing.borrow_mut().remove(&listed.id);
         let mut pools = self.pools.borrow_mut();
         let now = self.now();
         let known = pools.get(&listed.id).map(|pool| pool.listed.borrow().clone());
         let moved =
-            |known: &Listed| (&known.group, &known.domain) != (&listed.group, &listed.domain);
+            |known: &ListedServer| (&known.group, &known.domain) != (&listed.group, &listed.domain);
         if known.as_ref().is_none_or(moved) {
             *self.by_group.borrow_mut() = None;
             self.holders_stamp.set(0);
@@ -441,10 +443,10 @@
                         role = ?listed.role, leaving = listed.leaving, "servers: changed"
                     );
                 }
-                if before.born != listed.born || before.address != listed.address {
+                if before.started_ms != listed.started_ms || before.address != listed.address {
                     pool.drop_idle();
                 }
-                let restarted = before.born != listed.born;
+                let restarted = before.started_ms != listed.started_ms;
                 pool.warmth.borrow_mut().report(self.cold_until(&listed), restarted);
             }
             None => {
@@ -460,7 +462,7 @@
     }
 
     /// Until when a server is cold by its entry.
-    fn cold_until(&self, listed: &Listed) -> Option<Instant> {
+    fn cold_until(&self, listed: &ListedServer) -> Option<Instant> {
         let cold = Some(listed.cold).filter(|cold| !cold.is_zero())?;
         Some(self.store_clock.borrow().local(cold)? + COLD_MARGIN)
     }
@@ -488,7 +490,7 @@
                     pool.open_ahead(&accounts);
                 }
             }
-            let limit = self.plan().and_then(|plan| plan.idle_limit);
+            let limit = self.plan().and_then(|plan| plan.idle_timeout);
             self.works.sweep(limit, self.now(), |pool| placement::is_forbidden(&self, pool));
         }
     }
@@ -496,7 +498,7 @@
     /// The link to the host that holds a server's connections; none where this host
     /// does so itself, or no other one can be reached.
     pub fn holder(&self, pool: &Pool) -> Option<Rc<Link>> {
-        if !self.settings.has(Mechanism::SharedConnections) {
+        if !self.settings.is_enabled(Mechanism::SharedConnections) {
             return None;
         }
         for holder in pool.holders.borrow().iter() {
@@ -517,7 +519,7 @@
     /// Guards against a connection of this host's own for the first statement to each server:
     /// in a large fleet most pairs of host and server see few statements.
     pub async fn settled_holder(&self, pool: &Pool) -> Option<Rc<Link>> {
-        if self.settings.has(Mechanism::SharedConnections) {
+        if self.settings.is_enabled(Mechanism::SharedConnections) {
             let holders = pool.holders.borrow().clone();
             for holder in holders.iter().take_while(|holder| **holder != self.settings.host) {
                 if let Some(link) = self.reach(holder) {
--- a/components/proxy/src/operation.rs
+++ b/components/proxy/src/operation.rs
@@ -6,7 +6,8 @@
 use bergamottrack_adapter::wire;
 use bergamottrack_coordination::{AccountId, Fate, Point, homes};
 use bergamottrack_model::{
-    Access, Currency, Failure, Request, ServerAnswer, Session, State, Statement, statement::Shape,
+    Access, Consistency, Failure, Request, ServerAnswer, Session, State, Statement,
+    statement::Shape,
 };
 use monoio::time::Instant;
 
@@ -55,7 +56,7 @@
     /// Database group that holds the database.
     pub group: Rc<Group>,
     /// How current the data of its reads must be.
-    pub currency: Currency,
+    pub consistency: Consistency,
     /// Whether it may write.
     pub access: Access,
     /// Regions in which it may run.
--- a/components/proxy/src/place.rs
+++ b/components/proxy/src/place.rs
@@ -194,7 +194,7 @@
 ) -> Refused {
     let mut health = pool.health.borrow_mut();
     match why {
-        NotSent::QueueFull(wait_ms) => {
+        NotSent::Crowded(wait_ms) => {
             let wait = Duration::from_millis(wait_ms.into());
             let mut congestion = pool.congestion.borrow_mut();
             congestion.refused(job.priority, job.patience, wait, host.now());
@@ -225,8 +225,8 @@
         NotSent::Dead => "the server does not run",
         NotSent::Silent => "the server does not answer",
         NotSent::Misdirected => "another server has the address",
-        NotSent::Rejected | NotSent::QueueFull(_) => "the server takes no connection",
-        NotSent::UnknownServer => "the holder of its connections does not know the server",
+        NotSent::Rejected | NotSent::Crowded(_) => "the server takes no connection",
+        NotSent::Unlisted => "the holder of its connections does not know the server",
         NotSent::Closed => "the transaction's connection was closed",
         NotSent::Leaving => "the holder of the server's connections is being stopped",
         NotSent::Unreachable => "the holder of the server's connections is out of reach",
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -13,7 +13,7 @@
 /// Returns what may run at a backend server now, given the evacuations in force.
 pub fn of(host: &host::Host, pool: &pool::Pool) -> evacuation::Placement {
     let domain = pool.listed.borrow().domain.clone();
-    let (store, bound) = (host.store_clock.borrow(), host.settings.evacuate);
+    let (store, bound) = (host.store_clock.borrow(), host.settings.evacuation_bound);
     host.evacuations.borrow().placement(&domain, &store, bound, host.now())
 }
 
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -15,7 +15,7 @@
     gate::{Admission, Gate, QueueKey},
     idle, silence,
 };
-use bergamottrack_model::{Failure, Listed};
+use bergamottrack_model::{Failure, ListedServer};
 use monoio::time::Instant;
 use tokio::sync::{Notify, oneshot};
 use tracing::info;
@@ -49,7 +49,7 @@
 /// The connections to one server.
 pub struct Pool {
     /// The server's own entry in the list.
-    pub listed: RefCell<Listed>,
+    pub listed: RefCell<ListedServer>,
     /// What its answers say of it.
     pub health: RefCell<Health>,
     /// What the server owes on connections of this host, other hosts' statements included.
@@ -113,7 +113,7 @@
 
 impl Pool {
     /// A pool without connections, of a server that is known since `now`.
-    pub fn new(listed: Listed, now: StdInstant) -> Rc<Self> {
+    pub fn new(listed: ListedServer, now: StdInstant) -> Rc<Self> {
         Rc::new(Self {
             listed: RefCell::new(listed),
             health: RefCell::default(),
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -64,12 +64,12 @@
     reread: impl Fn() -> anyhow::Result<Settings>,
 ) -> anyhow::Result<()> {
     // The listeners come first: other hosts take a host that refuses connections for dead.
-    let peers = listen(settings.peers).context("listening for other hosts")?;
-    let callers = listen(settings.callers).context("listening for callers")?;
+    let peers = listen(settings.peer_address).context("listening for other hosts")?;
+    let callers = listen(settings.caller_address).context("listening for callers")?;
     let state: Rc<RefCell<Option<Rc<Host>>>> = Rc::default();
-    monoio::spawn(http::serve(settings.readiness, readiness(state.clone())));
-    monoio::spawn(http::serve(settings.metrics, metrics(state.clone())));
-    let client = Client::new(settings.store);
+    monoio::spawn(http::serve(settings.readiness_address, readiness(state.clone())));
+    monoio::spawn(http::serve(settings.metrics_address, metrics(state.clone())));
+    let client = Client::new(settings.store_address);
     let (run, clock) = (rand::random(), Rc::new(BootClock::new()));
     let entered = monoio::select! {
         entered = fleet::enter(&settings, &*clock, &client) => entered,
@@ -101,13 +101,13 @@
     let me = contract::Host {
         id: settings.host.clone(),
         domain: settings.domain.clone(),
-        peer: settings.peers,
+        peer: settings.peer_address,
     };
     let secret = Secret::new(secret.as_bytes());
     let began = clock.now();
     let routes = contract::Routes::new(&[]);
     let mesh = Mesh::with_keepalive(me, secret, clock.clone(), routes, fleet::KEEPALIVE);
-    let demand = Demand::new(settings.tolerance, run, began);
+    let demand = Demand::new(settings.rate_tolerance, run, began);
     Rc::new(Host {
         held: RefCell::new(LocalView::new(settings.host.clone(), fleet::place(&settings))),
         settings,
@@ -242,7 +242,7 @@
 /// killed.
 async fn stop(host: &Rc<Host>) {
     let started = Instant::now();
-    let limit = host.settings.grace.saturating_sub(EXIT_MARGIN);
+    let limit = host.settings.shutdown_grace.saturating_sub(EXIT_MARGIN);
     info!(sessions = host.sessions.get(), "host: stopping");
     host.phase.send_replace(Phase::Leaving);
     monoio::time::sleep(READINESS_DELAY.min(limit / 2)).await;
--- a/components/proxy/src/session.rs
+++ b/components/proxy/src/session.rs
@@ -72,7 +72,7 @@
     /// Returns how long the caller may stay idle now; limited only within a transaction.
     pub fn idle_timeout(&self) -> Option<Duration> {
         self.transaction.as_ref()?;
-        self.host.plan()?.idle_limit
+        self.host.plan()?.idle_timeout
     }
 
     /// Checks that the database exists and that the key permits its use.
@@ -149,7 +149,7 @@
                 if access == Access::Write {
                     self.record_write(&operation, answer.point);
                 }
-                out.extend_from_slice(&answer.relay);
+                out.extend_from_slice(&answer.raw);
                 wire::put_ready(State::Idle, out);
             }
             Err(refusal) => self.fail(&refusal, out),
@@ -188,7 +188,7 @@
         let commits = access.is_none();
         match answer {
             Ok((answer, _)) if answer.failure().is_none() && !commits => {
-                out.extend_from_slice(&answer.relay);
+                out.extend_from_slice(&answer.raw);
                 self.transaction = Some(transaction);
                 wire::put_ready(State::Open, out);
             }
@@ -196,7 +196,7 @@
                 if answer.failure().is_none() {
                     self.record_write(&transaction.operation, answer.point);
                 }
-                out.extend_from_slice(&answer.relay);
+                out.extend_from_slice(&answer.raw);
                 if let Some(execution) = transaction.execution {
                     release(&self.host, execution, &answer);
                 }
@@ -281,7 +281,7 @@
             Statement::Prepare { name, shape } => {
                 session.prepared.insert(name.clone(), shape.clone());
             }
-            Statement::Forget { name } if session.prepared.remove(name).is_none() => {
+            Statement::Deallocate { name } if session.prepared.remove(name).is_none() => {
                 return self.fail(&Refusal::new(Failure::UnknownName, "no such name"), out);
             }
             _ => {}
@@ -383,13 +383,13 @@
             id: request.id.clone(),
             account,
             group: self.host.group(&route.group),
-            currency: route.currency,
+            consistency: route.consistency,
             access,
             homes,
             last_write: self.last_writes.get(&route.group).copied(),
             deadline: Instant::now() + route.timeout,
             priority: route.priority,
-            queue_timeout: route.aim / 2,
+            queue_timeout: route.latency_target / 2,
         }
     }
 
--- a/components/proxy/src/silent.rs
+++ b/components/proxy/src/silent.rs
@@ -20,7 +20,7 @@
 /// Takes out hosts that have been silent for long, and removes what is left of
 /// hosts taken out before, for ever.
 pub async fn take_out_silent(host: Rc<Host>) {
-    let client = Client::new(host.settings.store);
+    let client = Client::new(host.settings.store_address);
     let mut alone = false;
     loop {
         monoio::time::sleep(Duration::from_secs(1)).await;
--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -79,7 +79,7 @@
     let now = host.now();
     let need = match operation.access {
         Access::Write => Need::Leader,
-        Access::Read => operation.group.need(operation.currency, operation.last_write, now),
+        Access::Read => operation.group.need(operation.consistency, operation.last_write, now),
     };
     let leader =
         host.begin(&operation.group).filter(|usage| leader_allowed(host, operation, usage));
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -22,7 +22,7 @@
         format!("no settings file: give --settings or set {}", settings::PATH_VARIABLE)
     })?;
     let without: Vec<Mechanism> = args.without.iter().map(|arg| Mechanism::from(*arg)).collect();
-    let read = Settings { without, ..settings::read_file(&path)? };
+    let read = Settings { disabled: without, ..settings::read_file(&path)? };
     let filter = EnvFilter::try_new(&args.log).context("reading --log")?;
     let log = Log::start(filter)?;
     let signals = catch_signals()?;
