--- a/components/peer/src/accept.rs
+++ b/components/peer/src/accept.rs
@@ -1,4 +1,4 @@
-//! The accepting end of a link: one task a peer.
+//! Accepting end of a link, with one task per peer.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -19,99 +19,102 @@
     socket,
 };
 
-/// Exchanges known of a link before ended ones are looked for. An entry does not
-/// say that it is done with an exchange that the home has ended.
-const SWEEP_FROM: usize = 64;
+/// Minimum number of exchanges of a link at which ended ones are removed. Entries send no
+/// [`ToHome::Close`] for an exchange that the home has ended.
+const MIN_SWEEP_SIZE: usize = 64;
 
-/// Before accepting is tried again after it failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before accepting is retried after a failure.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Answers a question of a peer, at once or later.
+/// Handler for questions of peers, which may reply at once or later.
 pub type Responder = dyn Fn(&Hello, Question, Replier);
 
-/// Answers one question of a peer.
+/// Sends the answer to one question of a peer.
 #[derive(Debug)]
 pub struct Replier {
-    no: RequestNo,
+    number: RequestNo,
     out: UnboundedSender<Message>,
 }
 
 impl Replier {
-    /// Sends the answer to the peer, which may be gone by now.
+    /// Sends the answer to the peer. The answer is dropped if the link has closed meanwhile.
     pub fn reply(self, answer: Answer) {
-        let _ = self.out.send(Message::Answer(self.no, answer));
+        let _ = self.out.send(Message::Answer(self.number, answer));
     }
 
-    /// Watches the link that the question was received by.
-    pub fn watch(&self) -> LinkMonitor {
+    /// Returns a monitor of the link on which the question was received.
+    pub fn link_monitor(&self) -> LinkMonitor {
         LinkMonitor { out: self.out.clone() }
     }
 }
 
-/// Watches a peer's link.
+/// Shows whether a peer's link is still open.
 #[derive(Clone, Debug)]
 pub struct LinkMonitor {
     out: UnboundedSender<Message>,
 }
 
 impl LinkMonitor {
-    /// Whether it is.
+    /// Returns whether the link is open.
     pub fn is_open(&self) -> bool {
         !self.out.is_closed()
     }
 }
 
-/// What a host does for its peers.
+/// Handlers that a host provides to its peers.
 pub struct Service {
-    /// The secret that all hosts share.
+    /// Secret shared by all hosts.
     pub secret: Secret,
-    /// Serves an exchange, in a task of its own.
+    /// Serves an exchange in a separate task.
     pub serve: Box<dyn Fn(Open, HomeSide)>,
-    /// Answers a question.
+    /// Handler for questions.
     pub answer: Box<Responder>,
 }
 
 /// Serves one peer until its link ends.
 pub async fn serve(stream: TcpStream, hello: Hello, service: Rc<Service>) {
     if let Err(error) = run(stream, hello, &service).await {
-        debug!("link: a peer's link ended: {error:#}.");
+        debug!("link: link accepted from a peer closed: {error:#}.");
     }
 }
 
 async fn run(stream: TcpStream, hello: Hello, service: &Service) -> anyhow::Result<()> {
     stream.set_nodelay(true)?;
-    // Whether the peer is silent is judged by the host that connected.
+    // Only the dialling end monitors activity and closes links to unresponsive peers.
     let io = ActivityStream::new(stream.into_poll_io()?, || {});
     let handshake = tokio_tungstenite::accept_async_with_config(io, Some(socket::config()));
     let ws = monoio::time::timeout(socket::HELLO_TIMEOUT, handshake)
         .await
-        .context("the peer did not shake hands")??;
+        .context("the peer did not complete the WebSocket handshake in time")??;
     let (mut writing, mut reading) = ws.split();
-    let prove = prove(&hello, &service.secret, &mut reading, &mut writing);
-    let theirs = monoio::time::timeout(socket::HELLO_TIMEOUT, prove).await??;
+    let authenticate = authenticate(&hello, &service.secret, &mut reading, &mut writing);
+    let peer = monoio::time::timeout(socket::HELLO_TIMEOUT, authenticate).await??;
     let (out, mut rx) = mpsc::unbounded_channel();
     monoio::select! {
         result = socket::pump(&mut writing, &mut rx) => result,
-        result = dispatch(&mut reading, &theirs, out, service) => result,
+        result = dispatch(&mut reading, &peer, out, service) => result,
     }
 }
 
-/// Says who this host is, and makes sure who the peer is.
-async fn prove(
-    mine: &Hello,
+/// Authenticates this host to the peer and the peer to this host. Returns the peer's hello.
+async fn authenticate(
+    own: &Hello,
     secret: &Secret,
     reading: &mut socket::Reading,
     writing: &mut socket::Writing,
 ) -> anyhow::Result<Hello> {
-    let Message::Hello(theirs) = socket::next(reading).await? else {
-        bail!("the peer did not say who it is")
+    let Message::Hello(peer) = socket::next(reading).await? else {
+        bail!("the first message of the peer was not a hello")
     };
-    socket::send(writing, &Message::Hello(mine.clone())).await?;
-    let proof = Proof::new(secret, End::Accepting, &theirs, mine);
+    socket::send(writing, &Message::Hello(own.clone())).await?;
+    let proof = Proof::new(secret, End::Accepting, &peer, own);
     socket::send(writing, &Message::Proof(proof)).await?;
     match socket::next(reading).await? {
-        Message::Proof(proof) if proof.is_valid(secret, End::Dialling, &theirs, mine) => Ok(theirs),
-        _ => bail!("who says to be {} does not know the fleet's secret", theirs.host),
+        Message::Proof(proof) if proof.is_valid(secret, End::Dialling, &peer, own) => Ok(peer),
+        _ => bail!(
+            "the peer that claims to be {} has no valid proof of the shared secret",
+            peer.host
+        ),
     }
 }
 
@@ -121,49 +124,51 @@
     out: UnboundedSender<Message>,
     service: &Service,
 ) -> anyhow::Result<()> {
-    // Dropping the senders, when the link ends, tells every home side that its entry is lost.
+    // When the link closes, dropping the senders makes each home side receive `None`.
     let mut exchanges: HashMap<RequestNo, UnboundedSender<ToHome>> = HashMap::new();
-    let mut sweep_at = SWEEP_FROM;
+    let mut sweep_size = MIN_SWEEP_SIZE;
     loop {
         match socket::next(reading).await? {
-            Message::Open(no, open) => {
-                if exchanges.len() >= sweep_at {
+            Message::Open(number, open) => {
+                if exchanges.len() >= sweep_size {
                     exchanges.retain(|_, tx| !tx.is_closed());
-                    sweep_at = SWEEP_FROM.max(2 * exchanges.len());
+                    sweep_size = MIN_SWEEP_SIZE.max(2 * exchanges.len());
                 }
                 let (tx, rx) = mpsc::unbounded_channel();
-                exchanges.insert(no, tx);
-                (service.serve)(*open, HomeSide::on_link(no, out.clone(), rx));
+                exchanges.insert(number, tx);
+                (service.serve)(*open, HomeSide::on_link(number, out.clone(), rx));
             }
-            Message::ToHome(no, item) => {
+            Message::ToHome(number, item) => {
                 let last = matches!(item, ToHome::Close);
-                if let Some(tx) = exchanges.get(&no) {
-                    // The home may have ended the exchange already.
+                if let Some(tx) = exchanges.get(&number) {
+                    // Fails if the home has ended the exchange already.
                     let _ = tx.send(item);
                 }
                 if last {
-                    exchanges.remove(&no);
+                    exchanges.remove(&number);
                 }
             }
-            Message::Question(no, question) => {
-                (service.answer)(peer, question, Replier { no, out: out.clone() });
+            Message::Question(number, question) => {
+                (service.answer)(peer, question, Replier { number, out: out.clone() });
             }
-            other => bail!("the peer said what only an accepting host says: {other:?}"),
+            other => bail!("the peer sent a message of the accepting end: {other:?}"),
         }
     }
 }
 
-/// The next connection of a listener.
+/// Accepts the next connection of a listener; `clients` names the connecting side in the log.
 ///
-/// Guards against a host that ends when it has no file left for a connection:
-/// accepting then fails, though all that is connected could go on. So the
-/// failure is logged and accepting is tried again until files are free.
-pub async fn stream(listener: &TcpListener, whom: &str) -> TcpStream {
+/// Guards against a host that exits when it has no file descriptor left for a connection:
+/// accepting then fails, although established connections could continue. The failure is
+/// therefore logged, and accepting is retried until file descriptors are free.
+pub async fn stream(listener: &TcpListener, clients: &str) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(error) => warn!("link: a connection of {whom} cannot be accepted: {error}."),
+            Err(error) => {
+                warn!("link: a connection of {clients} cannot be accepted, retrying: {error}.")
+            }
         }
-        monoio::time::sleep(ACCEPT_PAUSE).await;
+        monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
     }
 }
--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -101,7 +101,7 @@
 
 /// Runs a forwarded statement and replies with the result.
 pub async fn serve(host: Rc<Host>, from: HostId, statement: ForwardedStatement, replier: Replier) {
-    let watch = replier.watch();
+    let watch = replier.link_monitor();
     let relayed = match acquire(&host, &from, &statement).await {
         Ok((leased, permit)) => run(&host, from, statement, leased, permit, watch).await,
         Err(reason) => {
