--- a/components/peer/src/forward.rs
+++ b/components/peer/src/forward.rs
@@ -1,7 +1,7 @@
-//! A statement that one host has another one run, which holds the server's connections.
+//! Statements forwarded to the holder of a server's connections.
 //!
-//! There is one for each statement, so names on the wire are short and what is usual is
-//! left out.
+//! One message is sent for each statement, so field names on the wire are short and fields with
+//! default values are omitted.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,78 +10,79 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Number of a transaction; each of a host has its own.
+/// Identifier of a transaction, unique among the transactions of the host that opened it.
 pub type TransactionId = u64;
 
-/// A statement for a server.
+/// Statement forwarded to the holder of the server's connections.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ForwardedStatement {
-    /// The server.
+    /// Server that runs the statement.
     #[serde(rename = "s")]
     pub server: ServerId,
-    /// Whose connection it runs on; none where any will do, whatever values it has.
+    /// Account whose connection is used; `None` if any connection will do, whatever session values
+    /// are set on it.
     #[serde(rename = "a", default, skip_serializing_if = "Option::is_none")]
     pub account: Option<AccountId>,
-    /// The statement as the server is to get it.
+    /// Encoded statement, sent to the server unchanged.
     #[serde(rename = "l")]
     pub line: Bytes,
-    /// The values that its session has set.
+    /// Values set by the caller's session.
     #[serde(rename = "v", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub values: BTreeMap<Box<str>, Box<str>>,
-    /// The named statement that it runs.
+    /// Definition of the prepared statement to be executed.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub shape: Option<Shape>,
-    /// The transaction that it opens or belongs to.
+    /// Transaction that the statement opens or belongs to.
     #[serde(rename = "w", default, skip_serializing_if = "Option::is_none")]
     pub transaction: Option<TransactionId>,
-    /// Whether it opens the transaction.
+    /// Whether the statement opens the transaction.
     #[serde(rename = "o", default, skip_serializing_if = "std::ops::Not::not")]
     pub opens: bool,
-    /// Who goes first where not all can be served; 0 is the most urgent.
+    /// Priority under overload; 0 is the highest.
     #[serde(rename = "u")]
     pub priority: u32,
-    /// How long it may wait for its turn, in milliseconds.
+    /// Queue timeout in milliseconds.
     #[serde(rename = "q")]
     pub queue_timeout_ms: u32,
-    /// How long it may take in all, in milliseconds.
+    /// Timeout of the statement in all, queue time included, in milliseconds.
     #[serde(rename = "t")]
     pub timeout_ms: u32,
 }
 
 impl ForwardedStatement {
-    /// How long it may wait for its turn.
+    /// Returns how long the statement may be queued.
     pub fn queue_timeout(&self) -> Duration {
         Duration::from_millis(self.queue_timeout_ms.into())
     }
 
-    /// How long it may take in all.
+    /// Returns how long the statement may take in all, queue time included.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms.into())
     }
 }
 
-/// Why a statement was not sent to its server.
+/// Reason why a statement was not sent to its server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum NotSent {
-    /// Too many wait for the server; there is room after this many milliseconds.
+    /// Too many statements are queued for the server; there is room after this many milliseconds.
     #[serde(rename = "Crowded")]
     QueueFull(u32),
     /// All connections are in use.
     Full,
-    /// The server's process does not run.
+    /// The server's process is not running.
     Dead,
     /// The server does not answer.
     Silent,
     /// Another server has the address.
     Misdirected,
-    /// The server takes no connection.
+    /// The server rejected the connection.
     Rejected,
-    /// The holder does not know the server.
+    /// The server is not in the holder's list of servers.
     #[serde(rename = "Unlisted")]
     UnknownServer,
-    /// The holder knows no such transaction: its connection was closed.
+    /// The holder has no such transaction: its connection was closed.
     Closed,
-    /// The holder is being stopped.
+    /// The holder is shutting down.
     Leaving,
     /// The holder cannot be reached.
     Unreachable,
@@ -89,16 +90,16 @@
     Evacuated,
 }
 
-/// What became of a statement.
+/// Result of a forwarded statement.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum ForwardResult {
     /// The server's answer.
     #[serde(rename = "A")]
     Answered(ServerAnswer),
-    /// The server did not get it.
+    /// The statement was not sent to the server.
     #[serde(rename = "N")]
     NotSent(NotSent),
-    /// The connection was lost before a whole answer came.
+    /// The connection was lost before the complete answer was received.
     #[serde(rename = "L")]
     Lost,
     /// The server did not answer in time.
