--- a/components/peer/src/accept.rs
+++ b/components/peer/src/accept.rs
@@ -86,13 +86,13 @@
     let ws = monoio::time::timeout(socket::HELLO_TIMEOUT, handshake)
         .await
         .context("the peer did not complete the WebSocket handshake in time")??;
-    let (mut writing, mut reading) = ws.split();
-    let authenticate = authenticate(&hello, &service.secret, &mut reading, &mut writing);
+    let (mut writer, mut reader) = ws.split();
+    let authenticate = authenticate(&hello, &service.secret, &mut reader, &mut writer);
     let peer = monoio::time::timeout(socket::HELLO_TIMEOUT, authenticate).await??;
     let (out, mut rx) = mpsc::unbounded_channel();
     monoio::select! {
-        result = socket::pump(&mut writing, &mut rx) => result,
-        result = dispatch(&mut reading, &peer, out, service) => result,
+        result = socket::write_messages(&mut writer, &mut rx) => result,
+        result = dispatch(&mut reader, &peer, out, service) => result,
     }
 }
 
@@ -100,16 +100,16 @@
 async fn authenticate(
     own: &Hello,
     secret: &Secret,
-    reading: &mut socket::Reading,
-    writing: &mut socket::Writing,
+    reader: &mut socket::Reader,
+    writer: &mut socket::Writer,
 ) -> anyhow::Result<Hello> {
-    let Message::Hello(peer) = socket::next(reading).await? else {
+    let Message::Hello(peer) = socket::receive(reader).await? else {
         bail!("the first message of the peer was not a hello")
     };
-    socket::send(writing, &Message::Hello(own.clone())).await?;
+    socket::send(writer, &Message::Hello(own.clone())).await?;
     let proof = Proof::new(secret, End::Accepting, &peer, own);
-    socket::send(writing, &Message::Proof(proof)).await?;
-    match socket::next(reading).await? {
+    socket::send(writer, &Message::Proof(proof)).await?;
+    match socket::receive(reader).await? {
         Message::Proof(proof) if proof.is_valid(secret, End::Dialling, &peer, own) => Ok(peer),
         _ => bail!(
             "the peer that claims to be {} has no valid proof of the shared secret",
@@ -119,7 +119,7 @@
 }
 
 async fn dispatch(
-    reading: &mut socket::Reading,
+    reader: &mut socket::Reader,
     peer: &Hello,
     out: UnboundedSender<Message>,
     service: &Service,
@@ -128,7 +128,7 @@
     let mut exchanges: HashMap<RequestNo, UnboundedSender<ToHome>> = HashMap::new();
     let mut sweep_size = MIN_SWEEP_SIZE;
     loop {
-        match socket::next(reading).await? {
+        match socket::receive(reader).await? {
             Message::Open(number, open) => {
                 if exchanges.len() >= sweep_size {
                     exchanges.retain(|_, tx| !tx.is_closed());
--- a/components/peer/src/activity.rs
+++ b/components/peer/src/activity.rs
@@ -1,4 +1,4 @@
-//! A stream that says when something comes.
+//! TCP stream that reports received bytes.
 
 use std::{
     io,
@@ -9,16 +9,16 @@
 use monoio::net::tcp::stream_poll::TcpStreamPoll;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A stream that calls `came` whenever bytes have come.
+/// TCP stream that calls `on_read` whenever bytes have been received.
 pub struct ActivityStream {
     io: TcpStreamPoll,
-    came: Box<dyn Fn()>,
+    on_read: Box<dyn Fn()>,
 }
 
 impl ActivityStream {
-    /// A stream that calls `came`.
-    pub fn new(io: TcpStreamPoll, came: impl Fn() + 'static) -> Self {
-        Self { io, came: Box::new(came) }
+    /// Wraps a stream so that it calls `on_read`.
+    pub fn new(io: TcpStreamPoll, on_read: impl Fn() + 'static) -> Self {
+        Self { io, on_read: Box::new(on_read) }
     }
 }
 
@@ -31,7 +31,7 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
         if buf.filled().len() > before {
-            (self.came)();
+            (self.on_read)();
         }
         read
     }
--- a/components/peer/src/link.rs
+++ b/components/peer/src/link.rs
@@ -204,8 +204,8 @@
         let handshake =
             tokio_tungstenite::client_async_with_config(url, io, Some(socket::config()));
         let (ws, _) = monoio::time::timeout(socket::HELLO_TIMEOUT, handshake).await??;
-        let (mut writing, mut reading) = ws.split();
-        let prove = dialler.prove(&self.host, &mut reading, &mut writing);
+        let (mut writer, mut reader) = ws.split();
+        let prove = dialler.prove(&self.host, &mut reader, &mut writer);
         monoio::time::timeout(socket::HELLO_TIMEOUT, prove).await??;
         let (tx, mut rx) = mpsc::unbounded_channel();
         *self.out.borrow_mut() = Some(tx);
@@ -215,15 +215,15 @@
         self.heard.set(Some(self.clock.now()));
         info!("link: {} is up.", self.host);
         monoio::select! {
-            result = socket::pump(&mut writing, &mut rx) => result,
-            result = self.dispatch(&mut reading) => result,
+            result = socket::write_messages(&mut writer, &mut rx) => result,
+            result = self.dispatch(&mut reader) => result,
             result = self.ping() => result,
         }
     }
 
-    async fn dispatch(&self, reading: &mut socket::Reading) -> anyhow::Result<()> {
+    async fn dispatch(&self, reader: &mut socket::Reader) -> anyhow::Result<()> {
         loop {
-            let message = socket::next(reading).await?;
+            let message = socket::receive(reader).await?;
             self.owes.set((self.waiters.borrow().len() > 1).then(|| self.clock.now()));
             match message {
                 Message::ToEntry(no, item) => self.hand_over(no, item),
@@ -281,22 +281,22 @@
     async fn prove(
         &self,
         host: &HostId,
-        reading: &mut socket::Reading,
-        writing: &mut socket::Writing,
+        reader: &mut socket::Reader,
+        writer: &mut socket::Writer,
     ) -> anyhow::Result<()> {
         let mine = (self.hello)();
-        socket::send(writing, &Message::Hello(mine.clone())).await?;
-        let theirs = match socket::next(reading).await? {
+        socket::send(writer, &Message::Hello(mine.clone())).await?;
+        let theirs = match socket::receive(reader).await? {
             Message::Hello(theirs) if theirs.host == *host => theirs,
             _ => bail!("another host answered at {}", self.address),
         };
-        match socket::next(reading).await? {
+        match socket::receive(reader).await? {
             Message::Proof(proof)
                 if proof.is_valid(&self.secret, End::Accepting, &mine, &theirs) => {}
             _ => bail!("who answered at {} does not know the fleet's secret", self.address),
         }
         let proof = Proof::new(&self.secret, End::Dialling, &mine, &theirs);
-        socket::send(writing, &Message::Proof(proof)).await
+        socket::send(writer, &Message::Proof(proof)).await
     }
 }
 
--- a/components/peer/src/socket.rs
+++ b/components/peer/src/socket.rs
@@ -1,4 +1,4 @@
-//! A WebSocket with typed messages.
+//! WebSocket that carries encoded messages.
 
 use std::time::Duration;
 
@@ -12,29 +12,29 @@
 
 use crate::{activity::ActivityStream, message::Message};
 
-/// How long a peer may take to say who it is.
+/// Timeout of the WebSocket handshake, and of the authentication that follows it.
 pub const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The most messages written before they are flushed together.
-const BATCH: usize = 64;
+/// Number of messages after which a flush is due even if more are queued.
+const MAX_BATCH: usize = 64;
 
 pub type Socket = WebSocketStream<ActivityStream>;
-pub type Reading = SplitStream<Socket>;
-pub type Writing = SplitSink<Socket, tungstenite::Message>;
+pub type Reader = SplitStream<Socket>;
+pub type Writer = SplitSink<Socket, tungstenite::Message>;
 
-/// Bytes read at once: the codec clears its whole read buffer before each read,
-/// so that a large one costs more than the reads that it saves.
-const READ_BUFFER: usize = 4 * 1024;
+/// Size of the read buffer in bytes. The codec clears the whole buffer before each read, so a larger
+/// one costs more than the reads that it saves.
+const READ_BUFFER_SIZE: usize = 4 * 1024;
 
-/// How both ends of a link speak.
+/// Returns the WebSocket configuration of both ends of a link.
 pub fn config() -> tungstenite::protocol::WebSocketConfig {
-    tungstenite::protocol::WebSocketConfig::default().read_buffer_size(READ_BUFFER)
+    tungstenite::protocol::WebSocketConfig::default().read_buffer_size(READ_BUFFER_SIZE)
 }
 
-/// The next message; an error when the link has ended.
-pub async fn next(reading: &mut Reading) -> anyhow::Result<Message> {
+/// Reads the next message; an error if the link has closed.
+pub async fn receive(reader: &mut Reader) -> anyhow::Result<Message> {
     loop {
-        match reading.next().await.context("the link was closed")?.context("reading a link")? {
+        match reader.next().await.context("the link was closed")?.context("reading a link")? {
             tungstenite::Message::Binary(bytes) => return Message::decode(&bytes),
             tungstenite::Message::Close(_) => bail!("the peer closed the link"),
             _ => {}
@@ -43,29 +43,29 @@
 }
 
 /// Sends one message.
-pub async fn send(writing: &mut Writing, message: &Message) -> anyhow::Result<()> {
+pub async fn send(writer: &mut Writer, message: &Message) -> anyhow::Result<()> {
     let frame = tungstenite::Message::Binary(message.encode());
-    writing.send(frame).await.context("writing to a link")
+    writer.send(frame).await.context("writing to a link")
 }
 
-/// Writes all that comes, several messages a flush, until the senders are gone.
-pub async fn pump(
-    writing: &mut Writing,
+/// Writes queued messages, several per flush, until all senders are dropped.
+pub async fn write_messages(
+    writer: &mut Writer,
     rx: &mut UnboundedReceiver<Message>,
 ) -> anyhow::Result<()> {
     while let Some(message) = rx.recv().await {
         let mut next = Some(message);
-        for _ in 0..BATCH {
+        for _ in 0..MAX_BATCH {
             let Some(message) = next else { break };
             let frame = tungstenite::Message::Binary(message.encode());
-            writing.feed(frame).await.context("writing to a link")?;
+            writer.feed(frame).await.context("writing to a link")?;
             next = rx.try_recv().ok();
         }
         if let Some(message) = next {
             let frame = tungstenite::Message::Binary(message.encode());
-            writing.feed(frame).await.context("writing to a link")?;
+            writer.feed(frame).await.context("writing to a link")?;
         }
-        writing.flush().await.context("writing to a link")?;
+        writer.flush().await.context("writing to a link")?;
     }
     Ok(())
 }
