--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -151,7 +151,7 @@
     /// Answers a question of a peer; `None` when it is not about the fleet.
     pub fn answer(&self, peer: &Hello, question: Question) -> Option<Answer> {
         Some(match question {
-            Question::Ping if self.leaving.get() => Answer::Leaving,
+            Question::Ping if self.leaving.get() => Answer::Draining,
             Question::Ping => Answer::Pong,
             Question::Freshness => Answer::Freshness(self.vouch()),
             Question::Revision => {
--- a/components/home/src/homes.rs
+++ b/components/home/src/homes.rs
@@ -239,7 +239,7 @@
         let links = mesh.links();
         let mut up: Vec<_> = links
             .iter()
-            .filter(|link| link.is_up() && !link.is_leaving())
+            .filter(|link| link.is_up() && !link.is_draining())
             .map(|link| link.host.clone())
             .collect();
         up.sort();
--- a/components/peer/src/forward.rs
+++ b/components/peer/src/forward.rs
@@ -83,7 +83,8 @@
     /// The holder has no such transaction: its connection was closed.
     Closed,
     /// The holder is shutting down.
-    Leaving,
+    #[serde(rename = "Leaving")]
+    Draining,
     /// The holder cannot be reached.
     Unreachable,
     /// The server's failure domain is evacuated.
--- a/components/peer/src/link.rs
+++ b/components/peer/src/link.rs
@@ -138,7 +138,7 @@
     }
 
     /// Whether the peer is being stopped: it ends what it has and gets nothing new.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.leaving.get()
     }
 
@@ -258,7 +258,7 @@
     async fn ping(&self) -> anyhow::Result<()> {
         while !self.closed.get() {
             match self.query(Question::Ping, self.pace.timeout).await {
-                Ok(answer) => self.leaving.set(matches!(answer, Answer::Leaving)),
+                Ok(answer) => self.leaving.set(matches!(answer, Answer::Draining)),
                 Err(_) if self.is_heard() => continue,
                 Err(error) => return Err(error),
             }
--- a/components/peer/src/mesh.rs
+++ b/components/peer/src/mesh.rs
@@ -134,7 +134,7 @@
         let links = self.links.borrow();
         let left = self.left.borrow();
         let serves = |host: &Host, link: &Link| {
-            link.is_up() && !link.is_leaving() && !left.contains(&host.id)
+            link.is_up() && !link.is_draining() && !left.contains(&host.id)
         };
         let others = links.values().filter(|(host, link)| serves(host, link));
         let others = others.map(|(host, _)| candidate(host));
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -214,7 +214,8 @@
     /// The host is there.
     Pong,
     /// The host is there, but being stopped: it is to get nothing new.
-    Leaving,
+    #[serde(rename = "Leaving")]
+    Draining,
     /// What the host can vouch for.
     #[serde(rename = "Vouch")]
     Freshness(FreshnessVote),
--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -148,7 +148,7 @@
         return Ok((idle.leased, Some(permit)));
     }
     if *host.phase.borrow() == Phase::Closing {
-        return Err(NotSent::Leaving);
+        return Err(NotSent::Draining);
     }
     let until = monoio::time::Instant::now() + statement.timeout();
     let Some(account) = &statement.account else {
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -80,7 +80,7 @@
         }
         Question::Piece(wanted) => replier.reply(Answer::Piece(fetch::piece(host, wanted))),
         Question::Updates(known) => replier.reply(Answer::Updates(Box::new(newest(host, known)))),
-        _ if *host.phase.borrow() != Phase::Serving => replier.reply(Answer::Leaving),
+        _ if *host.phase.borrow() != Phase::Serving => replier.reply(Answer::Draining),
         _ => replier.reply(Answer::Pong),
     }
 }
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -506,7 +506,7 @@
                 return None;
             }
             let link = self.reach(holder);
-            let fit = |link: &Rc<Link>| link.is_responsive(HOLDER_WITHIN) && !link.is_leaving();
+            let fit = |link: &Rc<Link>| link.is_responsive(HOLDER_WITHIN) && !link.is_draining();
             if let Some(link) = link.filter(fit) {
                 return Some(link);
             }
--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -241,7 +241,7 @@
         NotSent::Rejected | NotSent::QueueFull(_) => "the server takes no connection",
         NotSent::UnknownServer => "the holder of its connections does not know the server",
         NotSent::Closed => "the transaction's connection was closed",
-        NotSent::Leaving => "the holder of the server's connections is being stopped",
+        NotSent::Draining => "the holder of the server's connections is being stopped",
         NotSent::Unreachable => "the holder of the server's connections is out of reach",
         NotSent::Evacuated => "the server's failure domain is evacuated",
     })
