--- a/components/peer/src/link.rs
+++ b/components/peer/src/link.rs
@@ -1,5 +1,5 @@
-//! The dialling end of a link to another host: one task that connects, sends
-//! what is asked of it and hands answers to those who wait.
+//! Dialling end of a link to another host: one task that connects, sends messages and delivers
+//! answers to their waiters.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,21 +28,25 @@
     socket,
 };
 
+/// Timeout for connecting to a peer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// How often a link is tried out.
+/// Delay before a failed or closed link is dialled again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// Default interval of pings on a link.
 pub const PING_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a silent peer counts as there, where links are tried out so often.
+/// Default time without data from the peer after which a link counts as down.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How a link is tried out.
+/// Ping settings of a link.
 #[derive(Clone, Copy, Debug)]
 pub struct Keepalive {
-    /// How often.
+    /// Interval between pings.
     pub interval: Duration,
-    /// How long a silent peer counts as there; several times `interval`.
+    /// Time without data from the peer after which the link counts as down; several times
+    /// `interval`.
     pub timeout: Duration,
 }
 
@@ -57,139 +61,141 @@
     Question(oneshot::Sender<Answer>),
 }
 
-/// The dialling end of a link.
+/// Dialling end of a link.
 pub struct Link {
-    /// The host at the other end.
+    /// Host at the other end.
     pub host: HostId,
     clock: Rc<dyn Clock>,
-    /// `None` while the link is down.
+    /// Queue of messages to be sent; `None` while the link is down.
     out: RefCell<Option<UnboundedSender<Message>>>,
-    /// Who waits for an answer, by number; emptied when the link goes down.
+    /// Open exchanges and questions by number; cleared when the link goes down.
     waiters: RefCell<HashMap<RequestNo, Waiter>>,
-    next_no: Cell<RequestNo>,
-    /// When something of the peer's came last, be it a part of a message.
-    heard: Rc<Cell<Option<Instant>>>,
-    /// Since when the peer owes an answer without saying anything.
-    owes: Cell<Option<Instant>>,
+    next_number: Cell<RequestNo>,
+    /// Time at which data was last received from the peer, including parts of messages.
+    last_contact: Rc<Cell<Option<Instant>>>,
+    /// Time since which an answer has been pending and no message has been received.
+    pending_since: Cell<Option<Instant>>,
     closed: Cell<bool>,
-    /// Whether the peer is being stopped.
-    leaving: Cell<bool>,
-    /// Whether nothing listened at the peer's address when it was last connected to.
+    /// Whether the peer is shutting down.
+    draining: Cell<bool>,
+    /// Whether the last attempt to connect was refused because nothing listened at the address.
     refused: Cell<bool>,
     /// Whether the first attempt to connect has ended.
-    tried: Cell<bool>,
-    /// Wakes those who wait for the first attempt.
-    first: Notify,
-    pace: Keepalive,
+    attempted: Cell<bool>,
+    /// Notified when the first attempt to connect has ended.
+    first_attempt_ended: Notify,
+    keepalive: Keepalive,
 }
 
 impl Link {
-    /// Starts a link that connects again whenever it goes down.
-    ///
-    /// The task ends soon after [`Link::close`].
+    /// Starts a link that reconnects whenever it goes down. Its task ends soon after
+    /// [`Link::close`].
     pub fn start(
         host: HostId,
         address: SocketAddr,
         hello: impl Fn() -> Hello + 'static,
         secret: Secret,
         clock: Rc<dyn Clock>,
-        pace: Keepalive,
+        keepalive: Keepalive,
     ) -> Rc<Self> {
         let link = Rc::new(Self {
             host,
             clock,
             out: RefCell::default(),
             waiters: RefCell::default(),
-            next_no: Cell::default(),
-            heard: Rc::default(),
-            owes: Cell::default(),
+            next_number: Cell::default(),
+            last_contact: Rc::default(),
+            pending_since: Cell::default(),
             closed: Cell::default(),
-            leaving: Cell::default(),
+            draining: Cell::default(),
             refused: Cell::default(),
-            tried: Cell::default(),
-            first: Notify::new(),
-            pace,
+            attempted: Cell::default(),
+            first_attempt_ended: Notify::new(),
+            keepalive,
         });
         let dialler = Dialler { address, hello: Box::new(hello), secret };
-        monoio::spawn(keep(link.clone(), dialler));
+        monoio::spawn(maintain(link.clone(), dialler));
         link
     }
 
-    /// Ends the link for good.
+    /// Closes the link permanently.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
-    /// Whether the peer answered lately.
+    /// Returns whether the link is connected and data was received within the keepalive timeout.
     pub fn is_up(&self) -> bool {
-        self.out.borrow().is_some() && self.is_heard()
+        self.out.borrow().is_some() && self.has_recent_contact()
     }
 
-    fn is_heard(&self) -> bool {
-        self.heard.get().is_some_and(|t| self.clock.now() < t + self.pace.timeout)
+    fn has_recent_contact(&self) -> bool {
+        self.last_contact.get().is_some_and(|t| self.clock.now() < t + self.keepalive.timeout)
     }
 
-    /// Whether the peer has said something within that time, if it owes an answer.
+    /// Returns whether the link is up and the peer, if an answer is pending, has sent a message
+    /// within `timeout`.
     ///
-    /// Guards against a host that froze: its link counts as up for seconds, and all that
-    /// is asked of it meanwhile waits in vain.
-    pub fn is_responsive(&self, within: Duration) -> bool {
-        self.is_up() && self.owes.get().is_none_or(|since| self.clock.now() < since + within)
+    /// Guards against a frozen host: its link counts as up for seconds, and questions sent to it
+    /// meanwhile only time out.
+    pub fn is_responsive(&self, timeout: Duration) -> bool {
+        self.is_up()
+            && self.pending_since.get().is_none_or(|since| self.clock.now() < since + timeout)
     }
 
-    /// Whether the peer is being stopped: it ends what it has and gets nothing new.
+    /// Returns whether the peer is shutting down: it finishes running work and accepts no more.
     pub fn is_draining(&self) -> bool {
-        self.leaving.get()
+        self.draining.get()
     }
 
-    /// Whether the peer's process is gone: its host refused the last connection.
+    /// Returns whether the peer's process is gone, as its address refused the last connection.
     pub fn is_refused(&self) -> bool {
         self.refused.get()
     }
 
-    /// Waits until a new link has been tried for the first time.
-    pub async fn first_attempt(&self, within: Duration) {
-        if !self.tried.get() {
-            // A peer that does not answer by then is passed over.
-            let _ = monoio::time::timeout(within, self.first.notified()).await;
+    /// Waits until the first attempt to connect has ended, for at most `timeout`.
+    pub async fn first_attempt(&self, timeout: Duration) {
+        if !self.attempted.get() {
+            // After a timeout the link is down, and callers use another peer.
+            let _ = monoio::time::timeout(timeout, self.first_attempt_ended.notified()).await;
         }
     }
 
-    fn note_tried(&self) {
-        self.tried.set(true);
-        self.first.notify_waiters();
+    fn record_attempt(&self) {
+        self.attempted.set(true);
+        self.first_attempt_ended.notify_waiters();
     }
 
-    /// Begins an exchange with the peer as home; `None` when the link is down.
+    /// Opens an exchange with the peer as home; `None` if the link is down.
     pub fn open(&self, open: Open) -> Option<Exchange> {
         let out = self.out.borrow().clone()?;
         let (tx, rx) = mpsc::unbounded_channel();
-        let no = self.wait(Waiter::Exchange(tx));
-        out.send(Message::Open(no, Box::new(open))).ok()?;
-        Some(Exchange::on_link(no, out, rx))
+        let number = self.register(Waiter::Exchange(tx));
+        out.send(Message::Open(number, Box::new(open))).ok()?;
+        Some(Exchange::on_link(number, out, rx))
     }
 
-    /// Asks the peer; an error when the link is down or goes down.
-    pub async fn query(&self, question: Question, within: Duration) -> anyhow::Result<Answer> {
+    /// Sends a question to the peer and returns its answer; an error if the link is down or goes
+    /// down, or after `timeout`.
+    pub async fn query(&self, question: Question, timeout: Duration) -> anyhow::Result<Answer> {
         let out = self.out.borrow().clone();
         let out = out.with_context(|| format!("the link to {} is down", self.host))?;
         let (tx, rx) = oneshot::channel();
-        let no = self.wait(Waiter::Question(tx));
-        self.owes.set(self.owes.get().or_else(|| Some(self.clock.now())));
-        let sent = out.send(Message::Question(no, question));
-        let answer = monoio::time::timeout(within, rx).await;
-        self.waiters.borrow_mut().remove(&no);
+        let number = self.register(Waiter::Question(tx));
+        self.pending_since.set(self.pending_since.get().or_else(|| Some(self.clock.now())));
+        let sent = out.send(Message::Question(number, question));
+        let answer = monoio::time::timeout(timeout, rx).await;
+        self.waiters.borrow_mut().remove(&number);
         sent.ok().with_context(|| format!("the link to {} is down", self.host))?;
         answer
-            .with_context(|| format!("{} did not answer in {within:?}", self.host))?
+            .with_context(|| format!("{} did not answer in {timeout:?}", self.host))?
             .with_context(|| format!("the link to {} went down", self.host))
     }
 
-    fn wait(&self, waiter: Waiter) -> RequestNo {
-        let no = self.next_no.get();
-        self.next_no.set(no + 1);
-        self.waiters.borrow_mut().insert(no, waiter);
-        no
+    fn register(&self, waiter: Waiter) -> RequestNo {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        self.waiters.borrow_mut().insert(number, waiter);
+        number
     }
 
     async fn run(&self, dialler: &Dialler) -> anyhow::Result<()> {
@@ -199,21 +205,23 @@
             monoio::time::timeout(CONNECT_TIMEOUT, connect).await.context("connecting")??;
         stream.set_nodelay(true)?;
         let url = format!("ws://{address}/");
-        let (heard, clock) = (self.heard.clone(), self.clock.clone());
-        let io = ActivityStream::new(stream.into_poll_io()?, move || heard.set(Some(clock.now())));
+        let (last_contact, clock) = (self.last_contact.clone(), self.clock.clone());
+        let io = ActivityStream::new(stream.into_poll_io()?, move || {
+            last_contact.set(Some(clock.now()))
+        });
         let handshake =
             tokio_tungstenite::client_async_with_config(url, io, Some(socket::config()));
         let (ws, _) = monoio::time::timeout(socket::HELLO_TIMEOUT, handshake).await??;
         let (mut writer, mut reader) = ws.split();
-        let prove = dialler.prove(&self.host, &mut reader, &mut writer);
-        monoio::time::timeout(socket::HELLO_TIMEOUT, prove).await??;
+        let authenticate = dialler.authenticate(&self.host, &mut reader, &mut writer);
+        monoio::time::timeout(socket::HELLO_TIMEOUT, authenticate).await??;
         let (tx, mut rx) = mpsc::unbounded_channel();
         *self.out.borrow_mut() = Some(tx);
-        self.leaving.set(false);
+        self.draining.set(false);
         self.refused.set(false);
-        self.note_tried();
-        self.heard.set(Some(self.clock.now()));
-        info!("link: {} is up.", self.host);
+        self.record_attempt();
+        self.last_contact.set(Some(self.clock.now()));
+        info!("link: connected to {}.", self.host);
         monoio::select! {
             result = socket::write_messages(&mut writer, &mut rx) => result,
             result = self.dispatch(&mut reader) => result,
@@ -224,100 +232,100 @@
     async fn dispatch(&self, reader: &mut socket::Reader) -> anyhow::Result<()> {
         loop {
             let message = socket::receive(reader).await?;
-            self.owes.set((self.waiters.borrow().len() > 1).then(|| self.clock.now()));
+            self.pending_since.set((self.waiters.borrow().len() > 1).then(|| self.clock.now()));
             match message {
-                Message::ToEntry(no, item) => self.hand_over(no, item),
-                Message::Answer(no, answer) => {
-                    // An answer that nobody waits for any more is late: dropped.
-                    if let Some(Waiter::Question(tx)) = self.waiters.borrow_mut().remove(&no) {
+                Message::ToEntry(number, item) => self.deliver(number, item),
+                Message::Answer(number, answer) => {
+                    // An answer to a question that has timed out is dropped.
+                    if let Some(Waiter::Question(tx)) = self.waiters.borrow_mut().remove(&number) {
                         let _ = tx.send(answer);
                     }
                 }
-                other => bail!("the peer said what only a dialling host says: {other:?}"),
+                other => bail!("the peer sent a message of the dialling end: {other:?}"),
             }
         }
     }
 
-    fn hand_over(&self, no: RequestNo, item: ToEntry) {
+    fn deliver(&self, number: RequestNo, item: ToEntry) {
         let last = item.is_last();
         let mut waiters = self.waiters.borrow_mut();
-        let gone = match waiters.get(&no) {
+        let gone = match waiters.get(&number) {
             Some(Waiter::Exchange(tx)) => tx.send(item).is_err(),
             _ => false,
         };
         if last || gone {
-            waiters.remove(&no);
+            waiters.remove(&number);
         }
     }
 
-    /// Tries the link out until it is closed or the peer is silent.
+    /// Pings the peer until the link is closed or no data has been received for the keepalive
+    /// timeout.
     ///
-    /// An answer that is late while something comes is no silence: it waits behind a message
-    /// that is large for the link. Given up for that, the link would lose all that is asked
-    /// over it, and the large message, asked for again, would have the same end.
+    /// A late answer to a ping is tolerated while data is being received: it is queued behind a
+    /// message that is large for the link's bandwidth. If the link were closed, all pending answers
+    /// would be lost, and the large message would fail in the same way when requested again.
     async fn ping(&self) -> anyhow::Result<()> {
         while !self.closed.get() {
-            match self.query(Question::Ping, self.pace.timeout).await {
-                Ok(answer) => self.leaving.set(matches!(answer, Answer::Draining)),
-                Err(_) if self.is_heard() => continue,
+            match self.query(Question::Ping, self.keepalive.timeout).await {
+                Ok(answer) => self.draining.set(matches!(answer, Answer::Draining)),
+                Err(_) if self.has_recent_contact() => continue,
                 Err(error) => return Err(error),
             }
-            monoio::time::sleep(self.pace.interval).await;
+            monoio::time::sleep(self.keepalive.interval).await;
         }
-        bail!("the host left the roster")
+        bail!("the link is no longer needed")
     }
 }
 
-/// What a link needs to connect.
+/// Address and credentials with which a link connects.
 struct Dialler {
     address: SocketAddr,
-    /// Who this host says it is; new for each connection.
+    /// Creates this host's hello, with a new nonce for each connection.
     hello: Box<dyn Fn() -> Hello>,
     secret: Secret,
 }
 
 impl Dialler {
-    /// Says who this host is, and makes sure who the peer is.
-    async fn prove(
+    /// Authenticates the peer to this host, then this host to the peer.
+    async fn authenticate(
         &self,
         host: &HostId,
         reader: &mut socket::Reader,
         writer: &mut socket::Writer,
     ) -> anyhow::Result<()> {
-        let mine = (self.hello)();
-        socket::send(writer, &Message::Hello(mine.clone())).await?;
-        let theirs = match socket::receive(reader).await? {
-            Message::Hello(theirs) if theirs.host == *host => theirs,
-            _ => bail!("another host answered at {}", self.address),
+        let own = (self.hello)();
+        socket::send(writer, &Message::Hello(own.clone())).await?;
+        let peer = match socket::receive(reader).await? {
+            Message::Hello(peer) if peer.host == *host => peer,
+            _ => bail!("the peer at {} is not the expected host", self.address),
         };
         match socket::receive(reader).await? {
-            Message::Proof(proof)
-                if proof.is_valid(&self.secret, End::Accepting, &mine, &theirs) => {}
-            _ => bail!("who answered at {} does not know the fleet's secret", self.address),
+            Message::Proof(proof) if proof.is_valid(&self.secret, End::Accepting, &own, &peer) => {}
+            _ => bail!("the peer at {} has no valid proof of the shared secret", self.address),
         }
-        let proof = Proof::new(&self.secret, End::Dialling, &mine, &theirs);
+        let proof = Proof::new(&self.secret, End::Dialling, &own, &peer);
         socket::send(writer, &Message::Proof(proof)).await
     }
 }
 
-fn is_refusal(error: &anyhow::Error) -> bool {
+fn is_connection_refused(error: &anyhow::Error) -> bool {
     let error = error.downcast_ref::<io::Error>();
     error.is_some_and(|error| error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-async fn keep(link: Rc<Link>, dialler: Dialler) {
+async fn maintain(link: Rc<Link>, dialler: Dialler) {
     while !link.closed.get() {
         if let Err(error) = link.run(&dialler).await {
-            link.refused.set(is_refusal(&error));
-            link.note_tried();
-            debug!("link: {} is down: {error:#}.", link.host);
+            link.refused.set(is_connection_refused(&error));
+            link.record_attempt();
+            debug!("link: connection to {} failed: {error:#}.", link.host);
         }
         let was_up = link.out.borrow_mut().take().is_some();
         link.waiters.borrow_mut().clear();
-        link.owes.set(None);
+        link.pending_since.set(None);
         if was_up {
-            info!("link: {} is lost.", link.host);
+            info!("link: connection to {} lost.", link.host);
         }
-        monoio::time::sleep(RETRY_PAUSE).await;
+        monoio::time::sleep(RETRY_DELAY).await;
     }
 }
