--- a/components/peer/src/lib.rs
+++ b/components/peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages and links between the hosts.
+//! Messages and links between hosts.
 
 pub mod accept;
 mod activity;
--- a/components/peer/src/mesh.rs
+++ b/components/peer/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The links to all hosts of the roster.
+//! Links to the other hosts.
 
 use std::{
     cell::RefCell,
@@ -15,83 +15,83 @@
     message::Hello,
 };
 
-/// How long a link stays up to a host that is not of the roster: longer than a
-/// change of leader, for which such links are made, and the telling of its end.
-const GUEST_FOR: Duration = Duration::from_secs(15);
+/// Age above which [`Mesh::set_roster`] closes a link to a host outside of the roster. It exceeds the
+/// duration of a failover, for which such links are opened, and of the notification of its end.
+const TEMPORARY_LINK_TTL: Duration = Duration::from_secs(15);
 
-/// The links to all other hosts of the roster.
+/// Links to all other hosts of the roster, and temporary links to hosts outside of it.
 pub struct Mesh {
     /// This host.
     pub me: Host,
-    /// The secret that all hosts share.
+    /// Secret shared by all hosts.
     pub secret: Secret,
     clock: Rc<dyn Clock>,
     routes: Routes,
-    pace: Keepalive,
-    /// Links to the hosts of the roster, and of the roster before it.
+    keepalive: Keepalive,
+    /// Links to the hosts of the roster and of the preceding roster.
     links: RefCell<HashMap<HostId, (Host, Rc<Link>)>>,
-    /// Links to hosts that are not spoken to all the time, and since when.
+    /// Links to hosts outside of the roster, with their creation times.
     temporary_links: RefCell<HashMap<HostId, (Rc<Link>, Instant)>>,
-    /// The hosts that left with the last revision: they are told of it, and
-    /// asked for nothing else.
-    left: RefCell<Vec<HostId>>,
+    /// Hosts removed from the roster by the last revision. They receive the revision and are used
+    /// for nothing else.
+    departed: RefCell<Vec<HostId>>,
 }
 
 impl Mesh {
-    /// A mesh of this host alone.
+    /// Creates a mesh without links to other hosts.
     pub fn new(me: Host, secret: Secret, clock: Rc<dyn Clock>, routes: Routes) -> Rc<Self> {
         Self::with_keepalive(me, secret, clock, routes, Keepalive::default())
     }
 
-    /// A mesh whose links are tried out at another pace.
+    /// Creates a mesh whose links use the given ping settings.
     pub fn with_keepalive(
         me: Host,
         secret: Secret,
         clock: Rc<dyn Clock>,
         routes: Routes,
-        pace: Keepalive,
+        keepalive: Keepalive,
     ) -> Rc<Self> {
         Rc::new(Self {
             me,
             secret,
             clock,
             routes,
-            pace,
+            keepalive,
             links: RefCell::default(),
             temporary_links: RefCell::default(),
-            left: RefCell::default(),
+            departed: RefCell::default(),
         })
     }
 
-    /// Who this host says it is, on a new connection.
+    /// Returns this host's hello for a new connection.
     pub fn hello(&self) -> Hello {
         hello(&self.me)
     }
 
-    /// Starts links to new hosts of the roster and drops those to hosts that
-    /// are neither of it nor of the one before.
+    /// Starts links to new hosts of the roster, and closes links to hosts that are neither in it
+    /// nor in the preceding one.
     pub fn set_roster(&self, roster: &[Host], before: &[Host]) {
-        let stays = |host: &Host| roster.iter().any(|other| other.id == host.id);
-        let left: Vec<&Host> = before.iter().filter(|host| !stays(host)).collect();
-        *self.left.borrow_mut() = left.iter().map(|host| host.id.clone()).collect();
+        let is_member = |host: &Host| roster.iter().any(|other| other.id == host.id);
+        let departed: Vec<&Host> = before.iter().filter(|host| !is_member(host)).collect();
+        *self.departed.borrow_mut() = departed.iter().map(|host| host.id.clone()).collect();
         let mut links = self.links.borrow_mut();
         links.retain(|_, (host, link)| {
-            let stays = roster.contains(host) || left.contains(&&*host);
-            if !stays {
+            let keep = roster.contains(host) || departed.contains(&&*host);
+            if !keep {
                 link.close();
             }
-            stays
+            keep
         });
-        for host in roster.iter().chain(left).filter(|h| h.id != self.me.id) {
+        for host in roster.iter().chain(departed).filter(|h| h.id != self.me.id) {
             links.entry(host.id.clone()).or_insert_with(|| (host.clone(), self.start(host)));
         }
         let now = self.clock.now();
         self.temporary_links.borrow_mut().retain(|_, (link, since)| {
-            let stays = now.saturating_duration_since(*since) < GUEST_FOR;
-            if !stays {
+            let keep = now.saturating_duration_since(*since) < TEMPORARY_LINK_TTL;
+            if !keep {
                 link.close();
             }
-            stays
+            keep
         });
     }
 
@@ -100,11 +100,11 @@
         let me = self.me.clone();
         let hello = move || hello(&me);
         let (secret, clock) = (self.secret.clone(), self.clock.clone());
-        Link::start(host.id.clone(), address, hello, secret, clock, self.pace)
+        Link::start(host.id.clone(), address, hello, secret, clock, self.keepalive)
     }
 
-    /// The link to a host that may not be of the roster; a new one is closed after
-    /// a while.
+    /// Returns the link to a host that may be outside of the roster, starting one if there is none.
+    /// A link started here is temporary.
     pub fn reach(&self, host: &Host) -> Rc<Link> {
         if let Some(link) = self.link(&host.id) {
             return link;
@@ -114,27 +114,28 @@
         temporary_links.entry(host.id.clone()).or_insert_with(start).0.clone()
     }
 
-    /// The links to hosts that are not of the roster.
+    /// Returns the links to hosts outside of the roster.
     pub fn temporary_links(&self) -> Vec<Rc<Link>> {
         self.temporary_links.borrow().values().map(|(link, _)| link.clone()).collect()
     }
 
-    /// The link to a host, whether up or not.
+    /// Returns the link to a host of the roster or the preceding one, whether it is up or down.
     pub fn link(&self, host: &HostId) -> Option<Rc<Link>> {
         self.links.borrow().get(host).map(|(_, link)| link.clone())
     }
 
-    /// All links.
+    /// Returns all links except temporary ones.
     pub fn links(&self) -> Vec<Rc<Link>> {
         self.links.borrow().values().map(|(_, link)| link.clone()).collect()
     }
 
-    /// The hosts that may serve `group`, best first: this one and those that answer.
+    /// Returns the hosts that may serve `group` in order of preference: this host and the reachable
+    /// hosts of the roster that are not draining.
     pub fn homes(&self, group: &GroupId) -> Vec<HostId> {
         let links = self.links.borrow();
-        let left = self.left.borrow();
+        let departed = self.departed.borrow();
         let serves = |host: &Host, link: &Link| {
-            link.is_up() && !link.is_draining() && !left.contains(&host.id)
+            link.is_up() && !link.is_draining() && !departed.contains(&host.id)
         };
         let others = links.values().filter(|(host, link)| serves(host, link));
         let others = others.map(|(host, _)| candidate(host));
