--- a/components/fleet/src/limits.rs
+++ b/components/fleet/src/limits.rs
@@ -126,7 +126,7 @@
 
     async fn ask(&self, id: &AccountId, account: &Account, host: HostId, tokens: f64) {
         let (no, over) = account.bucket.borrow_mut().ask(&host, self.clock.now());
-        let lend = Lend { account: id.clone(), no, tokens, settled: over };
+        let lend = Lend { account: id.clone(), loan: no, tokens, settled: over };
         let answer = match self.mesh.link(&host) {
             Some(link) => link.query(Question::Lend(lend), LEND_WITHIN).await.ok(),
             None => None,
@@ -156,7 +156,7 @@
             return Answer::Lent { tokens: 0.0, spare: 0.0 };
         };
         let mut bucket = account.bucket.borrow_mut();
-        let tokens = bucket.lend(borrower, lend.no, lend.tokens, &lend.settled, now);
+        let tokens = bucket.lend(borrower, lend.loan, lend.tokens, &lend.settled, now);
         self.metrics.lent(&lend.account, tokens);
         Answer::Lent { tokens, spare: bucket.spare(now) }
     }
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -1,4 +1,4 @@
-//! What hosts say to each other, as CBOR in WebSocket messages.
+//! Messages between hosts, encoded as CBOR in WebSocket messages.
 
 use std::time::Duration;
 
@@ -23,354 +23,355 @@
 
 use crate::forward::{ForwardResult, ForwardedStatement, TransactionId};
 
-/// Number of an exchange or question on its link; never used twice on one link.
+/// Number of an exchange or question, unique on its link.
 pub type RequestNo = u64;
 
-/// What an exchange needs of the server that runs it.
+/// Requirements of an exchange for the server that runs it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Intent {
-    /// It may change data: the primary.
+    /// May change data; runs on the primary.
     Write,
-    /// It reads: any server that shows all up to `required_position`, or whose data is no
-    /// older than `max_age`; the primary when neither is stated.
+    /// Only reads; runs on any server whose data includes `required_position` and is no older than
+    /// `max_age`, as far as they are set. If neither is set, it runs on the primary.
     Read {
-        /// What the session has been told of.
+        /// Log position that the session has observed.
         #[serde(rename = "floor")]
         required_position: Option<Point>,
-        /// The age that the caller accepts.
+        /// Maximum age of the data.
         max_age: Option<Duration>,
     },
 }
 
-/// Begins an exchange: one transaction, or one statement outside of any.
+/// Opens an exchange: one transaction, or one statement outside of a transaction.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Open {
-    /// The database group.
+    /// Database group.
     pub group: GroupId,
-    /// The client account that it runs for.
+    /// Client account of the caller.
     pub account: AccountId,
-    /// What it needs.
+    /// Requirements for the server.
     pub intent: Intent,
-    /// The caller's id of it, if it must run at most once.
+    /// Caller's id of the request, if it must run at most once.
     pub request: Option<RequestId>,
-    /// Time left until its deadline when it was sent.
+    /// Time left until the deadline when the message was sent.
     pub budget: Duration,
-    /// Whole PostgreSQL messages, the last of them `Query` or `Sync`.
+    /// Complete PostgreSQL messages, the last of which is `Query` or `Sync`.
     pub frames: Bytes,
 }
 
-/// What the entry says within an exchange.
+/// Message of the entry to the home within an exchange.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum ToHome {
-    /// The next messages of the transaction, the last of them `Query` or `Sync`.
+    /// The next messages of the transaction, the last of which is `Query` or `Sync`.
     More {
-        /// Whole PostgreSQL messages.
+        /// Complete PostgreSQL messages.
         frames: Bytes,
-        /// Time left until the deadline.
+        /// Time left until the deadline when the message was sent.
         budget: Duration,
     },
-    /// The entry has passed on this many bytes of the answer.
+    /// The entry has sent this many bytes of the answer to the caller.
     Credit(u64),
-    /// The caller wants the running statement cancelled.
+    /// Cancels the running statement at the caller's request.
     Cancel,
-    /// The caller is gone: roll back.
+    /// The caller has disconnected; an open transaction is rolled back.
     Close,
 }
 
-/// How an exchange stands after a statement.
+/// State of an exchange after a statement.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TransactionState {
-    /// The transaction is over, and so is the exchange.
+    /// The transaction has ended, and with it the exchange.
     Idle,
-    /// The transaction goes on.
+    /// The transaction is open.
     Open,
-    /// The transaction has failed and waits for its rollback.
+    /// The transaction has failed and must be rolled back.
     Failed,
 }
 
-/// What the home says within an exchange.
+/// Message of the home to the entry within an exchange.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum ToEntry {
-    /// Part of an answer: whole PostgreSQL messages. An entry that still waits
-    /// passes it on and says so by [`ToHome::Credit`], also of an empty one.
+    /// Part of an answer: complete PostgreSQL messages. An entry that has not given up sends it to
+    /// the caller and confirms that by [`ToHome::Credit`], even if the part is empty.
     Part(Bytes),
-    /// The end of an answer, without its `ReadyForQuery`.
+    /// End of an answer, without its `ReadyForQuery`.
     #[serde(rename = "Turn")]
     AnswerEnd {
-        /// Whole PostgreSQL messages.
+        /// Complete PostgreSQL messages.
         frames: Bytes,
-        /// How the exchange stands.
+        /// State of the exchange.
         #[serde(rename = "standing")]
         state: TransactionState,
-        /// What a confirmed write has reached.
+        /// Log position of a confirmed write.
         point: Option<Point>,
         /// Whether a replica answered.
         replica: bool,
     },
-    /// The exchange is over without an answer to the last messages.
+    /// The exchange has ended without an answer to the last messages.
     Refused(Refusal),
 }
 
 impl ToEntry {
-    /// Whether the home says nothing more within the exchange.
+    /// Returns whether this is the last message of the home within the exchange.
     pub fn is_last(&self) -> bool {
         matches!(self, Self::Refused(_) | Self::AnswerEnd { state: TransactionState::Idle, .. })
     }
 }
 
-/// A short question that one answer settles.
+/// Question to a peer, which replies with one [`Answer`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Question {
-    /// Is the host there?
+    /// Checks that the host is reachable.
     Ping,
-    /// Is there a newer revision than the asker's?
+    /// Requests the host's vote on whether a newer revision exists.
     #[serde(rename = "Vouch")]
     Freshness,
-    /// What is the newest revision known?
+    /// Requests the host's newest revision.
     Revision,
-    /// What does the host report of itself?
+    /// Requests the host's status report.
     Report,
-    /// Take this revision, unless a newer one is in force.
+    /// Puts a revision in force, unless a newer one is.
     Adopt(Box<RevisionDoc>),
-    /// Lend tokens.
+    /// Requests a loan of tokens of an account's rate.
     Lend(Lend),
-    /// Cancel what a caller's connection runs.
+    /// Cancels the statement that runs on a caller's connection.
     Cancel {
-        /// The connection's process number.
+        /// Process number of the connection.
         pid: i32,
-        /// What only its caller was told.
+        /// Secret key that only the connection's caller has received.
         secret: i32,
     },
-    /// What became of a request that runs at most once?
+    /// Requests the outcome of a request that runs at most once.
     Outcome(Box<OutcomeQuery>),
-    /// What a host tells the others all the time.
+    /// Heartbeat of the sender.
     Heartbeat(Box<Heartbeat>),
-    /// Act on this row, unless a newer one is known; answered once work at a
-    /// leader that it names no more has ended.
+    /// Applies a group's leadership row, unless the host has a newer one. The answer follows once
+    /// work at a leader that the row no longer names has ended.
     #[serde(rename = "Act")]
     ApplyLeadership {
-        /// The group.
+        /// Group.
         group: GroupId,
-        /// Who leads it.
+        /// Leadership row of the group.
         row: Versioned<Leadership>,
     },
-    /// What the host knows that the asker does not.
+    /// Requests the host's data that are newer than the given versions.
     #[serde(rename = "Newest")]
     Updates(KnownVersions),
-    /// A piece of a configuration.
+    /// Requests a piece of a configuration.
     Piece(pieces::PieceRequest),
-    /// How long ago did this server last answer the host anything?
+    /// Requests how long ago a server last answered the host.
     #[serde(rename = "Silence")]
     LastContact(ServerId),
-    /// Run this at a server whose connections the host holds.
+    /// Runs a statement on a server whose connections the host holds.
     #[serde(rename = "Relay")]
     Forward(Box<ForwardedStatement>),
-    /// Close the connection of this transaction, which rolls it back.
+    /// Cancels a transaction of the sender by closing its connection, which rolls it back.
     #[serde(rename = "Hang")]
     CancelTransaction(TransactionId),
-    /// A token of an account's rate.
+    /// Requests a token of an account's rate.
     #[serde(rename = "Take")]
     TakeToken {
-        /// The account.
+        /// Account.
         account: AccountId,
-        /// Its rate, as the asker knows it.
+        /// Rate of the account in the sender's configuration.
         rate: Rate,
-        /// Its burst.
+        /// Burst of the account in the sender's configuration.
         burst: Burst,
     },
 }
 
-/// A request of which somebody wants to know what became of it.
+/// Query for the outcome of a request that runs at most once.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct OutcomeQuery {
-    /// The database group.
+    /// Database group.
     pub group: GroupId,
-    /// The client account.
+    /// Client account.
     pub account: AccountId,
-    /// The caller's id of the request.
+    /// Caller's id of the request.
     pub request: RequestId,
-    /// How long the asker waits.
+    /// Timeout of the query.
     #[serde(rename = "within")]
     pub timeout: Duration,
 }
 
-/// A question for tokens of an account.
+/// Request for a loan of tokens of an account's rate.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Lend {
-    /// The account.
+    /// Account.
     pub account: AccountId,
-    /// Number of the loan.
-    pub no: LoanId,
-    /// Tokens wanted.
+    /// Identifier of the loan.
+    #[serde(rename = "no")]
+    pub loan: LoanId,
+    /// Number of tokens requested.
     pub tokens: f64,
-    /// Earlier loans of the host that is asked, of which nothing will be spent any more.
+    /// Earlier loans of the receiver from which nothing more will be spent.
     #[serde(rename = "over")]
     pub settled: Vec<LoanId>,
 }
 
-/// The answer to a question.
+/// Answer to a [`Question`].
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Answer {
-    /// The host is there.
+    /// The host is reachable.
     Pong,
-    /// The host is there, but being stopped: it is to get nothing new.
+    /// The host is shutting down and accepts no new work.
     #[serde(rename = "Leaving")]
     Draining,
-    /// What the host can vouch for.
+    /// The host's vote on whether a newer revision exists.
     #[serde(rename = "Vouch")]
     Freshness(FreshnessVote),
-    /// What the host reports of itself.
+    /// The host's status report.
     Report(Box<HostReport>),
-    /// The newest revision that the host knows.
+    /// The host's newest revision.
     Revision(Option<Box<RevisionDoc>>),
-    /// The revision that is now in force at the host.
+    /// Revision now in force at the host.
     Adopted(Revision),
-    /// What became of the request.
+    /// Outcome of the request.
     Outcome(Outcome),
-    /// Tokens, already deducted at the host.
+    /// Tokens lent, already deducted at the host.
     Lent {
-        /// How many.
+        /// Number of tokens lent.
         tokens: f64,
-        /// How many it could still lend.
+        /// Number of tokens that the host could still lend.
         spare: f64,
     },
-    /// The host acts on the group's row of this version or a newer one.
+    /// Version of the group's leadership row that the host has applied: the sent one or a newer one.
     #[serde(rename = "Acting")]
     LeadershipApplied(u64),
-    /// What the host tells all the time.
+    /// Heartbeat of the host.
     Heartbeat(Box<Heartbeat>),
-    /// The newest that the host knows.
+    /// The host's data that are newer than the versions in the question.
     #[serde(rename = "Newest")]
     Updates(Box<Updates>),
-    /// The piece; none of a configuration that the host does not hold.
+    /// Requested piece; `None` if the host does not have the configuration.
     Piece(Option<pieces::Piece>),
-    /// Whether the token was given.
+    /// Ruling on whether the token is granted.
     Ruling(demand::Ruling),
-    /// What became of a statement.
+    /// Result of a forwarded statement.
     #[serde(rename = "Relayed")]
     ForwardResult(ForwardResult),
-    /// How long ago a server last answered the host anything; none if it never did, or the host
-    /// does not know it.
+    /// Time since a server last answered the host; `None` if it never did or is not in the host's
+    /// list of servers.
     #[serde(rename = "Silence")]
     LastContact(Option<Duration>),
 }
 
-/// What a host tells the others all the time.
+/// Heartbeat, which hosts exchange periodically.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Heartbeat {
-    /// What callers ask for that this host gives tokens to; none if it gives none.
+    /// Demand of the callers that the sender grants tokens to; `None` if it grants none.
     #[serde(rename = "asked")]
     pub report: Option<demand::Report>,
-    /// What it knows.
+    /// Versions of the sender's data.
     pub known: KnownVersions,
-    /// Whether it hears most of the fleet.
+    /// Whether the sender has contact with most of the fleet, itself or through its hub.
     pub majority: bool,
-    /// Evacuated failure domains, once it knows them.
+    /// Evacuated failure domains; `None` until the sender has received them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations: Option<evacuation::Set>,
-    /// Positions of leaders; in a question those that the sender saw itself since its last
-    /// one, in an answer the newest that it knows.
-    pub seen: Vec<LeaderPosition>,
-    /// The sender's clock; in an answer only.
+    /// Positions of leaders: in a question, those that the sender has observed itself since its last
+    /// heartbeat; in an answer, the newest ones that it has received or observed.
+    #[serde(rename = "seen")]
+    pub positions: Vec<LeaderPosition>,
+    /// Sender's clock; in answers only.
     pub clock: Option<ClockReading>,
-    /// The newest clock of the receiver's that the sender was sent; in a question only.
+    /// Latest reading of the receiver's clock that the sender has received; in questions only.
     pub echo: Option<ClockReading>,
 }
 
-/// A moment on the steady clock of one process.
+/// Reading of a process's monotonic clock.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClockReading {
-    /// The process, since clocks of others say nothing of its own.
+    /// Identifier of the process; readings of different processes cannot be compared.
     pub run: u64,
-    /// Since its start.
+    /// Time since the start of the process.
     pub clock: Duration,
 }
 
-/// A position of a group's leader, seen under a lease.
+/// Log position of a group's leader, observed under a lease.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LeaderPosition {
-    /// The group.
+    /// Group.
     #[serde(rename = "g")]
     pub group: GroupId,
-    /// Its leader.
+    /// Leader of the group.
     #[serde(rename = "l")]
     pub leader: ServerId,
-    /// The leader's position.
+    /// Log position of the leader.
     #[serde(rename = "p")]
     pub point: Point,
-    /// When the leader was asked, in milliseconds: before the answer was made, or after the
-    /// moment at which `echo` was received. Rounded down.
+    /// Time at which the leader was queried, in milliseconds, rounded down: in an answer relative to
+    /// the creation of the answer, in a question relative to the reception of `echo`.
     #[serde(rename = "t")]
     pub offset_ms: i64,
 }
 
-/// Which versions a host knows, each with the store's clock at which it was the
-/// newest for certain.
+/// Versions of a host's data, each with the latest time of the store's clock at which it was
+/// confirmed to be the newest.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KnownVersions {
-    /// Version of the configuration.
+    /// Revision of the configuration.
     pub plan: (Revision, Duration),
     /// Stamp of the view.
     pub view: (u64, Duration),
-    /// Version of the view; 0 to be told all of it.
+    /// Version of the view; 0 to request the whole view.
     pub view_version: u64,
     /// Stamp of the list of servers.
     pub servers: (u64, Duration),
 }
 
-/// What a host knows that another one does not. A newer configuration is fetched in pieces.
+/// Data of a host that another host lacks. A newer configuration is fetched in pieces instead.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Updates {
-    /// Which versions it knows.
+    /// Versions of the sender's data.
     pub known: KnownVersions,
-    /// What the view has that the asker's has not.
+    /// Changes of the view since the receiver's version; `None` if the sender's view is not newer.
     pub view: Option<Changes>,
-    /// The list of servers.
+    /// List of servers; `None` if the sender's list is not newer.
     pub servers: Option<Vec<ListedServer>>,
-    /// Evacuated failure domains, once it knows them.
+    /// Evacuated failure domains; `None` until the sender has received them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations: Option<evacuation::Set>,
 }
 
-/// The first message each way.
+/// First message of each end of a link.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Hello {
-    /// Who speaks.
+    /// Host that sends the message.
     pub host: HostId,
-    /// Its failure domain.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
     /// Random bytes, new for each connection.
     pub nonce: Nonce,
 }
 
-/// Random bytes of one end of a link.
+/// Random bytes chosen by one end of a link.
 pub type Nonce = [u8; 16];
 
-/// Which end of a link speaks.
+/// End of a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum End {
-    /// The one that connects.
+    /// The end that connects.
     Dialling,
-    /// The one that accepts.
+    /// The end that accepts the connection.
     Accepting,
 }
 
-/// Proves that one end of a link knows the fleet's secret.
+/// Proof that one end of a link has the secret shared by all hosts.
 ///
-/// Guards against a stranger on the network who speaks as a host: it could ask
-/// for statements to be run, hand out old revisions or vouch for them. The hash
-/// covers both nonces, so that an old proof is of no use on a new link, and the
-/// end, so that a host's own proof cannot be sent back to it.
+/// Guards against an attacker on the network that impersonates a host: it could run statements,
+/// distribute old revisions or vote for them. The hash covers both nonces, so that a proof cannot be
+/// replayed on another link, and the end, so that a host's own proof cannot be reflected to it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Proof([u8; 32]);
 
 impl Proof {
-    /// The proof that `end` gives.
+    /// Creates the proof of `end`.
     pub fn new(secret: &Secret, end: End, dialling: &Hello, accepting: &Hello) -> Self {
         Self(secret.sign(&parts(end, dialling, accepting)))
     }
 
-    /// Whether this is the proof that `end` must give.
+    /// Returns whether this is the valid proof of `end`.
     pub fn is_valid(&self, secret: &Secret, end: End, dialling: &Hello, accepting: &Hello) -> bool {
         secret.verify(&parts(end, dialling, accepting), &self.0)
     }
@@ -392,37 +393,37 @@
     ]
 }
 
-/// A message on a link.
+/// Message on a link.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Message {
-    /// Who speaks.
+    /// Identifies the sender.
     Hello(Hello),
-    /// That it is so; nothing else is heard before.
+    /// Authenticates the sender; no other message except `Hello` is accepted before it.
     Proof(Proof),
-    /// Begins an exchange.
+    /// Opens an exchange.
     Open(RequestNo, Box<Open>),
-    /// Within an exchange, towards the home.
+    /// Message to the home within an exchange.
     ToHome(RequestNo, ToHome),
-    /// Within an exchange, towards the entry.
+    /// Message to the entry within an exchange.
     ToEntry(RequestNo, ToEntry),
-    /// A question.
+    /// Question to the accepting end.
     #[serde(rename = "Ask")]
     Question(RequestNo, Question),
-    /// Its answer.
+    /// Answer to the question of the same number.
     #[serde(rename = "Tell")]
     Answer(RequestNo, Answer),
 }
 
 impl Message {
-    /// The message as CBOR.
+    /// Encodes the message as CBOR.
     pub fn encode(&self) -> Bytes {
         let mut out = Vec::with_capacity(128);
-        ciborium::into_writer(self, &mut out).expect("writing to memory");
+        ciborium::into_writer(self, &mut out).expect("writing to memory cannot fail");
         out.into()
     }
 
-    /// Reads a message.
+    /// Decodes a message from CBOR.
     pub fn decode(bytes: &[u8]) -> anyhow::Result<Self> {
-        ciborium::from_reader(bytes).context("reading a peer message")
+        ciborium::from_reader(bytes).context("decoding a peer message")
     }
 }
--- a/components/peer/tests/message.rs
+++ b/components/peer/tests/message.rs
@@ -22,7 +22,7 @@
         known: KnownVersions::default(),
         majority: true,
         evacuations: None,
-        seen: Vec::new(),
+        positions: Vec::new(),
         clock: None,
         echo: None,
     };
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -127,7 +127,7 @@
         known,
         majority,
         evacuations,
-        seen: Vec::new(),
+        positions: Vec::new(),
         clock: None,
         echo: None,
     }
@@ -138,7 +138,7 @@
     let clock = host.now().saturating_duration_since(host.began);
     let clock = Some(ClockReading { run: host.run, clock });
     let seen = if host.is_hub() { positions::newest(host) } else { Vec::new() };
-    Heartbeat { report: None, seen, clock, ..own_heartbeat(host) }
+    Heartbeat { report: None, positions: seen, clock, ..own_heartbeat(host) }
 }
 
 /// The heartbeat for the host at the other end of the link, with positions that this host saw.
@@ -151,7 +151,7 @@
     let Some((clock, received)) = host.clocks.borrow().get(&link.host).copied() else {
         return beat.clone();
     };
-    Heartbeat { seen: positions::since(own, received), echo: Some(clock), ..beat.clone() }
+    Heartbeat { positions: positions::since(own, received), echo: Some(clock), ..beat.clone() }
 }
 
 /// Takes what another host's heartbeat says, and asks it for what is new.
--- a/components/proxy/src/positions.rs
+++ b/components/proxy/src/positions.rs
@@ -61,13 +61,13 @@
 pub fn apply_heartbeat(host: &Host, beat: &Heartbeat) {
     // A clock reading of an earlier process of this host has another origin.
     if let Some(echo) = beat.echo.filter(|echo| echo.run == host.run) {
-        apply(host, host.began + echo.clock, &beat.seen);
+        apply(host, host.began + echo.clock, &beat.positions);
     }
 }
 
 /// Applies the positions of the reply to a heartbeat sent at `sent_at`.
 pub fn apply_reply(host: &Host, beat: &Heartbeat, sent_at: Instant) {
-    apply(host, sent_at, &beat.seen);
+    apply(host, sent_at, &beat.positions);
 }
 
 fn apply(host: &Host, base: Instant, seen: &[LeaderPosition]) {
