--- a/components/peer/src/mesh.rs
+++ b/components/peer/src/mesh.rs
@@ -15,8 +15,8 @@
     message::Hello,
 };
 
-/// Age above which [`Mesh::set_roster`] closes a link to a host outside of the roster. It exceeds the
-/// duration of a failover, for which such links are opened, and of the notification of its end.
+/// Age above which [`Mesh::set_roster`] closes a link to a host outside of the roster. It exceeds
+/// the duration of a failover, for which such links are opened, and of the notification of its end.
 const TEMPORARY_LINK_TTL: Duration = Duration::from_secs(15);
 
 /// Links to all other hosts of the roster, and temporary links to hosts outside of it.
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -235,7 +235,7 @@
         /// Number of tokens that the host could still lend.
         spare: f64,
     },
-    /// Version of the group's leadership row that the host has applied: the sent one or a newer one.
+    /// Version of the group's leadership row that the host has applied: the sent one or a newer.
     #[serde(rename = "Acting")]
     LeadershipApplied(u64),
     /// Heartbeat of the host.
@@ -269,8 +269,8 @@
     /// Evacuated failure domains; `None` until the sender has received them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub evacuations: Option<evacuation::Set>,
-    /// Positions of leaders: in a question, those that the sender has observed itself since its last
-    /// heartbeat; in an answer, the newest ones that it has received or observed.
+    /// Positions of leaders: in a question, those that the sender has observed itself since its
+    /// last heartbeat; in an answer, the newest ones that it has received or observed.
     #[serde(rename = "seen")]
     pub positions: Vec<LeaderPosition>,
     /// Sender's clock; in answers only.
@@ -300,8 +300,8 @@
     /// Log position of the leader.
     #[serde(rename = "p")]
     pub point: Point,
-    /// Time at which the leader was queried, in milliseconds, rounded down: in an answer relative to
-    /// the creation of the answer, in a question relative to the reception of `echo`.
+    /// Time at which the leader was queried, in milliseconds, rounded down: in an answer relative
+    /// to the creation of the answer, in a question relative to the reception of `echo`.
     #[serde(rename = "t")]
     pub offset_ms: i64,
 }
@@ -360,8 +360,8 @@
 /// Proof that one end of a link has the secret shared by all hosts.
 ///
 /// Guards against an attacker on the network that impersonates a host: it could run statements,
-/// distribute old revisions or vote for them. The hash covers both nonces, so that a proof cannot be
-/// replayed on another link, and the end, so that a host's own proof cannot be reflected to it.
+/// distribute old revisions or vote for them. The hash covers both nonces, so that a proof cannot
+/// be replayed on another link, and the end, so that a host's own proof cannot be reflected to it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Proof([u8; 32]);
 
--- a/components/peer/src/socket.rs
+++ b/components/peer/src/socket.rs
@@ -22,8 +22,8 @@
 pub type Reader = SplitStream<Socket>;
 pub type Writer = SplitSink<Socket, tungstenite::Message>;
 
-/// Size of the read buffer in bytes. The codec clears the whole buffer before each read, so a larger
-/// one costs more than the reads that it saves.
+/// Size of the read buffer in bytes. The codec clears the whole buffer before each read, so a
+/// larger one costs more than the reads that it saves.
 const READ_BUFFER_SIZE: usize = 4 * 1024;
 
 /// Returns the WebSocket configuration of both ends of a link.
