--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -1,5 +1,5 @@
-//! What callers ask, what backend servers answer and what operators describe,
-//! free of any protocol.
+//! Statements of callers, answers of backend servers and the operator's configuration, independent
+//! of any protocol.
 
 pub mod plan;
 pub mod server;
