--- a/components/model/src/plan.rs
+++ b/components/model/src/plan.rs
@@ -1,4 +1,4 @@
-//! What operators describe: databases, client accounts and limits.
+//! Operator's configuration: databases, client accounts and limits.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -8,81 +8,81 @@
 
 use bergamottrack_coordination::{AccountId, Burst, GroupId, Rate, Revision, cold, homes};
 
-/// Which commits a read must show.
+/// Commits that a read must show.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Consistency {
-    /// All that were acknowledged before it came.
+    /// All commits acknowledged before the read arrived.
     Current,
-    /// All that were acknowledged longer ago than this.
+    /// All commits acknowledged longer ago than this.
     MaxAge(Duration),
-    /// All of its own session, and all acknowledged longer ago than this.
+    /// All commits of the read's own session, and all commits acknowledged longer ago than this.
     OwnWrites(Duration),
 }
 
-/// How a database is served.
+/// Settings of a database.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Route {
-    /// The group that holds it.
+    /// Database group that holds the database.
     pub group: GroupId,
-    /// What its reads must show.
+    /// Commits that reads must show.
     pub consistency: Consistency,
-    /// The longest that one statement may take.
+    /// Timeout of a statement.
     pub timeout: Duration,
-    /// The latency that a whole operation aims at.
+    /// Target latency of an operation.
     pub latency_target: Duration,
-    /// Who goes first where not all can be served; 0 is the most urgent.
+    /// Priority under overload; 0 is the highest.
     pub priority: u32,
-    /// Whether it is served without a key.
+    /// Whether the database may be used without a key.
     pub public: bool,
-    /// Where its statements may run.
+    /// Regions in which statements may run.
     pub homes: homes::Homes,
 }
 
-/// A client account.
+/// Client account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub id: AccountId,
-    /// Operations a second over the whole fleet.
+    /// Rate limit in operations per second over the whole fleet.
     pub rate: Rate,
-    /// Operations above the rate that may come at once.
+    /// Number of operations that may exceed the rate at once.
     pub burst: Burst,
-    /// Where its statements may run.
+    /// Regions in which statements may run.
     pub homes: homes::Homes,
 }
 
-/// What the servers of a group take.
+/// Limits for the servers of a group.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The most connections to each.
+    /// Maximum number of connections to each server.
     pub connections: usize,
-    /// Requests to one that has just started; none where that makes no difference.
+    /// Rate limit for servers that have just started; `None` if they need no special treatment.
     pub cold: Option<cold::Limit>,
 }
 
-/// One version of the whole configuration.
+/// Version of the whole configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Its number; never goes down.
+    /// Number of the version; never decreases.
     pub version: Revision,
     /// Databases by name.
     pub routes: HashMap<Box<str>, Rc<Route>>,
     /// Accounts by key.
     pub keys: HashMap<Box<str>, Rc<Account>>,
-    /// What the servers of each group take.
+    /// Limits for the servers of each group.
     pub groups: HashMap<GroupId, Limits>,
-    /// How long a transaction may rest between statements.
+    /// Maximum time between two statements of a transaction.
     pub idle_timeout: Option<Duration>,
 }
 
 impl Plan {
-    /// Whether any database or account is bound to homes.
+    /// Returns whether any database or account is restricted to regions.
     pub fn has_homes(&self) -> bool {
         let routes = self.routes.values().any(|route| !route.homes.is_unrestricted());
         routes || self.keys.values().any(|account| !account.homes.is_unrestricted())
     }
 
-    /// Every account once.
+    /// Iterates over the accounts, each of them once.
     pub fn accounts(&self) -> impl Iterator<Item = &Rc<Account>> {
         let mut seen = HashSet::new();
         self.keys.values().filter(move |account| seen.insert(&account.id))
