--- a/components/model/src/server.rs
+++ b/components/model/src/server.rs
@@ -1,50 +1,50 @@
-//! What is known of backend servers.
+//! Backend servers.
 
 use std::{net::SocketAddr, time::Duration};
 
 use bergamottrack_coordination::{FailureDomain, GroupId, Point, ServerId, Term};
 use serde::{Deserialize, Serialize};
 
-/// What a server says it is in its group.
+/// Role that a server reports to have in its group.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Role {
-    /// It takes writes.
+    /// Accepts writes.
     Primary,
-    /// It follows the primary.
+    /// Replicates the primary.
     Replica,
 }
 
-/// A backend server as it listed itself.
+/// Entry of a backend server in the list of servers, written by the server itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListedServer {
-    /// Its name.
+    /// Name of the server.
     pub id: ServerId,
-    /// The group that it belongs to.
+    /// Database group.
     pub group: GroupId,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// The failure domain it stands in.
+    /// Failure domain of the server.
     pub domain: FailureDomain,
-    /// Statements that it runs at once.
+    /// Maximum number of statements that the server runs concurrently.
     pub slots: usize,
-    /// Whether it is about to leave.
+    /// Whether the server is about to shut down.
     pub leaving: bool,
-    /// What it says it is.
+    /// Reported role.
     pub role: Role,
-    /// When it started, in milliseconds since 1970; tells two runs of one id apart.
+    /// Start time in milliseconds since 1970; distinguishes successive processes of the server.
     #[serde(rename = "born")]
     pub started_ms: u64,
-    /// Until when it is cold after its start, by the store's clock; zero if it is not.
+    /// Time of the store's clock until which the server is cold after its start; zero if it is not.
     pub cold: Duration,
 }
 
-/// What a server answers when it is asked how it stands.
+/// Server's answer to a status query.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Status {
-    /// What it says it is.
+    /// Reported role.
     pub role: Role,
-    /// The term it is in.
+    /// Current term of the server.
     pub term: Term,
-    /// The last log record that it received.
+    /// Position of the last log record that the server has received.
     pub received: Point,
 }
