--- a/components/model/src/session.rs
+++ b/components/model/src/session.rs
@@ -1,4 +1,4 @@
-//! What a session has set, and how a pooled connection is brought to it.
+//! Session state, and its transfer to pooled connections.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -6,39 +6,40 @@
 
 use crate::statement::{Access, Shape};
 
-/// Values and named statements of a caller's session.
+/// Values and prepared statements of a caller's session.
 #[derive(Clone, Debug, Default)]
 pub struct Session {
     /// Values by name.
     pub values: BTreeMap<Box<str>, Box<str>>,
-    /// Statements by the caller's name.
+    /// Prepared statements by the caller's name.
     pub prepared: HashMap<Box<str>, Shape>,
 }
 
-/// Values and named statements that a connection to a server holds.
+/// Values and prepared statements of a connection to a server.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionState {
-    /// Values by name; just those that the server acknowledged.
+    /// Values by name, as acknowledged by the server.
     pub values: BTreeMap<Box<str>, Box<str>>,
-    /// Named statements, by the name that [`shared_name`] gives them.
+    /// Names of the prepared statements, as returned by [`shared_name`].
     pub prepared: HashSet<Box<str>>,
 }
 
-/// A step that brings a connection nearer to a session.
+/// Step that transfers session state to a connection.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Step {
-    /// Drop all values and names.
+    /// Drops all values and prepared statements.
     Reset,
-    /// Set a value.
+    /// Sets a value, given by name and content.
     Set(Box<str>, Box<str>),
-    /// Name a statement.
+    /// Prepares a statement under a name.
     Prepare(Box<str>, Shape),
 }
 
-/// The name that statements of this shape have on every connection.
+/// Returns the name of a prepared statement on connections to servers.
 ///
-/// Callers' names collide; a name made from the shape lets sessions share a
-/// connection without naming anew. 64 bits over a few hundred shapes do not collide.
+/// Names chosen by callers collide. A name derived from the definition lets sessions share a
+/// connection without preparing the statement again. Hashes of 64 bits do not collide for a few
+/// hundred definitions.
 pub fn shared_name(shape: &Shape) -> Box<str> {
     let kind = match shape.access {
         Access::Read => 'r',
@@ -48,16 +49,18 @@
 }
 
 impl ConnectionState {
-    /// How many steps away from the values the connection is; less is better.
+    /// Returns an estimate of the steps needed to give the connection these values; 0 if it has
+    /// them already.
     pub fn distance(&self, values: &BTreeMap<Box<str>, Box<str>>) -> usize {
         if self.values == *values { 0 } else { 1 + values.len() }
     }
 
-    /// What must be done before a statement of the session may run, and notes it as done.
+    /// Returns the steps required before a statement of the session may run, and records them as
+    /// done.
     ///
-    /// Values must be equal, not just present: a value left by another session
-    /// would change what this one's statements do. It is only a reset that takes
-    /// values away, and it drops the names too.
+    /// The connection must have exactly the session's values: a value set by another session would
+    /// change the effect of statements. Only a reset removes values, and it also drops the prepared
+    /// statements.
     pub fn reconcile(
         &mut self,
         values: &BTreeMap<Box<str>, Box<str>>,
