--- a/components/model/src/settings.rs
+++ b/components/model/src/settings.rs
@@ -1,62 +1,63 @@
-//! What a host is told at its start.
+//! Settings of a host.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use bergamottrack_coordination::{FailureDomain, HostId, Region, cold, demand::Tolerance};
 
-/// What a host is told at its start.
+/// Settings of a host, read when it starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this host.
     pub host: HostId,
-    /// Failure domain it stands in.
+    /// Failure domain of this host.
     pub domain: FailureDomain,
-    /// The region of each failure domain, as far as it is known.
+    /// Regions of failure domains, as far as they are known.
     pub regions: HashMap<FailureDomain, Region>,
-    /// Thousandths of a processor core that this host has.
+    /// CPU share of this host in thousandths of a core.
     pub cpu_millicores: u32,
-    /// Where callers connect.
+    /// Address to which callers connect.
     pub caller_address: SocketAddr,
-    /// Where readiness is asked for.
+    /// Address of the readiness endpoint.
     pub readiness_address: SocketAddr,
-    /// Where other hosts connect.
+    /// Address to which other hosts connect.
     pub peer_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address of the metrics endpoint.
     pub metrics_address: SocketAddr,
-    /// The platform's table service.
+    /// Address of the platform's table service.
     pub store_address: SocketAddr,
-    /// The platform's promotion service.
+    /// Address of the platform's promotion service.
     pub promoter_address: SocketAddr,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first_start: bool,
-    /// From the order to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub shutdown_grace: Duration,
-    /// How soon a configuration must be in force.
+    /// Time within which a new configuration must be in force.
     pub apply_bound: Duration,
-    /// How soon nothing is sent any more to the servers of an evacuated failure domain.
+    /// Time after an evacuation within which the last statement may be sent to the servers of the
+    /// failure domain.
     pub evacuation_bound: Duration,
-    /// How far the limit for cold servers may be exceeded.
+    /// Tolerance by which the rate limit for cold servers may be exceeded.
     pub cold_tolerance: cold::Tolerance,
-    /// Within which time a withdrawn key must stop working also on hosts that are
-    /// cut off; none where such hosts may go on with what they know.
+    /// Time within which a revoked key must stop working even on isolated hosts; `None` if isolated
+    /// hosts may continue with their configuration.
     pub revocation_bound: Option<Duration>,
-    /// How far an account's rate may be exceeded, so that hosts can share it out.
+    /// Tolerance by which an account's rate may be exceeded, which hosts need to divide the rate.
     pub rate_tolerance: Tolerance,
-    /// Mechanisms that are switched off.
+    /// Disabled mechanisms.
     pub disabled: Vec<Mechanism>,
 }
 
 impl Settings {
-    /// Whether a mechanism is switched on.
+    /// Returns whether a mechanism is enabled.
     pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.disabled.contains(&mechanism)
     }
 }
 
-/// A mechanism that can be switched off, to measure what it is worth. All promises hold
-/// without any of them, but for what the mechanism itself promises.
+/// Mechanism that can be disabled to measure its benefit. All guarantees hold without it, except
+/// those of the mechanism itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mechanism {
-    /// Statements run on connections that one host holds for all.
+    /// Statements of all hosts run on connections held by one host.
     SharedConnections,
 }
