--- a/components/model/src/statement.rs
+++ b/components/model/src/statement.rs
@@ -1,126 +1,126 @@
-//! Statements and their answers.
+//! Statements of callers and answers to them.
 
 use bergamottrack_coordination::{Fate, Point};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// What a statement or transaction may do to the data.
+/// Access of a statement or transaction to the data.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Access {
-    /// It only reads.
+    /// Only reads.
     Read,
-    /// It may write.
+    /// May write.
     Write,
 }
 
-/// What a caller asks.
+/// Parsed statement of a caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Statement {
     /// Opens a transaction.
     Begin(Access),
-    /// Ends the transaction and keeps what it wrote.
+    /// Commits the transaction.
     Commit,
-    /// Ends the transaction and keeps nothing.
+    /// Rolls the transaction back.
     Rollback,
-    /// Reads.
+    /// Reads data.
     Read,
-    /// Writes.
+    /// Writes data.
     Write,
     /// Sets a value of the session.
     Set {
-        /// The value's name.
+        /// Name of the value.
         name: Box<str>,
-        /// The value.
+        /// New value.
         value: Box<str>,
     },
-    /// Names a statement for later.
+    /// Prepares a statement.
     Prepare {
-        /// The session's name for it.
+        /// Name within the session.
         name: Box<str>,
-        /// What it does and to what.
+        /// Definition of the statement.
         shape: Shape,
     },
-    /// Runs a named statement.
+    /// Executes a prepared statement.
     Execute {
-        /// The session's name for it.
+        /// Name within the session.
         name: Box<str>,
-        /// The rest of the text.
+        /// Remaining text of the statement.
         args: Box<str>,
     },
-    /// Drops a named statement.
+    /// Drops a prepared statement.
     Deallocate {
-        /// The session's name for it.
+        /// Name within the session.
         name: Box<str>,
     },
 }
 
-/// What a prepared statement does.
+/// Definition of a prepared statement.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Shape {
-    /// Whether it writes.
+    /// Access of the statement to the data.
     pub access: Access,
-    /// The rest of its definition.
+    /// Remaining text of the definition.
     pub text: Box<str>,
 }
 
-/// A statement as it came from a caller.
+/// Statement received from a caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Request {
-    /// The caller's name for it, new for each.
+    /// Caller's id of the request, unique for each statement.
     pub id: Box<str>,
-    /// The text, which a backend server gets unchanged.
+    /// Text of the statement, sent to backend servers unchanged.
     pub text: Box<str>,
-    /// What the text means.
+    /// Parsed text.
     pub statement: Statement,
 }
 
-/// How a session stands between statements.
+/// Transaction state of a session or connection between statements.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum State {
-    /// Outside of any transaction.
+    /// No transaction is open.
     #[default]
     Idle,
-    /// Within one.
+    /// A transaction is open.
     Open,
-    /// Within one that has failed and waits for its end.
+    /// The open transaction has failed and must be ended.
     Failed,
 }
 
-/// Why a statement has no answer of its own.
+/// Reason why a statement failed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Failure {
-    /// The transaction is over and nothing of it is kept.
+    /// The transaction was rolled back.
     Aborted,
-    /// The server lacks the log position that was asked for.
+    /// The server has not reached the required log position.
     Behind,
-    /// There is no capacity for it now.
+    /// There is currently no capacity for the statement.
     Busy,
-    /// The caller's key is not known.
+    /// The caller's key is unknown.
     Denied,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
-    /// It cannot be read, or is not allowed in this state.
+    /// The statement cannot be parsed, or is not allowed in the current state.
     Malformed,
-    /// The server is another one than was meant.
+    /// The statement reached another server than the intended one.
     Misdirected,
-    /// There is no such database.
+    /// The database does not exist.
     NoDatabase,
-    /// A write at a server that does not lead.
+    /// A write was sent to a server that is not the leader.
     ReadOnly,
-    /// It ran out of time.
+    /// The statement timed out.
     TimedOut,
     /// The message is too large.
     TooLarge,
     /// The server has too many connections.
     TooMany,
-    /// It may have run.
+    /// The statement may have run.
     Uncertain,
-    /// No statement was prepared under that name.
+    /// There is no prepared statement of that name.
     UnknownName,
 }
 
 impl Failure {
-    /// Whether a statement that failed so may have left something behind.
+    /// Returns whether a statement with this failure may have had an effect.
     pub fn fate(self) -> Fate {
         match self {
             Self::Failed | Self::TimedOut | Self::Uncertain => Fate::Unknown,
@@ -129,34 +129,34 @@
     }
 }
 
-/// How a backend server's answer ended.
+/// Result of a statement on a backend server.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// It ran.
+    /// The statement ran.
     Done,
-    /// It failed; the text is the server's.
+    /// The statement failed, with the server's text.
     Failed(Failure, Box<str>),
 }
 
-/// A whole answer of a backend server.
+/// Complete answer of a backend server.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ServerAnswer {
-    /// Rows and outcome as the server sent them, to be passed on unchanged.
+    /// Rows and outcome as sent by the server, to be forwarded unchanged.
     #[serde(rename = "r")]
     pub raw: Bytes,
-    /// How it ended.
+    /// Result of the statement.
     #[serde(rename = "o")]
     pub outcome: Outcome,
-    /// How the connection stands.
+    /// Transaction state of the connection.
     #[serde(rename = "s")]
     pub state: State,
-    /// How far the server's log reached when it answered.
+    /// Log position of the server when it answered.
     #[serde(rename = "p")]
     pub point: Option<Point>,
 }
 
 impl ServerAnswer {
-    /// The failure, if it is one.
+    /// Returns the failure, if the statement failed.
     pub fn failure(&self) -> Option<Failure> {
         match &self.outcome {
             Outcome::Done => None,
