--- a/components/model/tests/session.rs
+++ b/components/model/tests/session.rs
@@ -1,4 +1,4 @@
-//! Sessions on connections that others used before.
+//! Sessions on connections that other sessions used before.
 
 use std::collections::BTreeMap;
 
@@ -16,32 +16,33 @@
     Shape { access: Access::Read, text: text.into() }
 }
 
-/// A statement runs with a value that another caller has set. The connection was
-/// used by a session with one value more, and only missing values were set.
+/// Guards against a statement that runs with a value set by another caller: the connection was used
+/// by a session with an additional value, and only missing values were set.
 #[test]
-fn no_value_of_another_session_stays() {
-    let mut carried = ConnectionState::default();
-    carried.reconcile(&values(&[("lang", "wo"), ("zone", "utc")]), Some(&shape("q1")));
-    let steps = carried.reconcile(&values(&[("lang", "fr")]), Some(&shape("q1")));
+fn values_of_another_session_are_removed() {
+    let mut connection = ConnectionState::default();
+    connection.reconcile(&values(&[("lang", "wo"), ("zone", "utc")]), Some(&shape("q1")));
+    let steps = connection.reconcile(&values(&[("lang", "fr")]), Some(&shape("q1")));
     let name = shared_name(&shape("q1"));
     let expected =
         [Step::Reset, Step::Set("lang".into(), "fr".into()), Step::Prepare(name, shape("q1"))];
-    assert_eq!(steps, expected, "a reset drops the names too");
+    assert_eq!(steps, expected, "a reset also drops prepared statements");
 }
 
 #[test]
-fn a_connection_that_fits_needs_no_step() {
-    let mut carried = ConnectionState::default();
+fn matching_connection_needs_no_steps() {
+    let mut connection = ConnectionState::default();
     let own = values(&[("lang", "wo")]);
-    assert_eq!(carried.reconcile(&own, Some(&shape("q1"))).len(), 2);
-    assert_eq!(carried.reconcile(&own, Some(&shape("q1"))), []);
-    assert_eq!(carried.distance(&own), 0);
-    assert!(carried.distance(&values(&[])) > 0);
+    assert_eq!(connection.reconcile(&own, Some(&shape("q1"))).len(), 2);
+    assert_eq!(connection.reconcile(&own, Some(&shape("q1"))), []);
+    assert_eq!(connection.distance(&own), 0);
+    assert!(connection.distance(&values(&[])) > 0);
 }
 
-/// Two callers give the same name to two statements. Each must run its own.
+/// Guards against a caller that runs another caller's statement: two callers may give the same name
+/// to different statements, or prepare the same text for reading and for writing.
 #[test]
-fn names_of_callers_do_not_collide() {
+fn same_name_for_different_statements_does_not_collide() {
     let write = Shape { access: Access::Write, text: "q1".into() };
     assert_ne!(shared_name(&shape("q1")), shared_name(&shape("q2")));
     assert_ne!(shared_name(&shape("q1")), shared_name(&write));
