--- a/components/peer/tests/slow.rs
+++ b/components/peer/tests/slow.rs
@@ -1,4 +1,4 @@
-//! Links over which a message takes longer than a silent peer counts as there.
+//! Links over which the transfer of a message takes longer than the keepalive timeout.
 
 use std::{
     net::SocketAddr,
@@ -22,10 +22,14 @@
     net::{TcpListener, TcpStream},
 };
 
-/// Bytes of the answer, and the bytes that the link passes every [`EVERY`]: 2.5 s of it.
-const LARGE: usize = 250_000;
-const PASSES: usize = 5_000;
-const EVERY: Duration = Duration::from_millis(50);
+/// Size of the answer in bytes. Its transfer takes 2.5 s.
+const ANSWER_SIZE: usize = 250_000;
+
+/// Number of bytes that the slow link forwards per [`CHUNK_INTERVAL`].
+const CHUNK_SIZE: usize = 5_000;
+
+/// Interval between two chunks on the slow link.
+const CHUNK_INTERVAL: Duration = Duration::from_millis(50);
 
 fn host(id: &str, peer: SocketAddr) -> Host {
     Host { id: id.parse().unwrap(), domain: "d1".parse().unwrap(), peer }
@@ -37,12 +41,12 @@
 
 fn answer(question: Question) -> Answer {
     let Question::Piece(_) = question else { return Answer::Pong };
-    let (digest, whole, confirmed) = (0, Size(LARGE as u64), Duration::ZERO);
-    Answer::Piece(Some(Piece { digest, whole, confirmed, bytes: vec![7; LARGE].into() }))
+    let (digest, whole, confirmed) = (0, Size(ANSWER_SIZE as u64), Duration::ZERO);
+    Answer::Piece(Some(Piece { digest, whole, confirmed, bytes: vec![7; ANSWER_SIZE].into() }))
 }
 
-/// A host that tells a large answer.
-fn teller() -> SocketAddr {
+/// Starts a host that gives large answers.
+fn start_host() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let mesh = mesh(host("h1", address));
@@ -59,8 +63,8 @@
     address
 }
 
-/// A way to a host that passes its answers slowly, and `most` bytes of them at most.
-fn slow_way(to: SocketAddr, most: usize) -> SocketAddr {
+/// Starts a proxy to a host that forwards its answers slowly, and at most `max_bytes` of them.
+fn slow_proxy(to: SocketAddr, max_bytes: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     monoio::spawn(async move {
@@ -68,38 +72,38 @@
             let far = TcpStream::connect(to).await.unwrap();
             let (near_read, near_write) = near.into_split();
             let (far_read, far_write) = far.into_split();
-            monoio::spawn(pass(near_read, far_write, usize::MAX, Duration::ZERO));
-            monoio::spawn(pass(far_read, near_write, most, EVERY));
+            monoio::spawn(forward(near_read, far_write, usize::MAX, Duration::ZERO));
+            monoio::spawn(forward(far_read, near_write, max_bytes, CHUNK_INTERVAL));
         }
     });
     address
 }
 
-async fn pass(
+async fn forward(
     mut from: impl AsyncReadRent,
     mut to: impl AsyncWriteRentExt,
-    most: usize,
-    every: Duration,
+    max_bytes: usize,
+    interval: Duration,
 ) {
-    let mut passed = 0;
-    while passed < most {
-        let (read, mut chunk) = from.read(vec![0; PASSES]).await;
+    let mut forwarded = 0;
+    while forwarded < max_bytes {
+        let (read, mut chunk) = from.read(vec![0; CHUNK_SIZE]).await;
         let Ok(1..) = read else { return };
         chunk.truncate(read.unwrap());
-        passed += chunk.len();
+        forwarded += chunk.len();
         if to.write_all(chunk).await.0.is_err() {
             return;
         }
-        monoio::time::sleep(every).await;
+        monoio::time::sleep(interval).await;
     }
     monoio::time::sleep(Duration::from_secs(60)).await;
 }
 
-async fn link_over(way: SocketAddr) -> Rc<Link> {
+async fn link_through(proxy: SocketAddr) -> Rc<Link> {
     let dialler = mesh(host("h2", "127.0.0.1:9".parse().unwrap()));
-    let teller = host("h1", way);
-    dialler.set_roster(std::slice::from_ref(&teller), &[]);
-    let link = dialler.link(&teller.id).unwrap();
+    let peer = host("h1", proxy);
+    dialler.set_roster(std::slice::from_ref(&peer), &[]);
+    let link = dialler.link(&peer.id).unwrap();
     while !link.is_up() {
         monoio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -107,33 +111,34 @@
 }
 
 async fn query(link: &Link) -> anyhow::Result<Answer> {
-    let (revision, from, most) = (Revision(1), Size(0), Size(LARGE as u64));
+    let (revision, from, most) = (Revision(1), Size(0), Size(ANSWER_SIZE as u64));
     let question = Question::Piece(PieceRequest { revision, from, most });
     link.query(question, Duration::from_secs(20)).await
 }
 
-/// A caller's large row is on its way over a slow link, and the answer to the try of the link
-/// waits behind it. The link counted as silent and was given up, with every statement on it;
-/// asked for again, the row met the same end.
+/// Guards against a link that is closed, with all statements on it, while a large row of a caller
+/// is transferred over it: the answer to a ping is queued behind the row and arrives late. When the
+/// row is requested again, it fails in the same way.
 #[monoio::test(driver = "legacy", enable_timer = true)]
-async fn a_link_on_which_a_message_goes_on_coming_is_up() {
-    let link = link_over(slow_way(teller(), usize::MAX)).await;
-    let asked = query(&link);
-    let watched = async {
+async fn link_stays_up_while_a_large_message_is_received() {
+    let link = link_through(slow_proxy(start_host(), usize::MAX)).await;
+    let query = query(&link);
+    let check = async {
         monoio::time::sleep(2 * link::SILENCE_TIMEOUT).await;
         link.is_up()
     };
-    let (answer, up) = monoio::join!(asked, watched);
+    let (answer, up) = monoio::join!(query, check);
     let answer = answer.unwrap();
-    assert!(matches!(answer, Answer::Piece(Some(piece)) if piece.bytes.len() == LARGE));
-    assert!(up, "the link counted as down while the answer came");
+    assert!(matches!(answer, Answer::Piece(Some(piece)) if piece.bytes.len() == ANSWER_SIZE));
+    assert!(up, "the link was down while the answer was being received");
 }
 
-/// The peer freezes within a message. Bytes that came before must not keep the link up.
+/// Guards against a link that stays up after the peer has frozen within a message, because of the
+/// bytes received before.
 #[monoio::test(driver = "legacy", enable_timer = true)]
-async fn a_link_that_goes_silent_within_a_message_is_given_up() {
-    let link = link_over(slow_way(teller(), LARGE / 10)).await;
-    let began = Instant::now();
+async fn link_closes_if_the_peer_freezes_within_a_message() {
+    let link = link_through(slow_proxy(start_host(), ANSWER_SIZE / 10)).await;
+    let started = Instant::now();
     assert!(query(&link).await.is_err());
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(10), "{:?}", started.elapsed());
 }
