--- a/components/peer/src/exchange.rs
+++ b/components/peer/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The two ends of an exchange, on the same host or over a link.
+//! The two ends of an exchange, on the same host or over a link: the entry is the host of the
+//! caller, the home is the host that serves the database group.
 
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 
--- a/components/peer/src/link.rs
+++ b/components/peer/src/link.rs
@@ -155,7 +155,7 @@
     /// Waits until the first attempt to connect has ended, for at most `timeout`.
     pub async fn first_attempt(&self, timeout: Duration) {
         if !self.attempted.get() {
-            // After a timeout the link is down, and callers use another peer.
+            // A peer that does not respond in time is skipped.
             let _ = monoio::time::timeout(timeout, self.first_attempt_ended.notified()).await;
         }
     }
