--- a/components/home/src/execution.rs
+++ b/components/home/src/execution.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use bergamottrack_coordination::{Fate, Point, Reason, Refusal, Term, pace};
-use bergamottrack_peer::{HomeSide, Intent, ToEntry, ToHome, message::Standing};
+use bergamottrack_peer::{HomeSide, Intent, ToEntry, ToHome, message::TransactionState};
 use bergamottrack_pg::Frame;
 use bytes::{Bytes, BytesMut};
 use tracing::debug;
@@ -88,7 +88,7 @@
         conn: &mut Conn,
         side: &mut HomeSide,
         batch: &Batch,
-    ) -> Result<(Standing, Answer), Failure> {
+    ) -> Result<(TransactionState, Answer), Failure> {
         let mut answer = Answer::default();
         let result = self.read_answer(conn, side, batch, &mut answer).await;
         match result {
@@ -103,7 +103,7 @@
         side: &mut HomeSide,
         batch: &Batch,
         answer: &mut Answer,
-    ) -> Result<Standing, Refusal> {
+    ) -> Result<TransactionState, Refusal> {
         conn.send(&batch.raw).await.map_err(|error| self.connection_lost(error))?;
         loop {
             let frame = monoio::select! {
@@ -213,14 +213,14 @@
     pub async fn finish(
         &self,
         side: &HomeSide,
-        standing: Standing,
+        standing: TransactionState,
         answer: Answer,
     ) -> Result<(), Failure> {
         let point = self.await_confirmation(standing, answer.point).await?;
         let replica = !matches!(self.intent, Intent::Write)
             && self.server.reading.get().is_some_and(|reading| !reading.status.leads());
         let frames: Bytes = answer.pending.freeze();
-        side.send(ToEntry::Turn { frames, standing, point, replica });
+        side.send(ToEntry::AnswerEnd { frames, state: standing, point, replica });
         Ok(())
     }
 
@@ -231,10 +231,11 @@
     /// other server holds such a record in the record's own term.
     async fn await_confirmation(
         &self,
-        standing: Standing,
+        standing: TransactionState,
         point: Option<Point>,
     ) -> Result<Option<Point>, Refusal> {
-        let (Intent::Write, Standing::Idle, Some(point)) = (self.intent, standing, point) else {
+        let (Intent::Write, TransactionState::Idle, Some(point)) = (self.intent, standing, point)
+        else {
             return Ok(None);
         };
         if self.home.confirm(self.server, point, self.deadline).await {
@@ -273,7 +274,7 @@
 
 /// Adds a message of the server to the answer; returns the transaction's standing at the last
 /// message.
-fn add_frame(frame: Frame, conn: &mut Conn, answer: &mut Answer) -> Option<Standing> {
+fn add_frame(frame: Frame, conn: &mut Conn, answer: &mut Answer) -> Option<TransactionState> {
     match frame.tag {
         b'Z' => return Some(standing(&frame)),
         b'S' => {
@@ -293,10 +294,10 @@
 }
 
 /// Returns the transaction's standing that a `ReadyForQuery` message states.
-fn standing(frame: &Frame) -> Standing {
+fn standing(frame: &Frame) -> TransactionState {
     match frame.body().first() {
-        Some(b'T') => Standing::Open,
-        Some(b'E') => Standing::Failed,
-        _ => Standing::Idle,
+        Some(b'T') => TransactionState::Open,
+        Some(b'E') => TransactionState::Failed,
+        _ => TransactionState::Idle,
     }
 }
--- a/components/home/src/homes.rs
+++ b/components/home/src/homes.rs
@@ -13,7 +13,7 @@
 };
 use bergamottrack_metrics::Metrics;
 use bergamottrack_peer::{
-    Answer, HomeSide, Mesh, Open, OutcomeOf, Question, ToEntry, accept::Replier,
+    Answer, HomeSide, Mesh, Open, OutcomeQuery, Question, ToEntry, accept::Replier,
 };
 use bergamottrack_platform::Platform;
 use tracing::{debug, info};
@@ -117,13 +117,13 @@
     /// Returns the outcome of a request, as resolved by the home of its group on any host.
     ///
     /// Requires a primary of the group and links between the hosts, but not the platform.
-    pub async fn outcome(&self, config: &Config, mesh: &Mesh, of: OutcomeOf) -> Outcome {
+    pub async fn outcome(&self, config: &Config, mesh: &Mesh, of: OutcomeQuery) -> Outcome {
         for host in mesh.homes(&of.group) {
             if host == self.host {
                 return self.local_outcome(config, &of).await;
             }
             let Some(link) = mesh.link(&host) else { continue };
-            match link.ask(Question::Outcome(Box::new(of.clone())), of.within).await {
+            match link.query(Question::Outcome(Box::new(of.clone())), of.timeout).await {
                 Ok(Answer::Outcome(outcome)) => return outcome,
                 Ok(other) => debug!("home: unexpected outcome answer of {host}: {other:?}."),
                 Err(error) => debug!("home: outcome query to {host} failed: {error:#}."),
@@ -135,18 +135,23 @@
     }
 
     /// Returns the outcome of a request, as resolved by the home on this host.
-    async fn local_outcome(&self, config: &Config, of: &OutcomeOf) -> Outcome {
+    async fn local_outcome(&self, config: &Config, of: &OutcomeQuery) -> Outcome {
         let Some(home) = self.get_or_start(config, &of.group) else {
             return Outcome::Unknown { again: LONG_RETRY_DELAY };
         };
         let _active = home.begin_exchange();
-        let deadline = self.clock.now() + of.within;
+        let deadline = self.clock.now() + of.timeout;
         let key = RequestKey { account: of.account.clone(), request: of.request.clone() };
         outcome::resolve(&home, &key, deadline).await
     }
 
     /// Answers a peer's outcome query, in a separate task.
-    pub fn reply_outcome(self: Rc<Self>, doc: Option<Rc<RevisionDoc>>, of: OutcomeOf, to: Replier) {
+    pub fn reply_outcome(
+        self: Rc<Self>,
+        doc: Option<Rc<RevisionDoc>>,
+        of: OutcomeQuery,
+        to: Replier,
+    ) {
         monoio::spawn(async move {
             let outcome = match doc.as_ref().and_then(|doc| doc.config.as_ref()) {
                 Some(config) => self.local_outcome(config, &of).await,
@@ -244,7 +249,7 @@
         let links = mesh.links();
         let mut available: Vec<_> = links
             .iter()
-            .filter(|link| link.is_up() && !link.is_leaving())
+            .filter(|link| link.is_up() && !link.is_draining())
             .map(|link| link.host.clone())
             .collect();
         available.sort();
--- a/components/home/src/route.rs
+++ b/components/home/src/route.rs
@@ -92,7 +92,9 @@
     /// Returns the requirement for an answer of the primary or of a replica; `None` if no answer
     /// of a server in that role can meet the intent.
     pub fn requirement(&self, intent: &Intent, primary: bool) -> Option<Requirement> {
-        let Intent::Read { floor, max_age } = intent else { return Some(Requirement::default()) };
+        let Intent::Read { required_position: floor, max_age } = intent else {
+            return Some(Requirement::default());
+        };
         let Some(max_age) = max_age else {
             // Without a required point only the primary is known to show the newest writes.
             let known = primary || floor.is_some();
--- a/components/home/src/serve.rs
+++ b/components/home/src/serve.rs
@@ -8,7 +8,7 @@
 
 use bergamottrack_coordination::{Fate, Reason, Refusal, Term, fair::Ticket};
 use bergamottrack_metrics::Timing;
-use bergamottrack_peer::{HomeSide, Intent, Open, ToEntry, ToHome, message::Standing};
+use bergamottrack_peer::{HomeSide, Intent, Open, ToEntry, ToHome, message::TransactionState};
 use bytes::Bytes;
 use tracing::debug;
 
@@ -103,7 +103,7 @@
             }
             None => exec.run(&mut pooled.conn, side, &batch).await?,
         };
-        if standing == Standing::Idle {
+        if standing == TransactionState::Idle {
             // The slot is free for other requests while a write waits for its confirmation.
             slot = None;
         }
@@ -111,7 +111,7 @@
         let wait = acquired.saturating_duration_since(arrived);
         let service = home.clock.now().saturating_duration_since(acquired);
         home.metrics.served(&open.account, &home.id, Timing { wait, service });
-        if standing == Standing::Idle {
+        if standing == TransactionState::Idle {
             pooled.release();
             return Ok(());
         }
@@ -136,12 +136,12 @@
     conn: &mut Conn,
     side: &mut HomeSide,
     batch: &Batch,
-) -> Result<(Standing, Answer), Failure> {
+) -> Result<(TransactionState, Answer), Failure> {
     let claim = guard.plan(exec, conn).await?;
     guard.check_entry_waits(exec, side).await?;
     if batch.only_begins() {
         let (standing, answer) = exec.run(conn, side, batch).await?;
-        if standing == Standing::Open {
+        if standing == TransactionState::Open {
             guard.write_row(exec, conn, &claim).await?;
         }
         return Ok((standing, answer));
--- a/components/peer/src/heard.rs
+++ b/components/peer/src/activity.rs
@@ -1,4 +1,4 @@
-//! A stream that says when something comes.
+//! TCP stream that reports received bytes.
 
 use std::{
     io,
@@ -9,20 +9,20 @@
 use monoio::net::tcp::stream_poll::TcpStreamPoll;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A stream that calls `came` whenever bytes have come.
-pub struct Heard {
+/// TCP stream that calls `on_read` whenever bytes have been received.
+pub struct ActivityStream {
     io: TcpStreamPoll,
-    came: Box<dyn Fn()>,
+    on_read: Box<dyn Fn()>,
 }
 
-impl Heard {
-    /// A stream that calls `came`.
-    pub fn new(io: TcpStreamPoll, came: impl Fn() + 'static) -> Self {
-        Self { io, came: Box::new(came) }
+impl ActivityStream {
+    /// Wraps a stream so that it calls `on_read`.
+    pub fn new(io: TcpStreamPoll, on_read: impl Fn() + 'static) -> Self {
+        Self { io, on_read: Box::new(on_read) }
     }
 }
 
-impl AsyncRead for Heard {
+impl AsyncRead for ActivityStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -31,13 +31,13 @@
         let before = buf.filled().len();
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
         if buf.filled().len() > before {
-            (self.came)();
+            (self.on_read)();
         }
         read
     }
 }
 
-impl AsyncWrite for Heard {
+impl AsyncWrite for ActivityStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -19,7 +19,7 @@
 
 /// Evicts silent hosts and removes the rows of hosts evicted earlier, forever.
 pub async fn evict_silent(host: Rc<Host>) {
-    let client = Client::new(host.settings.store);
+    let client = Client::new(host.settings.store_address);
     let mut isolated = false;
     loop {
         monoio::time::sleep(Duration::from_secs(1)).await;
--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -73,7 +73,7 @@
         from: Option<ServerId>,
         planned: bool,
     ) -> anyhow::Result<Option<Self>> {
-        let client = Client::new(host.settings.store);
+        let client = Client::new(host.settings.store_address);
         let key = fleet::group_key(&group.id);
         let now = host.now();
         let (holder, since) = (host.settings.host.clone(), monitor::store_now(host));
@@ -293,7 +293,7 @@
             "promotion not requested: time to begin the call is over"
         );
         let duty = promotion::Duty { holder: &host.settings.host, token };
-        let (address, id) = (host.settings.promoter, &group.id);
+        let (address, id) = (host.settings.promoter_address, &group.id);
         let promoted = promotion::promote(address, duty, id, &server, CALL_TIMEOUT).await;
         let error = promoted.as_ref().err().map(tracing::field::display);
         let answer = promoted.as_ref().ok();
@@ -452,12 +452,12 @@
 
 /// Sends a group's row to all hosts in reach.
 fn notify_hosts(host: &Rc<Host>, id: &GroupId, row: &Versioned<Leadership>) {
-    let links = host.mesh.links().into_iter().chain(host.mesh.guests());
+    let links = host.mesh.links().into_iter().chain(host.mesh.temporary_links());
     for link in links.filter(|link| link.is_up()) {
-        let act = Question::Act { group: id.clone(), row: row.clone() };
+        let act = Question::ApplyLeadership { group: id.clone(), row: row.clone() };
         monoio::spawn(async move {
             // A host out of reach receives the row from its hub or the store.
-            let _ = link.ask(act, ACT_TIMEOUT).await;
+            let _ = link.query(act, ACT_TIMEOUT).await;
         });
     }
 }
@@ -475,9 +475,9 @@
         let was_up = link.as_ref().is_some_and(|link| link.is_up());
         let released = match link.filter(|_| was_up) {
             Some(link) => {
-                let act = Question::Act { group: group.clone(), row: row.clone() };
-                let answer = link.ask(act, ACT_TIMEOUT).await;
-                matches!(answer, Ok(Answer::Acting(version)) if version >= row.version)
+                let act = Question::ApplyLeadership { group: group.clone(), row: row.clone() };
+                let answer = link.query(act, ACT_TIMEOUT).await;
+                matches!(answer, Ok(Answer::LeadershipApplied(version)) if version >= row.version)
             }
             None => monitor::is_dead(&host, &id).await,
         };
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -7,7 +7,7 @@
     store::{self, Feed, Row, Rows, Table},
 };
 use bergamottrack_coordination::{ServerId, freshness};
-use bergamottrack_model::Listed;
+use bergamottrack_model::ListedServer;
 use bergamottrack_platform::http::Client;
 use bytes::Bytes;
 use tracing::{debug, info, warn};
@@ -55,7 +55,7 @@
     needed: impl Fn() -> bool,
     apply: impl Fn(&Rows, bool),
 ) -> ! {
-    let client = Client::new(host.settings.store);
+    let client = Client::new(host.settings.store_address);
     let mut after = None;
     let mut unreachable = false;
     // In a large fleet a new host receives the tables from its hub: the store has capacity for
@@ -131,7 +131,9 @@
             host.documents.borrow_mut().confirm(rows.clock);
         }
     };
-    let pace = freshness::PollIntervals::for_bound(host.settings.apply.min(host.settings.evacuate));
+    let pace = freshness::PollIntervals::for_bound(
+        host.settings.apply_bound.min(host.settings.evacuation_bound),
+    );
     let needed = || host.reads_store() || host.plan_age().is_none_or(|age| age > pace.read);
     follow(&host, Table::Configuration, pace.wait, needed, apply).await
 }
@@ -179,7 +181,7 @@
 /// That host may have started just after an outage of the store, in which entries expired, and
 /// have none of them yet. Servers missing from its list are kept as long as servers missing from
 /// the store.
-pub fn adopt_servers(host: &Rc<Host>, listed: Vec<Listed>) {
+pub fn adopt_servers(host: &Rc<Host>, listed: Vec<ListedServer>) {
     let is_listed = |id: &ServerId| listed.iter().any(|listed| listed.id == *id);
     let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
     known.into_iter().filter(|id| !is_listed(id)).for_each(|id| schedule_removal(host, id));
@@ -198,8 +200,8 @@
     rows: &[Row],
     expected: Vec<ServerId>,
     clock: Duration,
-) -> (Vec<Listed>, Vec<ServerId>) {
-    let mut entries: BTreeMap<ServerId, Option<Listed>> =
+) -> (Vec<ListedServer>, Vec<ServerId>) {
+    let mut entries: BTreeMap<ServerId, Option<ListedServer>> =
         expected.into_iter().map(|id| (id, None)).collect();
     for row in rows {
         // Keys that are not valid server names belong to no server.
@@ -213,7 +215,7 @@
     (present, missing.into_iter().map(|(id, _)| id).collect())
 }
 
-fn decode_entry(row: &Row, clock: Duration) -> Option<Listed> {
+fn decode_entry(row: &Row, clock: Duration) -> Option<ListedServer> {
     if row.removed {
         return None;
     }
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -9,7 +9,7 @@
 use bergamottrack_coordination::{
     GroupId, Point, ServerId, ages::PositionHistory, suspicion::Suspicion,
 };
-use bergamottrack_model::Currency;
+use bergamottrack_model::Consistency;
 use tokio::sync::Notify;
 
 use crate::confirm::Receipts;
@@ -173,14 +173,14 @@
     /// that term that was kept is in every log that has reached the leader's own term.
     pub fn requirement(
         &self,
-        currency: Currency,
+        consistency: Consistency,
         floor: Option<Point>,
         now: Instant,
     ) -> Requirement {
-        let (age, floor) = match currency {
-            Currency::Current => return Requirement::Leader,
-            Currency::MaxAge(age) => (age, None),
-            Currency::OwnWrites(age) => (age, floor),
+        let (age, floor) = match consistency {
+            Consistency::Current => return Requirement::Leader,
+            Consistency::MaxAge(age) => (age, None),
+            Consistency::OwnWrites(age) => (age, floor),
         };
         let ages = self.ages.borrow();
         let aged = ages.floor(age.saturating_sub(AGE_MARGIN), now);
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -205,9 +205,9 @@
 /// requests takes a connection and a slot of a server that has none to spare.
 async fn holder_last_contact(host: &Host, pool: &Pool) -> Option<Duration> {
     let link = host.holder(pool)?;
-    let question = Question::Silence(pool.listed.borrow().id.clone());
-    match link.ask(question, HOLDER_TIMEOUT).await {
-        Ok(Answer::Silence(elapsed)) => elapsed,
+    let question = Question::LastContact(pool.listed.borrow().id.clone());
+    match link.query(question, HOLDER_TIMEOUT).await {
+        Ok(Answer::LastContact(elapsed)) => elapsed,
         _ => None,
     }
 }
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -15,7 +15,7 @@
     gate::{Admission, Gate, QueueKey},
     idle, silence,
 };
-use bergamottrack_model::{Failure, Listed};
+use bergamottrack_model::{Failure, ListedServer};
 use monoio::time::Instant;
 use tokio::sync::{Notify, oneshot};
 use tracing::info;
@@ -50,7 +50,7 @@
 /// A pool of connections to one server.
 pub struct Pool {
     /// The server's entry in the list of servers.
-    pub listed: RefCell<Listed>,
+    pub listed: RefCell<ListedServer>,
     /// Health of the server, as its answers show it.
     pub health: RefCell<Health>,
     /// Outstanding answers on connections of this host, forwarded statements included.
@@ -116,7 +116,7 @@
 
 impl Pool {
     /// Returns a pool without connections for a server first listed at `now`.
-    pub fn new(listed: Listed, now: StdInstant) -> Rc<Self> {
+    pub fn new(listed: ListedServer, now: StdInstant) -> Rc<Self> {
         Rc::new(Self {
             listed: RefCell::new(listed),
             health: RefCell::default(),
