--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -53,10 +53,10 @@
     }
 
     /// Logs why the target did not serve the operation.
-    pub fn log(&self, operation: &Operation, reason: &str) {
-        let required_position = self.required_position.as_ref().map(tracing::field::display);
+    pub fn log(&self, operation: &Operation, why: &str) {
+        let after = self.required_position.as_ref().map(tracing::field::display);
         info!(
-            id = %operation.id, server = %self.server, leads = self.leads, required_position, reason,
+            id = %operation.id, server = %self.server, leads = self.leads, after, why,
             "statement: not served by target"
         );
     }
