--- a/components/entry/src/admit.rs
+++ b/components/entry/src/admit.rs
@@ -9,7 +9,7 @@
 
 /// When a caller may come back to a host that cannot show freshness; another
 /// host may serve it at once.
-const FRESH_AGAIN: Duration = Duration::from_secs(1);
+const STALE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Entry {
     /// Admits one transaction, or one statement outside of any, of the account;
@@ -28,7 +28,7 @@
     /// Admits a further statement of an open transaction.
     pub fn check(&self, account: &AccountId, key: &KeyId) -> Result<Rc<RevisionDoc>, Refusal> {
         self.check_fresh()?;
-        self.standing(account, key)
+        self.check_key(account, key)
     }
 
     /// Guards against a host that is cut off: it would go on honouring a key
@@ -39,6 +39,6 @@
             return Ok(());
         }
         let message = "this host cannot show that its configuration is the newest";
-        Err(Refusal::not_run(Reason::Stale, Some(FRESH_AGAIN), message))
+        Err(Refusal::not_run(Reason::Stale, Some(STALE_RETRY_DELAY), message))
     }
 }
--- a/components/entry/src/callers.rs
+++ b/components/entry/src/callers.rs
@@ -32,20 +32,20 @@
     pub input: Rc<Budget>,
     /// The most connections at once.
     limit: usize,
-    there: Cell<usize>,
-    refused: Cell<usize>,
+    connected: Cell<usize>,
+    over_limit: Cell<usize>,
     /// Callers whose request runs or whose transaction is open.
     busy: Cell<usize>,
     draining: Cell<bool>,
-    leave: Notify,
+    drain_notify: Notify,
 }
 
 /// A place among the callers; given back when it is dropped.
-pub struct Seat {
+pub struct Permit {
     callers: Rc<Callers>,
     busy: Cell<bool>,
     /// Whether the caller is above the limit, and only there to be told so.
-    pub refused: bool,
+    pub over_limit: bool,
 }
 
 impl Callers {
@@ -54,34 +54,34 @@
         Rc::new(Self {
             input: Budget::new(MAX_INPUT),
             limit,
-            there: Cell::default(),
-            refused: Cell::default(),
+            connected: Cell::default(),
+            over_limit: Cell::default(),
             busy: Cell::default(),
             draining: Cell::default(),
-            leave: Notify::new(),
+            drain_notify: Notify::new(),
         })
     }
 
     /// A place for a new connection; `None` when it is to be closed at once.
-    pub fn enter(self: &Rc<Self>) -> Option<Seat> {
-        let refused = self.there.get() >= self.limit;
-        let count = if refused { &self.refused } else { &self.there };
-        if refused && count.get() >= MAX_REFUSED {
+    pub fn acquire(self: &Rc<Self>) -> Option<Permit> {
+        let over_limit = self.connected.get() >= self.limit;
+        let count = if over_limit { &self.over_limit } else { &self.connected };
+        if over_limit && count.get() >= MAX_REFUSED {
             return None;
         }
         count.set(count.get() + 1);
-        Some(Seat { callers: self.clone(), busy: Cell::default(), refused })
+        Some(Permit { callers: self.clone(), busy: Cell::default(), over_limit })
     }
 
     /// How many there are.
     pub fn count(&self) -> usize {
-        self.there.get()
+        self.connected.get()
     }
 
     /// Tells all callers to leave as soon as their requests and transactions have ended.
     pub fn drain(&self) {
         self.draining.set(true);
-        self.leave.notify_waiters();
+        self.drain_notify.notify_waiters();
     }
 
     /// Whether callers are told to leave.
@@ -95,7 +95,7 @@
     }
 }
 
-impl Seat {
+impl Permit {
     /// Notes whether a request runs or a transaction is open.
     pub fn set_busy(&self, busy: bool) {
         if self.busy.replace(busy) != busy {
@@ -105,21 +105,22 @@
     }
 
     /// Waits until callers are told to leave.
-    pub async fn leaving(&self) {
+    pub async fn drain_started(&self) {
         loop {
-            let told = self.callers.leave.notified();
+            let notified = self.callers.drain_notify.notified();
             if self.callers.draining.get() {
                 return;
             }
-            told.await;
+            notified.await;
         }
     }
 }
 
-impl Drop for Seat {
+impl Drop for Permit {
     fn drop(&mut self) {
         self.set_busy(false);
-        let count = if self.refused { &self.callers.refused } else { &self.callers.there };
+        let count =
+            if self.over_limit { &self.callers.over_limit } else { &self.callers.connected };
         count.set(count.get() - 1);
     }
 }
--- a/components/entry/src/context.rs
+++ b/components/entry/src/context.rs
@@ -20,7 +20,7 @@
 use crate::{callers::Callers, tls::Tls};
 
 /// When a caller may come back while a host lacks its configuration.
-const COME_BACK: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// What all callers' connections of one host share.
 pub struct Entry {
@@ -43,37 +43,37 @@
     /// The callers that are there.
     pub callers: Rc<Callers>,
     /// Cancels of running connections, by process number.
-    pub cancels: RefCell<HashMap<i32, Rc<Cancel>>>,
+    pub cancels: RefCell<HashMap<i32, Rc<CancelHandle>>>,
     /// The last process number given out.
     pub last_pid: Cell<u32>,
 }
 
 /// How what a connection runs is cancelled.
 #[derive(Default)]
-pub struct Cancel {
+pub struct CancelHandle {
     /// What the caller must know to cancel.
     pub secret: i32,
     /// Whether a request runs.
     running: Cell<bool>,
     /// Whether the running request is to be cancelled.
-    wanted: Cell<bool>,
-    wake: Notify,
+    requested: Cell<bool>,
+    notify: Notify,
 }
 
-impl Cancel {
+impl CancelHandle {
     /// Cancels the running request. Nothing is kept for a later one: a cancel
     /// that comes late would hit a request that nobody wants cancelled.
-    pub fn ask(&self) {
+    pub fn request(&self) {
         if self.running.get() {
-            self.wanted.set(true);
-            self.wake.notify_one();
+            self.requested.set(true);
+            self.notify.notify_one();
         }
     }
 
     /// Notes that a request runs.
     pub fn begin(&self) {
         self.running.set(true);
-        self.wanted.set(false);
+        self.requested.set(false);
     }
 
     /// Notes that it ended.
@@ -82,10 +82,10 @@
     }
 
     /// Waits until the running request is to be cancelled.
-    pub async fn asked(&self) {
-        while !self.wanted.take() {
+    pub async fn cancel_requested(&self) {
+        while !self.requested.take() {
             // May be left over from an earlier request, so the flag decides.
-            self.wake.notified().await;
+            self.notify.notified().await;
         }
     }
 }
@@ -96,12 +96,12 @@
         let doc = self.current.get().filter(|doc| doc.config.is_some());
         doc.ok_or_else(|| {
             let message = "this host has no configuration yet";
-            Refusal::not_run(Reason::Stale, Some(COME_BACK), message)
+            Refusal::not_run(Reason::Stale, Some(RETRY_DELAY), message)
         })
     }
 
     /// Checks that the key still stands; done again for every request.
-    pub fn standing(&self, account: &AccountId, key: &KeyId) -> Result<Rc<RevisionDoc>, Refusal> {
+    pub fn check_key(&self, account: &AccountId, key: &KeyId) -> Result<Rc<RevisionDoc>, Refusal> {
         let doc = self.config()?;
         let config = doc.config.as_ref();
         let known = config.and_then(|c| c.account(account)).and_then(|a| a.key(key));
@@ -113,7 +113,7 @@
     }
 
     /// Gives a new connection its process number.
-    pub fn register(&self) -> (i32, Rc<Cancel>) {
+    pub fn register(&self) -> (i32, Rc<CancelHandle>) {
         let mut pid;
         loop {
             self.last_pid.set(self.last_pid.get().wrapping_add(1));
@@ -122,7 +122,7 @@
                 break;
             }
         }
-        let cancel = Rc::new(Cancel { secret: rand::random(), ..Cancel::default() });
+        let cancel = Rc::new(CancelHandle { secret: rand::random(), ..CancelHandle::default() });
         self.cancels.borrow_mut().insert(pid, cancel.clone());
         (pid, cancel)
     }
@@ -130,7 +130,7 @@
     /// Cancels what a connection to this host runs; whether there is one with that secret.
     pub fn cancel(&self, pid: i32, secret: i32) -> bool {
         let known = self.cancels.borrow().get(&pid).filter(|c| c.secret == secret).cloned();
-        known.inspect(|cancel| cancel.ask()).is_some()
+        known.inspect(|cancel| cancel.request()).is_some()
     }
 
     /// Begins an exchange with the home of the group.
--- a/components/entry/src/extended.rs
+++ b/components/entry/src/extended.rs
@@ -19,11 +19,11 @@
 
 use crate::{
     local,
-    session::{Request, Session, Work},
+    session::{Access, Request, Session},
     settings::Fault,
     sql::Command,
     statements::Statement,
-    steps::{Effect, Step, Steps},
+    steps::{Effect, ExpectedReplies, ExpectedReply},
 };
 
 /// The most bytes of one batch of messages.
@@ -40,12 +40,12 @@
 pub struct Batch {
     /// What goes to the home.
     frames: BytesMut,
-    steps: Steps,
+    replies: ExpectedReplies,
     /// Statements that the batch prepares and, without one, closes.
     named: Vec<(Box<str>, Option<Rc<Statement>>)>,
     /// What the server's unnamed statement will be.
     current: Option<Rc<Statement>>,
-    work: Work,
+    access: Access,
     /// What the batch runs on a server, in order.
     begins: bool,
     ends: bool,
@@ -56,14 +56,14 @@
 }
 
 impl Batch {
-    fn send(&mut self, message: &impl Message, step: Step) {
+    fn send(&mut self, message: &impl Message, reply: ExpectedReply) {
         frame::put(&mut self.frames, message);
-        self.steps.push(step);
+        self.replies.push(reply);
     }
 
-    fn send_parse(&mut self, statement: &Rc<Statement>, step: Step) {
+    fn send_parse(&mut self, statement: &Rc<Statement>, reply: ExpectedReply) {
         self.frames.extend_from_slice(&statement.parse);
-        self.steps.push(step);
+        self.replies.push(reply);
         self.current = Some(statement.clone());
     }
 
@@ -71,12 +71,12 @@
     fn prepare(&mut self, statement: &Rc<Statement>) {
         let is_current = self.current.as_ref().is_some_and(|c| Rc::ptr_eq(c, statement));
         if !is_current {
-            self.send_parse(statement, Step::SKIP);
+            self.send_parse(statement, ExpectedReply::SKIP);
         }
     }
 
     fn reply(&mut self, message: &impl Message) {
-        self.steps.push(Step::local(frame::bytes(message)));
+        self.replies.push(ExpectedReply::local(frame::bytes(message)));
     }
 }
 
@@ -89,7 +89,7 @@
         self.batch.size += frame.raw.len();
         let taken = if self.batch.size > MAX_BATCH {
             Err(Fault::new("54000", format!("a batch has at most {MAX_BATCH} bytes")))
-        } else if let Err(full) = self.held.set(self.batch.size) {
+        } else if let Err(full) = self.charge.set(self.batch.size) {
             Err(Fault::new("53300", full.to_string()))
         } else {
             self.take(frame)
@@ -125,20 +125,20 @@
             let message = format!("the prepared statement {name:?} exists already");
             return Err(Fault::new("42P05", message));
         }
-        self.statements.check_room(self.batch.named.len())?;
+        self.statements.check_capacity(self.batch.named.len())?;
         let statement = Statement::new(parse);
         match &statement.command {
             Command::Unsupported(what) => return Err(Fault::unsupported(what)),
             Command::End(_) => {}
-            _ if self.is_aborted() => return Err(local::aborted()),
+            _ if self.is_aborted() => return Err(local::aborted_fault()),
             _ => {}
         }
-        let keep = Effect::Keep(name.clone(), statement.clone());
+        let keep = Effect::Insert(name.clone(), statement.clone());
         if statement.is_local() {
             let complete = frame::bytes(&ParseComplete::new());
-            self.batch.steps.push(Step::local(complete).then(keep));
+            self.batch.replies.push(ExpectedReply::local(complete).with_effect(keep));
         } else {
-            self.batch.send_parse(&statement, Step::PASS.then(keep));
+            self.batch.send_parse(&statement, ExpectedReply::PASS.with_effect(keep));
         }
         self.batch.named.push((name, Some(statement)));
         Ok(())
@@ -156,7 +156,7 @@
             self.batch.reply(&BindComplete::new());
         } else {
             self.batch.prepare(&statement);
-            self.batch.send(&bind, Step::PASS);
+            self.batch.send(&bind, ExpectedReply::PASS);
         }
         Ok(())
     }
@@ -167,20 +167,20 @@
             match self.portals.get(&*name).filter(|s| s.is_local()) {
                 Some(statement) => {
                     let columns = local::columns(&statement.command);
-                    self.batch.steps.push(Step::local(columns));
+                    self.batch.replies.push(ExpectedReply::local(columns));
                 }
-                None => self.batch.send(&describe, Step::PASS),
+                None => self.batch.send(&describe, ExpectedReply::PASS),
             }
             return Ok(());
         }
         let statement = self.prepared(&name).ok_or_else(|| no_statement(&name))?;
         if statement.is_local() {
             self.batch.reply(&ParameterDescription::new(Vec::new()));
-            self.batch.steps.push(Step::local(local::columns(&statement.command)));
+            self.batch.replies.push(ExpectedReply::local(local::columns(&statement.command)));
         } else {
             self.batch.prepare(&statement);
             describe.name = None;
-            self.batch.send(&describe, Step::PASS);
+            self.batch.send(&describe, ExpectedReply::PASS);
         }
         Ok(())
     }
@@ -190,8 +190,8 @@
         let statement = self.portals.get(name).cloned();
         let Some(statement) = statement else {
             // The server knows no such portal either, and says so.
-            self.batch.work = Work::Write;
-            self.batch.send(execute, Step::PASS);
+            self.batch.access = Access::Write;
+            self.batch.send(execute, ExpectedReply::PASS);
             return Ok(());
         };
         match &statement.command {
@@ -200,12 +200,12 @@
             }
             command if statement.is_local() => {
                 let answer = self.execute_locally(command)?;
-                self.batch.steps.push(Step::local(answer));
+                self.batch.replies.push(ExpectedReply::local(answer));
             }
             command => {
                 self.check_place(command)?;
-                self.batch.work = self.batch.work.max(Work::of(command));
-                self.batch.send(execute, Step::PASS);
+                self.batch.access = self.batch.access.max(Access::of(command));
+                self.batch.send(execute, ExpectedReply::PASS);
             }
         }
         Ok(())
@@ -214,9 +214,9 @@
     /// Runs a `COMMIT` or `ROLLBACK`, of which the server has heard nothing so far.
     fn end_transaction(&mut self, statement: &Rc<Statement>) {
         self.batch.prepare(statement);
-        self.batch.send(&Bind::new(None, None, vec![], vec![], vec![]), Step::SKIP);
-        self.batch.send(&Execute::new(None, 0), Step::PASS);
-        self.batch.work = Work::Write;
+        self.batch.send(&Bind::new(None, None, vec![], vec![], vec![]), ExpectedReply::SKIP);
+        self.batch.send(&Execute::new(None, 0), ExpectedReply::PASS);
+        self.batch.access = Access::Write;
         self.batch.ends = true;
     }
 
@@ -241,11 +241,15 @@
         if close.target_type == STATEMENT {
             self.batch.named.push((name.clone(), None));
             let complete = frame::bytes(&CloseComplete::new());
-            self.batch.steps.push(Step::local(complete).then(Effect::Forget(name)));
+            self.batch
+                .replies
+                .push(ExpectedReply::local(complete).with_effect(Effect::Remove(name)));
             return Ok(());
         }
         match self.portals.remove(&name) {
-            Some(statement) if !statement.is_local() => self.batch.send(&close, Step::PASS),
+            Some(statement) if !statement.is_local() => {
+                self.batch.send(&close, ExpectedReply::PASS)
+            }
             _ => self.batch.reply(&CloseComplete::new()),
         }
         Ok(())
@@ -276,7 +280,7 @@
             return Ok(());
         }
         let mut batch = std::mem::take(&mut self.batch);
-        let runs = batch.work > Work::Describe || !self.portals.is_empty();
+        let runs = batch.access > Access::Describe || !self.portals.is_empty();
         if runs && self.exchange.is_none() && batch.fault.is_none() {
             batch.fault = Some(Fault::unsupported("Flush after a statement outside a transaction"));
         }
@@ -288,11 +292,11 @@
         self.run_batch(batch, true).await
     }
 
-    async fn run_batch(&mut self, mut batch: Batch, unfinished: bool) -> anyhow::Result<()> {
+    async fn run_batch(&mut self, mut batch: Batch, flushed: bool) -> anyhow::Result<()> {
         if batch.frames.is_empty() {
-            let answers = batch.steps.local(&mut self.statements);
+            let answers = batch.replies.local_replies(&mut self.statements);
             self.send(&answers).await?;
-            if unfinished {
+            if flushed {
                 return Ok(());
             }
             if self.exchange.is_none() {
@@ -302,20 +306,20 @@
         }
         if self.is_aborted() {
             // Run now, its statements would be outside of the transaction they are for.
-            self.skipping = unfinished;
-            self.send(&local::aborted().answer(Severity::Error)).await?;
-            return if unfinished { Ok(()) } else { self.send(&self.ready()).await };
+            self.skipping = flushed;
+            self.send(&local::aborted_fault().answer(Severity::Error)).await?;
+            return if flushed { Ok(()) } else { self.send(&self.ready()).await };
         }
         frame::put(&mut batch.frames, &Sync::new());
         let request = Request {
             frames: Bytes::from(batch.frames),
-            steps: batch.steps,
-            work: batch.work,
+            replies: batch.replies,
+            access: batch.access,
             begins: batch.begins,
             ends: batch.ends,
-            unfinished,
+            flushed,
         };
-        self.finish(request).await.context("running a batch")
+        self.run_request(request).await.context("running a batch")
     }
 }
 
--- a/components/entry/src/local.rs
+++ b/components/entry/src/local.rs
@@ -15,13 +15,13 @@
 };
 
 /// The type number of a text.
-const TEXT: u32 = 25;
+const TEXT_OID: u32 = 25;
 
 /// The columns of a statement that the entry answers.
 pub fn columns(command: &Command) -> Bytes {
     match command {
         Command::Show(name) => {
-            let field = FieldDescription::new(name.to_string(), 0, 0, TEXT, -1, -1, 0);
+            let field = FieldDescription::new(name.to_string(), 0, 0, TEXT_OID, -1, -1, 0);
             frame::bytes(&RowDescription::new(vec![field]))
         }
         _ => frame::bytes(&NoData::new()),
@@ -44,7 +44,7 @@
             return Err(Fault::unsupported(what));
         }
         if self.is_aborted() && !matches!(commands, [Command::End(_)]) {
-            return Err(aborted());
+            return Err(aborted_fault());
         }
         check_order(commands)?;
         let first = commands.iter().find(|c| matches!(c, Command::Begin | Command::SetLocal));
@@ -54,12 +54,12 @@
         if self.exchange.is_none() && matches!(commands, [Command::End(_)]) {
             return Ok(true);
         }
-        let for_server = commands.iter().filter(|c| settings::is_for_server(c)).count();
-        if for_server > 0 && for_server < commands.len() {
+        let server_count = commands.iter().filter(|c| settings::runs_on_server(c)).count();
+        if server_count > 0 && server_count < commands.len() {
             let what = "a setting of the session beside other statements in one query";
             return Err(Fault::unsupported(what));
         }
-        Ok(for_server == 0)
+        Ok(server_count == 0)
     }
 
     /// Answers a query without a server.
@@ -107,7 +107,7 @@
             }
             Command::Unlisten => "UNLISTEN",
             Command::Empty => return Ok(frame::bytes(&EmptyQueryResponse::new())),
-            Command::End(tag) => return Ok(self.end(tag)),
+            Command::End(tag) => return Ok(self.end_locally(tag)),
             _ => return Err(Fault::unsupported("this statement")),
         };
         Ok(answer::complete(tag))
@@ -120,7 +120,7 @@
     }
 
     /// Ends a transaction that is rolled back already, or none.
-    fn end(&mut self, tag: &str) -> Bytes {
+    fn end_locally(&mut self, tag: &str) -> Bytes {
         if self.standing == Standing::Failed {
             self.standing = Standing::Idle;
             return answer::complete("ROLLBACK");
@@ -131,7 +131,7 @@
 }
 
 /// The error for statements after a failed one in its transaction.
-pub fn aborted() -> Fault {
+pub fn aborted_fault() -> Fault {
     Fault::new("25P02", "the transaction has failed; its statements are not run until its end")
 }
 
--- a/components/entry/src/login.rs
+++ b/components/entry/src/login.rs
@@ -40,31 +40,31 @@
 
 /// The caller did not prove the key that it names, or there is no such key.
 #[derive(Clone, Copy, Debug)]
-struct WrongKey;
+struct InvalidKey;
 
-impl fmt::Display for WrongKey {
+impl fmt::Display for InvalidKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the key was not proved")
     }
 }
 
 /// What a new connection turned out to be.
-pub enum Opened {
+pub enum FirstMessage {
     /// A caller that wants statements run.
     Startup(BTreeMap<String, String>),
     /// A request to cancel what another connection runs.
     Cancel(CancelRequest),
     /// A caller that wants to be encrypted and has been answered with a yes.
-    Encrypt,
+    StartTls,
 }
 
 /// Reads up to the start-up message; encryption that is not offered is refused
 /// with a plain `N`, after which the caller may go on without.
-pub async fn open<R, W>(
+pub async fn read_first_message<R, W>(
     reader: &mut PgReader<R>,
     writer: &mut PgWriter<W>,
-    offered: bool,
-) -> anyhow::Result<Opened>
+    tls_offered: bool,
+) -> anyhow::Result<FirstMessage>
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
@@ -72,15 +72,17 @@
     loop {
         match reader.startup(false).await? {
             PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::PostgresSsl(_))
-                if offered =>
+                if tls_offered =>
             {
                 writer.send(b"S").await?;
-                return Ok(Opened::Encrypt);
+                return Ok(FirstMessage::StartTls);
             }
             PgWireFrontendMessage::SslNegotiation(_) => writer.send(b"N").await?,
-            PgWireFrontendMessage::CancelRequest(cancel) => return Ok(Opened::Cancel(cancel)),
+            PgWireFrontendMessage::CancelRequest(cancel) => {
+                return Ok(FirstMessage::Cancel(cancel));
+            }
             PgWireFrontendMessage::Startup(startup) => {
-                return Ok(Opened::Startup(startup.parameters));
+                return Ok(FirstMessage::Startup(startup.parameters));
             }
             _ => bail!("the connection does not begin with a start-up message"),
         }
@@ -105,7 +107,7 @@
 ///
 /// An unknown account or key goes through the same steps, so that a stranger
 /// cannot tell which names exist.
-pub async fn prove<R, W>(
+pub async fn authenticate<R, W>(
     entry: &Entry,
     caller: &Caller,
     reader: &mut PgReader<R>,
@@ -118,25 +120,25 @@
     let verifier = verifier(entry, caller);
     let offer = Authentication::SASL(vec![scram::MECHANISM.to_owned()]);
     writer.send(&frame::bytes(&offer)).await?;
-    let PasswordMessageFamily::Raw(body) = password(reader).await? else {
+    let PasswordMessageFamily::Raw(body) = read_password(reader).await? else {
         bail!("the key exchange did not begin")
     };
-    let first = sasl_initial(body)?;
+    let first = parse_sasl_initial(body)?;
     anyhow::ensure!(first.auth_method == scram::MECHANISM, "only {} is offered", scram::MECHANISM);
     let nonce = STANDARD_NO_PAD.encode(rand::random::<[u8; NONCE_LEN]>());
     let data = first.data.context("the key exchange began with nothing")?;
     let exchange = Exchange::begin(&data, verifier, &nonce)?;
     let challenge = Bytes::copy_from_slice(exchange.challenge().as_bytes());
     writer.send(&frame::bytes(&Authentication::SASLContinue(challenge))).await?;
-    let PasswordMessageFamily::Raw(body) = password(reader).await? else {
+    let PasswordMessageFamily::Raw(body) = read_password(reader).await? else {
         bail!("the key exchange broke off")
     };
-    let proof = exchange.finish(&body).context(WrongKey)?;
+    let proof = exchange.finish(&body).context(InvalidKey)?;
     writer.send(&frame::bytes(&Authentication::SASLFinal(Bytes::from(proof)))).await
 }
 
 fn verifier(entry: &Entry, caller: &Caller) -> Verifier {
-    let doc = entry.standing(&caller.account, &caller.key).ok();
+    let doc = entry.check_key(&caller.account, &caller.key).ok();
     let config = doc.as_ref().and_then(|doc| doc.config.as_ref());
     let key = config.and_then(|c| c.account(&caller.account)).and_then(|a| a.key(&caller.key));
     match key {
@@ -149,7 +151,7 @@
     }
 }
 
-async fn password<R: AsyncRead + Unpin>(
+async fn read_password<R: AsyncRead + Unpin>(
     reader: &mut PgReader<R>,
 ) -> anyhow::Result<PasswordMessageFamily> {
     let frame = reader.next().await?.context("the caller left during the key exchange")?;
@@ -159,13 +161,13 @@
     }
 }
 
-fn sasl_initial(body: BytesMut) -> anyhow::Result<SASLInitialResponse> {
+fn parse_sasl_initial(body: BytesMut) -> anyhow::Result<SASLInitialResponse> {
     Ok(PasswordMessageFamily::Raw(body).into_sasl_initial_response()?)
 }
 
 /// What a caller whose start-up failed is told.
-pub fn refused(error: &anyhow::Error) -> Bytes {
+pub fn error_response(error: &anyhow::Error) -> Bytes {
     let text = format!("{error:#}");
-    let code = if error.is::<WrongKey>() { "28P01" } else { "28000" };
+    let code = if error.is::<InvalidKey>() { "28P01" } else { "28000" };
     answer::error(Severity::Fatal, code, &text, Some("not run"), None)
 }
--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -26,22 +26,22 @@
 
 use crate::{
     caller,
-    callers::Seat,
-    context::{Cancel, Entry},
+    callers::Permit,
+    context::{CancelHandle, Entry},
     extended::Batch,
     login::Caller,
-    relay::{Answered, Relay},
+    relay::{Completion, Relay},
     settings::{self, Fault, Owner, Settings},
     sql::{self, Command},
     statements::{Statement, Statements},
-    steps::Steps,
+    steps::ExpectedReplies,
 };
 
 /// How long one message of a caller may be on its way.
-const MESSAGE_WITHIN: Duration = Duration::from_secs(30);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long a request may have been on its way when a host says goodbye.
-const CROSSING: Duration = Duration::from_millis(100);
+const DRAIN_GRACE: Duration = Duration::from_millis(100);
 
 /// What a caller's messages are read from.
 pub type Reader = PgReader<ReadHalf<Stream>>;
@@ -51,7 +51,7 @@
 
 /// What the statements of a request do, taken together.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Work {
+pub enum Access {
     /// No statement runs: they are only prepared and described.
     #[default]
     Describe,
@@ -61,7 +61,7 @@
     Write,
 }
 
-impl Work {
+impl Access {
     /// What a statement does.
     pub fn of(command: &Command) -> Self {
         match command {
@@ -77,15 +77,15 @@
     /// Whole messages, the last of them `Query` or `Sync`.
     pub frames: Bytes,
     /// What becomes of the answers.
-    pub steps: Steps,
+    pub replies: ExpectedReplies,
     /// What its statements do.
-    pub work: Work,
+    pub access: Access,
     /// Whether it begins a transaction.
     pub begins: bool,
     /// Whether it ends a transaction.
     pub ends: bool,
     /// Whether the caller has not ended its batch yet.
-    pub unfinished: bool,
+    pub flushed: bool,
 }
 
 /// A caller that has proved its key.
@@ -95,21 +95,21 @@
     pub(crate) settings: Settings,
     reader: Reader,
     writer: Writer,
-    seat: Seat,
+    permit: Permit,
     /// Whether the caller may know that the host is being stopped.
-    told: bool,
+    drain_notified: bool,
     /// The transaction that is open, if one is.
     pub(crate) exchange: Option<Exchange>,
     /// `Failed` without an exchange stands for a transaction that is already
     /// rolled back and whose end the caller has not asked for yet.
     pub(crate) standing: Standing,
-    cancel: Rc<Cancel>,
+    cancel: Rc<CancelHandle>,
     pub(crate) statements: Statements,
     /// What each portal runs; those of an open transaction stay.
     pub(crate) portals: HashMap<Box<str>, Rc<Statement>>,
     pub(crate) batch: Batch,
     /// What the batch holds.
-    pub(crate) held: Charge,
+    pub(crate) charge: Charge,
     /// Whether messages are skipped up to the next `Sync`, after an error.
     pub(crate) skipping: bool,
 }
@@ -120,18 +120,18 @@
         entry: Rc<Entry>,
         caller: Caller,
         (reader, writer): (Reader, Writer),
-        cancel: Rc<Cancel>,
-        seat: Seat,
+        cancel: Rc<CancelHandle>,
+        permit: Permit,
     ) -> Self {
         Self {
-            held: entry.callers.input.charge(),
+            charge: entry.callers.input.charge(),
             entry,
             caller,
             settings: Settings::default(),
             reader,
             writer,
-            seat,
-            told: false,
+            permit,
+            drain_notified: false,
             exchange: None,
             standing: Standing::Idle,
             cancel,
@@ -144,13 +144,13 @@
 
     /// Serves the caller until it leaves.
     pub async fn run(&mut self, pid: i32) -> anyhow::Result<()> {
-        let notices = match self.start_up() {
+        let notices = match self.apply_startup() {
             Ok(notices) => notices,
             Err(fault) => return self.fatal(&fault).await,
         };
-        self.greet(pid, &notices).await?;
+        self.send_startup(pid, &notices).await?;
         loop {
-            self.seat.set_busy(self.exchange.is_some());
+            self.permit.set_busy(self.exchange.is_some());
             let frame = match self.next().await {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
@@ -158,13 +158,13 @@
                 Err(error) if error.is::<Refusal>() => return Err(error),
                 Err(error) if error.is::<Full>() => {
                     self.exchange = None;
-                    let refusal = answer::refusal(Severity::Fatal, &caller::too_much());
+                    let refusal = answer::refusal(Severity::Fatal, &caller::memory_refusal());
                     self.send(&refusal).await?;
                     return Err(error);
                 }
                 Err(error) => return self.fatal(&Fault::new("08P01", format!("{error:#}"))).await,
             };
-            self.seat.set_busy(true);
+            self.permit.set_busy(true);
             match frame.tag {
                 b'Q' => self.query(&frame).await?,
                 b'P' | b'B' | b'D' | b'E' | b'C' => self.collect(&frame),
@@ -193,23 +193,23 @@
     /// goodbye instead; a request that crosses that on its way is still served.
     async fn next(&mut self) -> anyhow::Result<Option<Frame>> {
         if self.exchange.is_some() {
-            return self.reader.next_within(MESSAGE_WITHIN).await;
+            return self.reader.next_within(MESSAGE_TIMEOUT).await;
         }
         if let Some(frame) = self.reader.ready()? {
             return Ok(Some(frame));
         }
         monoio::select! {
-            frame = self.reader.next_within(MESSAGE_WITHIN) => return frame,
-            _ = self.seat.leaving() => {}
+            frame = self.reader.next_within(MESSAGE_TIMEOUT) => return frame,
+            _ = self.permit.drain_started() => {}
         }
         // A caller without pauses would be served for ever, so this is done once.
-        let wait = if self.told { Duration::ZERO } else { CROSSING };
-        self.told = true;
-        let frame = monoio::time::timeout(wait, self.reader.next_within(MESSAGE_WITHIN)).await;
+        let wait = if self.drain_notified { Duration::ZERO } else { DRAIN_GRACE };
+        self.drain_notified = true;
+        let frame = monoio::time::timeout(wait, self.reader.next_within(MESSAGE_TIMEOUT)).await;
         if let Ok(frame) = frame {
             return frame;
         }
-        let refusal = caller::stopping();
+        let refusal = caller::drain_refusal();
         self.send(&answer::refusal(Severity::Fatal, &refusal)).await?;
         Err(refusal.into())
     }
@@ -220,7 +220,7 @@
     }
 
     /// Takes the settings of the start-up message; gives notices for the caller.
-    fn start_up(&mut self) -> Result<BytesMut, Fault> {
+    fn apply_startup(&mut self) -> Result<BytesMut, Fault> {
         let given = std::mem::take(&mut self.caller.settings);
         let mut notices = BytesMut::new();
         for (name, value) in &given {
@@ -228,7 +228,7 @@
                 "user" | "database" => {}
                 "replication" => return Err(Fault::unsupported("replication")),
                 "options" => {
-                    for (name, value) in settings::options(value)? {
+                    for (name, value) in settings::parse_options(value)? {
                         self.set(&name, Some(&value))?;
                     }
                 }
@@ -250,10 +250,10 @@
         self.settings.set(name, value, owner)
     }
 
-    async fn greet(&mut self, pid: i32, notices: &[u8]) -> anyhow::Result<()> {
+    async fn send_startup(&mut self, pid: i32, notices: &[u8]) -> anyhow::Result<()> {
         let mut out = BytesMut::new();
         frame::put(&mut out, &Authentication::Ok);
-        for (name, value) in self.settings.told() {
+        for (name, value) in self.settings.reported() {
             out.extend_from_slice(&answer::parameter(name, value));
         }
         out.extend_from_slice(notices);
@@ -299,19 +299,19 @@
             Err(error) => return self.fatal(&Fault::new("08P01", format!("{error:#}"))).await,
         };
         self.batch = Batch::default();
-        let commands = sql::commands(&query.query);
+        let commands = sql::parse(&query.query);
         let ends = commands.iter().any(|c| matches!(c, Command::End(_)));
         let result = match self.check_query(&commands) {
             Ok(true) => self.run_locally(&commands),
             Ok(false) => {
                 let request = Request {
                     frames: frame.raw.clone(),
-                    work: commands.iter().map(Work::of).max().unwrap_or_default(),
+                    access: commands.iter().map(Access::of).max().unwrap_or_default(),
                     begins: commands.contains(&Command::Begin),
                     ends,
                     ..Request::default()
                 };
-                return self.finish(request).await;
+                return self.run_request(request).await;
             }
             Err(fault) => Err(fault),
         };
@@ -323,15 +323,15 @@
     }
 
     /// Runs a request and ends its answer.
-    pub(crate) async fn finish(&mut self, request: Request) -> anyhow::Result<()> {
-        let unfinished = request.unfinished;
+    pub(crate) async fn run_request(&mut self, request: Request) -> anyhow::Result<()> {
+        let flushed = request.flushed;
         let (begins, ends) = (request.begins, request.ends);
         let began = self.entry.clock.now();
-        let result = self.request(request).await?;
-        self.measure(began, &result);
+        let result = self.relay_request(request).await?;
+        self.record_metrics(began, &result);
         match result {
             Ok(mut out) => {
-                if !unfinished {
+                if !flushed {
                     out.extend_from_slice(&self.ready());
                 }
                 self.send(&out).await
@@ -343,9 +343,9 @@
                 if begins && !ends && !self.reader.is_empty() {
                     self.standing = Standing::Failed;
                 }
-                self.skipping = unfinished;
+                self.skipping = flushed;
                 let mut out = BytesMut::from(&answer::refusal(Severity::Error, &refusal)[..]);
-                if !unfinished {
+                if !flushed {
                     out.extend_from_slice(&self.ready());
                 }
                 self.send(&out).await
@@ -353,7 +353,7 @@
         }
     }
 
-    fn measure(&self, began: Instant, result: &Result<BytesMut, Refusal>) {
+    fn record_metrics(&self, began: Instant, result: &Result<BytesMut, Refusal>) {
         let Caller { account, group, .. } = &self.caller;
         let total = self.entry.clock.now().saturating_duration_since(began);
         match result {
@@ -363,7 +363,10 @@
     }
 
     /// Runs a request; gives the end of its answer.
-    async fn request(&mut self, request: Request) -> anyhow::Result<Result<BytesMut, Refusal>> {
+    async fn relay_request(
+        &mut self,
+        request: Request,
+    ) -> anyhow::Result<Result<BytesMut, Refusal>> {
         let budget = match self.budget() {
             Ok(budget) => budget,
             Err(refusal) => return Ok(Err(refusal)),
@@ -379,7 +382,7 @@
             Err(refusal) => return Ok(Err(refusal)),
         };
         let config = doc.config.as_ref().context("a revision without a configuration")?;
-        let intent = self.intent(request.work);
+        let intent = self.intent(request.access);
         let frames = request.frames;
         match &self.exchange {
             Some(exchange) => {
@@ -396,7 +399,7 @@
                     intent: intent.clone(),
                     // Kept for the next write: a read in between, such as a
                     // driver's own, must not use it up.
-                    request: if request.work == Work::Write { id.take() } else { None },
+                    request: if request.access == Access::Write { id.take() } else { None },
                     budget,
                     frames,
                 };
@@ -410,19 +413,19 @@
             cancel: &self.cancel,
             intent: &intent,
             deadline,
-            steps: request.steps,
+            replies: request.replies,
             statements: &mut self.statements,
-            watch: request.unfinished,
-            taken: 0,
+            track_failure: request.flushed,
+            delivered: 0,
         };
-        let (answered, steps) = relay.run().await?;
-        if let Ok(answered) = &answered
-            && request.work == Work::Read
+        let (completion, replies) = relay.run().await?;
+        if let Ok(completion) = &completion
+            && request.access == Access::Read
         {
-            self.entry.metrics.read(&self.caller.group, answered.replica);
+            self.entry.metrics.read(&self.caller.group, completion.replica);
         }
-        self.skipping = request.unfinished && steps.failed();
-        Ok(answered.map(|answered| self.settle(answered)))
+        self.skipping = request.flushed && replies.failed();
+        Ok(completion.map(|completion| self.complete(completion)))
     }
 
     fn budget(&self) -> Result<Duration, Refusal> {
@@ -431,24 +434,24 @@
         Ok(self.settings.deadline.or(policy).unwrap_or_default())
     }
 
-    fn intent(&self, work: Work) -> Intent {
+    fn intent(&self, access: Access) -> Intent {
         let floor = self.settings.token.floor(&self.caller.group);
-        match work {
+        match access {
             _ if self.exchange.is_some() => Intent::Write,
-            Work::Describe => Intent::Read { floor, max_age: None },
-            Work::Read => Intent::Read { floor, max_age: self.settings.max_age },
-            Work::Write => Intent::Write,
+            Access::Describe => Intent::Read { floor, max_age: None },
+            Access::Read => Intent::Read { floor, max_age: self.settings.max_age },
+            Access::Write => Intent::Write,
         }
     }
 
-    fn settle(&mut self, answered: Answered) -> BytesMut {
-        self.standing = answered.standing;
-        if answered.standing == Standing::Idle {
+    fn complete(&mut self, completion: Completion) -> BytesMut {
+        self.standing = completion.standing;
+        if completion.standing == Standing::Idle {
             self.exchange = None;
             self.portals.clear();
         }
-        let mut out = BytesMut::from(&answered.frames[..]);
-        if let Some(point) = answered.point {
+        let mut out = BytesMut::from(&completion.frames[..]);
+        if let Some(point) = completion.point {
             self.settings.token.raise(&self.caller.group, point);
             let token = self.settings.token.seal(&self.caller.account, &self.entry.secret);
             out.extend_from_slice(&answer::parameter(settings::SESSION, &token));
--- a/components/entry/src/settings.rs
+++ b/components/entry/src/settings.rs
@@ -13,7 +13,7 @@
 use crate::sql::Command;
 
 /// What the names of the proxy's own settings begin with.
-const OWN: &str = "bergamottrack.";
+const OWN_PREFIX: &str = "bergamottrack.";
 
 /// The setting that carries the session token.
 pub const SESSION: &str = "bergamottrack.session";
@@ -68,74 +68,79 @@
     /// Any: it changes nothing that the caller could notice.
     Any,
     /// Only what is in force anyway.
-    These(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
 }
 
 /// A setting of the server that drivers ask for.
-struct Known {
+struct ServerSetting {
     name: &'static str,
     /// What is in force.
     value: &'static str,
     accept: Accept,
     /// Whether the caller is told of it at its start-up.
-    told: bool,
+    reported: bool,
 }
 
-const fn known(name: &'static str, value: &'static str, accept: Accept, told: bool) -> Known {
-    Known { name, value, accept, told }
+const fn setting(
+    name: &'static str,
+    value: &'static str,
+    accept: Accept,
+    reported: bool,
+) -> ServerSetting {
+    ServerSetting { name, value, accept, reported }
 }
 
 /// The settings of the server that the entry answers itself.
-const KNOWN: [Known; 20] = [
-    known("application_name", "", Accept::Any, true),
-    known("bytea_output", "hex", Accept::These(&["hex"]), false),
-    known("client_encoding", "UTF8", Accept::These(&["utf8", "utf-8", "unicode"]), true),
-    known("client_min_messages", "notice", Accept::Any, false),
-    known("DateStyle", "ISO, MDY", Accept::These(&["iso", "iso, mdy"]), true),
-    known(
+const SERVER_SETTINGS: [ServerSetting; 20] = [
+    setting("application_name", "", Accept::Any, true),
+    setting("bytea_output", "hex", Accept::OneOf(&["hex"]), false),
+    setting("client_encoding", "UTF8", Accept::OneOf(&["utf8", "utf-8", "unicode"]), true),
+    setting("client_min_messages", "notice", Accept::Any, false),
+    setting("DateStyle", "ISO, MDY", Accept::OneOf(&["iso", "iso, mdy"]), true),
+    setting(
         "default_transaction_isolation",
         "read committed",
-        Accept::These(&["read committed"]),
+        Accept::OneOf(&["read committed"]),
         false,
     ),
-    known("default_transaction_read_only", "off", Accept::These(&["off", "false", "0"]), true),
-    known("extra_float_digits", "1", Accept::These(&["1", "2", "3"]), false),
-    known("idle_in_transaction_session_timeout", "0", Accept::These(&["0"]), false),
-    known("in_hot_standby", "off", Accept::These(&[]), true),
-    known("integer_datetimes", "on", Accept::These(&["on"]), true),
-    known("IntervalStyle", "postgres", Accept::These(&["postgres"]), true),
-    known("lock_timeout", "0", Accept::These(&["0"]), false),
-    known(
+    setting("default_transaction_read_only", "off", Accept::OneOf(&["off", "false", "0"]), true),
+    setting("extra_float_digits", "1", Accept::OneOf(&["1", "2", "3"]), false),
+    setting("idle_in_transaction_session_timeout", "0", Accept::OneOf(&["0"]), false),
+    setting("in_hot_standby", "off", Accept::OneOf(&[]), true),
+    setting("integer_datetimes", "on", Accept::OneOf(&["on"]), true),
+    setting("IntervalStyle", "postgres", Accept::OneOf(&["postgres"]), true),
+    setting("lock_timeout", "0", Accept::OneOf(&["0"]), false),
+    setting(
         "search_path",
         "\"$user\", public",
-        Accept::These(&["\"$user\", public", "public"]),
+        Accept::OneOf(&["\"$user\", public", "public"]),
         false,
     ),
-    known("server_encoding", "UTF8", Accept::These(&[]), true),
-    known("server_version", "16.0", Accept::These(&[]), true),
-    known("standard_conforming_strings", "on", Accept::These(&["on"]), true),
-    known("TimeZone", "UTC", Accept::These(&["utc", "gmt", "etc/utc", "z"]), true),
-    known("transaction_isolation", "read committed", Accept::These(&[]), false),
-    known("transaction_read_only", "off", Accept::These(&[]), false),
+    setting("server_encoding", "UTF8", Accept::OneOf(&[]), true),
+    setting("server_version", "16.0", Accept::OneOf(&[]), true),
+    setting("standard_conforming_strings", "on", Accept::OneOf(&["on"]), true),
+    setting("TimeZone", "UTC", Accept::OneOf(&["utc", "gmt", "etc/utc", "z"]), true),
+    setting("transaction_isolation", "read committed", Accept::OneOf(&[]), false),
+    setting("transaction_read_only", "off", Accept::OneOf(&[]), false),
 ];
 
-fn find(name: &str) -> Option<&'static Known> {
+fn find(name: &str) -> Option<&'static ServerSetting> {
     let name = match name {
         "transaction isolation level" => "transaction_isolation",
         "time zone" => "timezone",
         name => name,
     };
-    KNOWN.iter().find(|known| known.name.eq_ignore_ascii_case(name))
+    SERVER_SETTINGS.iter().find(|setting| setting.name.eq_ignore_ascii_case(name))
 }
 
 /// Whether a server runs the statement; the entry runs the others itself.
-pub fn is_for_server(command: &Command) -> bool {
+pub fn runs_on_server(command: &Command) -> bool {
     match command {
         Command::Read | Command::Write | Command::Begin | Command::End(_) | Command::SetLocal => {
             true
         }
         Command::Show(name) => {
-            !name.starts_with(OWN) && **name != *STATEMENT_TIMEOUT && find(name).is_none()
+            !name.starts_with(OWN_PREFIX) && **name != *STATEMENT_TIMEOUT && find(name).is_none()
         }
         _ => false,
     }
@@ -153,7 +158,7 @@
     /// The time that a request may take.
     pub deadline: Option<Duration>,
     /// Values given for settings of the server; at most one for each known one.
-    given: BTreeMap<&'static str, Box<str>>,
+    overrides: BTreeMap<&'static str, Box<str>>,
 }
 
 /// Whose settings they are, which a token is checked against.
@@ -174,25 +179,29 @@
             return Err(Fault::new("22023", format!("the value of {name} is too long")));
         }
         match (name, value) {
-            (SESSION, Some(text)) => self.present(text, owner)?,
+            (SESSION, Some(text)) => self.merge_token(text, owner)?,
             (SESSION, None) => self.token = SessionToken::default(),
-            (REQUEST, text) => self.request = text.map(request).transpose()?,
-            (MAX_AGE, text) => self.max_age = text.map(|t| duration(MAX_AGE, t)).transpose()?,
-            (DEADLINE, text) => self.deadline = text.map(|t| deadline(DEADLINE, t)).transpose()?,
+            (REQUEST, text) => self.request = text.map(parse_request_id).transpose()?,
+            (MAX_AGE, text) => {
+                self.max_age = text.map(|t| parse_duration(MAX_AGE, t)).transpose()?
+            }
+            (DEADLINE, text) => {
+                self.deadline = text.map(|t| parse_deadline(DEADLINE, t)).transpose()?
+            }
             // The server's own limit of a statement's time; 0 is none.
             (STATEMENT_TIMEOUT, None | Some("0")) => self.deadline = None,
             (STATEMENT_TIMEOUT, Some(text)) => {
-                self.deadline = Some(deadline(STATEMENT_TIMEOUT, text)?);
+                self.deadline = Some(parse_deadline(STATEMENT_TIMEOUT, text)?);
             }
-            (name, _) if name.starts_with(OWN) => {
+            (name, _) if name.starts_with(OWN_PREFIX) => {
                 return Err(Fault::new("42704", format!("there is no setting {name}")));
             }
-            (name, value) => self.set_known(name, value)?,
+            (name, value) => self.set_server_setting(name, value)?,
         }
         Ok(())
     }
 
-    fn present(&mut self, text: &str, owner: Owner<'_>) -> Result<(), Fault> {
+    fn merge_token(&mut self, text: &str, owner: Owner<'_>) -> Result<(), Fault> {
         if text.is_empty() {
             return Ok(());
         }
@@ -208,21 +217,21 @@
         Ok(())
     }
 
-    fn set_known(&mut self, name: &str, value: Option<&str>) -> Result<(), Fault> {
-        let known = find(name).ok_or_else(|| Fault::unsupported(&format!("SET {name}")))?;
+    fn set_server_setting(&mut self, name: &str, value: Option<&str>) -> Result<(), Fault> {
+        let setting = find(name).ok_or_else(|| Fault::unsupported(&format!("SET {name}")))?;
         let Some(value) = value else {
-            self.given.remove(known.name);
+            self.overrides.remove(setting.name);
             return Ok(());
         };
-        let fits = match known.accept {
+        let fits = match setting.accept {
             Accept::Any => true,
-            Accept::These(values) => values.iter().any(|v| v.eq_ignore_ascii_case(value)),
+            Accept::OneOf(values) => values.iter().any(|v| v.eq_ignore_ascii_case(value)),
         };
         if !fits {
-            let what = format!("SET {name} to {value:?} in place of {:?}", known.value);
+            let what = format!("SET {name} to {value:?} in place of {:?}", setting.value);
             return Err(Fault::unsupported(&what));
         }
-        self.given.insert(known.name, value.into());
+        self.overrides.insert(setting.name, value.into());
         Ok(())
     }
 
@@ -234,44 +243,47 @@
 
     /// The value of a setting; `None` for one that the server knows.
     pub fn show(&self, name: &str, owner: Owner<'_>) -> Result<Option<String>, Fault> {
-        let shown = |d: Option<Duration>| d.map(|d| format!("{}ms", d.as_millis()));
+        let format_ms = |d: Option<Duration>| d.map(|d| format!("{}ms", d.as_millis()));
         Ok(Some(match name {
             SESSION if self.token.is_empty() => String::new(),
             SESSION => self.token.seal(owner.account, owner.secret),
             REQUEST => self.request.as_ref().map(ToString::to_string).unwrap_or_default(),
-            MAX_AGE => shown(self.max_age).unwrap_or_default(),
-            DEADLINE => shown(self.deadline).unwrap_or_default(),
-            STATEMENT_TIMEOUT => shown(self.deadline).unwrap_or_else(|| "0".into()),
-            name if name.starts_with(OWN) => {
+            MAX_AGE => format_ms(self.max_age).unwrap_or_default(),
+            DEADLINE => format_ms(self.deadline).unwrap_or_default(),
+            STATEMENT_TIMEOUT => format_ms(self.deadline).unwrap_or_else(|| "0".into()),
+            name if name.starts_with(OWN_PREFIX) => {
                 return Err(Fault::new("42704", format!("there is no setting {name}")));
             }
             name => {
-                let Some(known) = find(name) else { return Ok(None) };
-                self.value(known).to_owned()
+                let Some(setting) = find(name) else { return Ok(None) };
+                self.value(setting).to_owned()
             }
         }))
     }
 
-    fn value(&self, known: &Known) -> &str {
+    fn value(&self, setting: &ServerSetting) -> &str {
         // Names of an encoding differ in writing only.
-        match self.given.get(known.name) {
-            Some(given) if known.name != "client_encoding" => given,
-            _ => known.value,
+        match self.overrides.get(setting.name) {
+            Some(value) if setting.name != "client_encoding" => value,
+            _ => setting.value,
         }
     }
 
     /// What a caller is told at its start-up.
-    pub fn told(&self) -> impl Iterator<Item = (&'static str, &str)> {
-        KNOWN.iter().filter(|known| known.told).map(|known| (known.name, self.value(known)))
+    pub fn reported(&self) -> impl Iterator<Item = (&'static str, &str)> {
+        SERVER_SETTINGS
+            .iter()
+            .filter(|setting| setting.reported)
+            .map(|setting| (setting.name, self.value(setting)))
     }
 }
 
-fn request(text: &str) -> Result<RequestId, Fault> {
+fn parse_request_id(text: &str) -> Result<RequestId, Fault> {
     text.parse().map_err(|error| Fault::new("22023", format!("{REQUEST} {text:?}: {error}")))
 }
 
 /// Reads a time: a number of milliseconds, or one with the unit `ms`, `s` or `min`.
-fn duration(name: &str, text: &str) -> Result<Duration, Fault> {
+fn parse_duration(name: &str, text: &str) -> Result<Duration, Fault> {
     let text = text.trim();
     let split = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let (number, unit) = text.split_at(split);
@@ -288,8 +300,8 @@
     })
 }
 
-fn deadline(name: &str, text: &str) -> Result<Duration, Fault> {
-    let length = duration(name, text)?;
+fn parse_deadline(name: &str, text: &str) -> Result<Duration, Fault> {
+    let length = parse_duration(name, text)?;
     if length.is_zero() || length > MAX_DEADLINE {
         let limit = MAX_DEADLINE.as_secs();
         return Err(Fault::new("22023", format!("{name} is to be above 0 and at most {limit}s")));
@@ -299,7 +311,7 @@
 
 /// Reads start-up options such as `-c name=value` or `--name=value`; a blank
 /// within a value stands behind a backslash.
-pub fn options(text: &str) -> Result<Vec<(String, String)>, Fault> {
+pub fn parse_options(text: &str) -> Result<Vec<(String, String)>, Fault> {
     let mut words = vec![String::new()];
     let mut chars = text.chars();
     while let Some(c) = chars.next() {
--- a/components/entry/src/sql.rs
+++ b/components/entry/src/sql.rs
@@ -39,38 +39,38 @@
 }
 
 /// Reads each statement of a text; a text that cannot be read is one write.
-pub fn commands(sql: &str) -> Vec<Command> {
-    match tokens::statements(sql) {
+pub fn parse(sql: &str) -> Vec<Command> {
+    match tokens::split_statements(sql) {
         Some(all) if all.is_empty() => vec![Command::Empty],
-        Some(all) => all.iter().map(|tokens| command(tokens)).collect(),
+        Some(all) => all.iter().map(|tokens| parse_tokens(tokens)).collect(),
         None => vec![Command::Write],
     }
 }
 
 /// Reads a text of one statement, as in a prepared statement.
-pub fn single(sql: &str) -> Command {
-    let mut all = commands(sql);
+pub fn parse_single(sql: &str) -> Command {
+    let mut all = parse(sql);
     if all.len() == 1 { all.remove(0) } else { Command::Write }
 }
 
-fn command(tokens: &[Token]) -> Command {
+fn parse_tokens(tokens: &[Token]) -> Command {
     let word = |i: usize| tokens.get(i).and_then(Token::word).unwrap_or_default();
     if let Some(what) = session_state(tokens) {
         return Command::Unsupported(what);
     }
     match (word(0), word(1)) {
-        ("SELECT" | "VALUES" | "TABLE" | "WITH", _) if only_reads(tokens) => Command::Read,
+        ("SELECT" | "VALUES" | "TABLE" | "WITH", _) if is_read_only(tokens) => Command::Read,
         ("BEGIN", _) | ("START", "TRANSACTION") => Command::Begin,
         ("COMMIT" | "END", _) => Command::End("COMMIT"),
         ("ROLLBACK", _) if tokens.iter().any(|t| t.word() == Some("TO")) => Command::Write,
         ("ROLLBACK" | "ABORT", _) => Command::End("ROLLBACK"),
         ("SET", "LOCAL" | "TRANSACTION" | "CONSTRAINTS") => Command::SetLocal,
-        ("SET", _) => set(&tokens[1..]),
+        ("SET", _) => parse_set(&tokens[1..]),
         ("RESET", "ALL") => Command::Reset(None),
-        ("RESET", _) => Command::Reset(Some(name(&tokens[1..]))),
-        ("SHOW", _) => Command::Show(name(&tokens[1..])),
+        ("RESET", _) => Command::Reset(Some(parse_name(&tokens[1..]))),
+        ("SHOW", _) => Command::Show(parse_name(&tokens[1..])),
         ("DISCARD", "ALL") => Command::Discard,
-        ("DEALLOCATE", _) => deallocate(&tokens[1..]),
+        ("DEALLOCATE", _) => parse_deallocate(&tokens[1..]),
         ("UNLISTEN", _) => Command::Unlisten,
         _ => Command::Write,
     }
@@ -94,7 +94,7 @@
         ("LOAD", _) => return Some("LOAD"),
         ("DISCARD", what) if what != "ALL" => return Some("DISCARD of a part"),
         ("COMMIT" | "ROLLBACK", "PREPARED") => return Some("two-phase commit"),
-        ("COMMIT" | "END" | "ROLLBACK" | "ABORT", _) if chains(tokens) => {
+        ("COMMIT" | "END" | "ROLLBACK" | "ABORT", _) if has_chain(tokens) => {
             return Some("AND CHAIN");
         }
         ("SET", "SESSION") if word(2) == "CHARACTERISTICS" => {
@@ -109,7 +109,7 @@
         _ if into_temporary => return Some("a temporary table"),
         _ => {}
     }
-    let calls = calls(tokens);
+    let calls = called_functions(tokens);
     let locks = |f: &str| f.starts_with("PG_ADVISORY_") || f.starts_with("PG_TRY_ADVISORY_");
     if calls.iter().any(|f| locks(f) && !f.contains("_XACT_")) {
         return Some("an advisory lock of a session");
@@ -117,13 +117,13 @@
     calls.contains(&"SET_CONFIG").then_some("set_config")
 }
 
-fn chains(tokens: &[Token]) -> bool {
+fn has_chain(tokens: &[Token]) -> bool {
     let words: Vec<_> = tokens.iter().filter_map(Token::word).collect();
     words.contains(&"CHAIN") && !words.contains(&"NO")
 }
 
 /// The names that stand before an opening parenthesis.
-fn calls(tokens: &[Token]) -> Vec<&str> {
+fn called_functions(tokens: &[Token]) -> Vec<&str> {
     let pairs = tokens.windows(2).filter(|pair| pair[1] == Token::Symbol('('));
     pairs
         .filter_map(|pair| match &pair[0] {
@@ -136,10 +136,11 @@
 }
 
 /// Words that make a statement change or lock something.
-const CHANGES: [&str; 8] = ["INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "SHARE", "CALL", "LOCK"];
+const WRITE_KEYWORDS: [&str; 8] =
+    ["INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "SHARE", "CALL", "LOCK"];
 
 /// Words that may stand before a parenthesis without being a function.
-const KEYWORDS: [&str; 46] = [
+const NON_FUNCTION_KEYWORDS: [&str; 46] = [
     "ALL",
     "AND",
     "ANY",
@@ -189,7 +190,7 @@
 ];
 
 /// Functions that surely change nothing.
-const PURE: [&str; 50] = [
+const PURE_FUNCTIONS: [&str; 50] = [
     "ABS",
     "ARRAY_AGG",
     "AVG",
@@ -246,23 +247,23 @@
 ///
 /// A function that is not known here may write. It is taken for a write, for a
 /// read that was lost on the way is told as "not run" and tried again.
-fn only_reads(tokens: &[Token]) -> bool {
+fn is_read_only(tokens: &[Token]) -> bool {
     let words = || tokens.iter().filter_map(Token::word);
-    let changes = words().any(|word| CHANGES.contains(&word));
+    let changes = words().any(|word| WRITE_KEYWORDS.contains(&word));
     let qualified = tokens
         .windows(3)
         .any(|part| part[0] == Token::Symbol('.') && part[2] == Token::Symbol('('));
-    let known = |f: &&str| KEYWORDS.contains(f) || PURE.contains(f);
-    !changes && !qualified && calls(tokens).iter().all(known)
+    let known = |f: &&str| NON_FUNCTION_KEYWORDS.contains(f) || PURE_FUNCTIONS.contains(f);
+    !changes && !qualified && called_functions(tokens).iter().all(known)
 }
 
 /// A name of several parts, in small letters.
-fn name(tokens: &[Token]) -> Box<str> {
-    let parts: Vec<String> = tokens.iter().map(text_of).collect();
+fn parse_name(tokens: &[Token]) -> Box<str> {
+    let parts: Vec<String> = tokens.iter().map(token_text).collect();
     parts.join(" ").replace(" . ", ".").to_ascii_lowercase().into()
 }
 
-fn text_of(token: &Token) -> String {
+fn token_text(token: &Token) -> String {
     match token {
         // Unquoted words are the same in capitals and small letters, kept small.
         Token::Word(text) => text.to_lowercase(),
@@ -271,39 +272,41 @@
     }
 }
 
-fn set(tokens: &[Token]) -> Command {
+fn parse_set(tokens: &[Token]) -> Command {
     let tokens = match tokens.first().and_then(Token::word) {
         Some("SESSION") => &tokens[1..],
         _ => tokens,
     };
     let two_words = [("TIME", "ZONE", "timezone"), ("NAMES", "", "client_encoding")];
     let word = |i: usize| tokens.get(i).and_then(Token::word).unwrap_or_default();
-    for (first, second, meant) in two_words {
+    for (first, second, setting) in two_words {
         if word(0) == first && (second.is_empty() || word(1) == second) {
             let skip = if second.is_empty() { 1 } else { 2 };
-            return Command::Set { name: meant.into(), value: value(&tokens[skip..]) };
+            return Command::Set { name: setting.into(), value: parse_value(&tokens[skip..]) };
         }
     }
     let is_end = |t: &Token| *t == Token::Symbol('=') || t.word() == Some("TO");
     match tokens.iter().position(is_end) {
-        Some(at) => Command::Set { name: name(&tokens[..at]), value: value(&tokens[at + 1..]) },
+        Some(at) => {
+            Command::Set { name: parse_name(&tokens[..at]), value: parse_value(&tokens[at + 1..]) }
+        }
         None => Command::Write,
     }
 }
 
-fn value(tokens: &[Token]) -> Option<Box<str>> {
+fn parse_value(tokens: &[Token]) -> Option<Box<str>> {
     match tokens {
         [] => None,
         [Token::Word(word)] if &**word == "DEFAULT" => None,
-        [one] => Some(text_of(one).into()),
+        [one] => Some(token_text(one).into()),
         many => {
-            let text: String = many.iter().map(text_of).collect();
+            let text: String = many.iter().map(token_text).collect();
             Some(text.replace(',', ", ").into())
         }
     }
 }
 
-fn deallocate(tokens: &[Token]) -> Command {
+fn parse_deallocate(tokens: &[Token]) -> Command {
     let tokens = match tokens {
         [Token::Word(first), rest @ ..] if &**first == "PREPARE" => rest,
         all => all,
--- a/components/entry/src/statements.rs
+++ b/components/entry/src/statements.rs
@@ -11,7 +11,7 @@
 };
 
 /// The most prepared statements of one caller.
-pub const MAX_COUNT: usize = 1_000;
+pub const MAX_STATEMENTS: usize = 1_000;
 
 /// The most bytes of all prepared statements of one caller.
 pub const MAX_BYTES: usize = 4 << 20;
@@ -28,14 +28,14 @@
 impl Statement {
     /// Reads what a caller prepares.
     pub fn new(parse: Parse) -> Rc<Self> {
-        let command = sql::single(&parse.query);
+        let command = sql::parse_single(&parse.query);
         let unnamed = Parse::new(None, parse.query, parse.type_oids);
         Rc::new(Self { command, parse: bergamottrack_pg::frame::bytes(&unnamed) })
     }
 
     /// Whether the entry itself can answer for it.
     pub fn is_local(&self) -> bool {
-        matches!(self.command, Command::End(_)) || !settings::is_for_server(&self.command)
+        matches!(self.command, Command::End(_)) || !settings::runs_on_server(&self.command)
     }
 }
 
@@ -54,12 +54,12 @@
     }
 
     /// Whether one more may be kept.
-    pub fn check_room(&self, more: usize) -> Result<(), Fault> {
-        if self.by_name.len() + more < MAX_COUNT && self.bytes < MAX_BYTES {
+    pub fn check_capacity(&self, added: usize) -> Result<(), Fault> {
+        if self.by_name.len() + added < MAX_STATEMENTS && self.bytes < MAX_BYTES {
             return Ok(());
         }
         let message = format!(
-            "a caller has at most {MAX_COUNT} prepared statements of {MAX_BYTES} bytes in all"
+            "a caller has at most {MAX_STATEMENTS} prepared statements of {MAX_BYTES} bytes in all"
         );
         Err(Fault::new("54000", message))
     }
@@ -73,8 +73,8 @@
 
     /// Forgets a statement.
     pub fn remove(&mut self, name: &str) {
-        if let Some(before) = self.by_name.remove(name) {
-            self.bytes -= before.parse.len();
+        if let Some(removed) = self.by_name.remove(name) {
+            self.bytes -= removed.parse.len();
         }
     }
 
--- a/components/entry/src/steps.rs
+++ b/components/entry/src/steps.rs
@@ -12,7 +12,7 @@
 
 /// Who answers one message.
 #[derive(Debug)]
-pub enum Answer {
+pub enum ReplyAction {
     /// The server; the caller gets it.
     Pass,
     /// The server; the caller did not ask for it.
@@ -25,57 +25,57 @@
 #[derive(Debug)]
 pub enum Effect {
     /// The caller has a statement.
-    Keep(Box<str>, Rc<Statement>),
+    Insert(Box<str>, Rc<Statement>),
     /// The caller has it no more.
-    Forget(Box<str>),
+    Remove(Box<str>),
 }
 
 /// What becomes of one message.
 #[derive(Debug)]
-pub struct Step {
+pub struct ExpectedReply {
     /// Who answers it.
-    pub answer: Answer,
+    pub action: ReplyAction,
     /// What follows from it.
     pub effect: Option<Effect>,
 }
 
-impl Step {
+impl ExpectedReply {
     /// The server answers, and the caller gets it.
-    pub const PASS: Self = Self { answer: Answer::Pass, effect: None };
+    pub const PASS: Self = Self { action: ReplyAction::Pass, effect: None };
 
     /// The server answers what the caller did not ask.
-    pub const SKIP: Self = Self { answer: Answer::Skip, effect: None };
+    pub const SKIP: Self = Self { action: ReplyAction::Skip, effect: None };
 
     /// The entry answers.
     pub fn local(bytes: Bytes) -> Self {
-        Self { answer: Answer::Local(bytes), effect: None }
+        Self { action: ReplyAction::Local(bytes), effect: None }
     }
 
     /// The same with an effect.
-    pub fn then(self, effect: Effect) -> Self {
+    pub fn with_effect(self, effect: Effect) -> Self {
         Self { effect: Some(effect), ..self }
     }
 
-    fn is_plain(&self) -> bool {
-        matches!((&self.answer, &self.effect), (Answer::Pass, None))
+    fn is_pass(&self) -> bool {
+        matches!((&self.action, &self.effect), (ReplyAction::Pass, None))
     }
 }
 
 /// The steps of one batch of messages.
 #[derive(Debug, Default)]
-pub struct Steps {
-    queue: VecDeque<Step>,
-    /// Steps in the queue other than [`Step::PASS`].
-    special: usize,
+pub struct ExpectedReplies {
+    queue: VecDeque<ExpectedReply>,
+    /// Steps in the queue other than [`ExpectedReply::PASS`].
+    non_pass: usize,
     /// Whether a message failed: the server skips all that follow it.
     failed: bool,
 }
 
-impl Steps {
+impl ExpectedReplies {
     /// Adds what becomes of the next message.
-    pub fn push(&mut self, step: Step) {
-        self.special += usize::from(!step.is_plain());
-        self.queue.push_back(step);
+    pub fn push(&mut self, reply: ExpectedReply) {
+        self.non_pass += usize::from(!reply.is_pass());
+        self.queue.push_back(reply);
     }
 
     /// Whether a message of the batch failed.
@@ -85,18 +85,18 @@
 
     /// What the caller gets of a part of the answer.
     ///
-    /// With `watch` the part is read to its end, so that [`Steps::failed`] is known.
-    pub fn pass(
+    /// With `track_failure` the part is read to its end, so that [`ExpectedReplies::failed`] is known.
+    pub fn filter(
         &mut self,
         answer: Bytes,
         statements: &mut Statements,
-        watch: bool,
+        track_failure: bool,
     ) -> anyhow::Result<Bytes> {
-        if self.failed || (self.special == 0 && !watch) {
+        if self.failed || (self.non_pass == 0 && !track_failure) {
             return Ok(answer);
         }
         let mut out = BytesMut::with_capacity(answer.len());
-        self.run_local(&mut out, statements);
+        self.drain_local(&mut out, statements);
         for frame in frame::frames(answer)? {
             let ends = matches!(frame.tag, b'1' | b'2' | b'3' | b'C' | b'I' | b'T' | b'n' | b's');
             let skip = ends && self.advance(statements);
@@ -104,10 +104,10 @@
                 out.extend_from_slice(&frame.raw);
             }
             if ends {
-                self.run_local(&mut out, statements);
+                self.drain_local(&mut out, statements);
             }
             if frame.tag == b'E' {
-                (self.failed, self.special) = (true, 0);
+                (self.failed, self.non_pass) = (true, 0);
                 self.queue.clear();
             }
         }
@@ -115,37 +115,37 @@
     }
 
     /// What the caller gets when no server was asked.
-    pub fn local(&mut self, statements: &mut Statements) -> Bytes {
+    pub fn local_replies(&mut self, statements: &mut Statements) -> Bytes {
         let mut out = BytesMut::new();
-        self.run_local(&mut out, statements);
+        self.drain_local(&mut out, statements);
         out.freeze()
     }
 
-    /// Ends the step of a message that the server has answered; whether to skip the answer.
+    /// Ends the reply of a message that the server has answered; whether to skip the answer.
     fn advance(&mut self, statements: &mut Statements) -> bool {
         match self.take(statements) {
-            Some(Answer::Skip) => true,
-            Some(Answer::Pass | Answer::Local(_)) | None => false,
+            Some(ReplyAction::Skip) => true,
+            Some(ReplyAction::Pass | ReplyAction::Local(_)) | None => false,
         }
     }
 
-    fn run_local(&mut self, out: &mut BytesMut, statements: &mut Statements) {
-        let is_local = |step: &Step| matches!(step.answer, Answer::Local(_));
+    fn drain_local(&mut self, out: &mut BytesMut, statements: &mut Statements) {
+        let is_local = |reply: &ExpectedReply| matches!(reply.action, ReplyAction::Local(_));
         while self.queue.front().is_some_and(is_local) {
-            if let Some(Answer::Local(bytes)) = self.take(statements) {
+            if let Some(ReplyAction::Local(bytes)) = self.take(statements) {
                 out.extend_from_slice(&bytes);
             }
         }
     }
 
-    fn take(&mut self, statements: &mut Statements) -> Option<Answer> {
-        let step = self.queue.pop_front()?;
-        self.special -= usize::from(!step.is_plain());
-        match step.effect {
-            Some(Effect::Keep(name, statement)) => statements.insert(name, statement),
-            Some(Effect::Forget(name)) => statements.remove(&name),
+    fn take(&mut self, statements: &mut Statements) -> Option<ReplyAction> {
+        let reply = self.queue.pop_front()?;
+        self.non_pass -= usize::from(!reply.is_pass());
+        match reply.effect {
+            Some(Effect::Insert(name, statement)) => statements.insert(name, statement),
+            Some(Effect::Remove(name)) => statements.remove(&name),
             None => {}
         }
-        Some(step.answer)
+        Some(reply.action)
     }
 }
--- a/components/entry/src/tokens.rs
+++ b/components/entry/src/tokens.rs
@@ -26,10 +26,10 @@
 /// Splits a text into statements of tokens; empty ones are left out.
 ///
 /// `None` when a quote or comment does not end: such a text is for the server to refuse.
-pub fn statements(sql: &str) -> Option<Vec<Vec<Token>>> {
-    let mut scan = Scan { rest: sql };
+pub fn split_statements(sql: &str) -> Option<Vec<Vec<Token>>> {
+    let mut lexer = Lexer { rest: sql };
     let mut all = vec![Vec::new()];
-    while let Some(token) = scan.next()? {
+    while let Some(token) = lexer.next()? {
         match token {
             Token::Symbol(';') => all.push(Vec::new()),
             token => all.last_mut()?.push(token),
@@ -39,15 +39,15 @@
     Some(all)
 }
 
-struct Scan<'a> {
+struct Lexer<'a> {
     rest: &'a str,
 }
 
-fn in_word(c: char) -> bool {
+fn is_word_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || c == '_' || c == '$' || !c.is_ascii()
 }
 
-impl Scan<'_> {
+impl Lexer<'_> {
     /// The next token; `Some(None)` at the end and `None` when a part does not end.
     #[allow(clippy::option_option)]
     fn next(&mut self) -> Option<Option<Token>> {
@@ -69,8 +69,8 @@
                 self.rest = &self.rest[1..];
                 Token::Text(self.quoted('\'', true)?)
             }
-            '$' => self.dollar()?,
-            c if in_word(c) => self.word(),
+            '$' => self.parameter_or_literal()?,
+            c if is_word_char(c) => self.word(),
             c => {
                 self.rest = &self.rest[c.len_utf8()..];
                 Token::Symbol(c)
@@ -116,8 +116,8 @@
     }
 
     /// A parameter such as `$1`, or a constant between two tags such as `$tag$`.
-    fn dollar(&mut self) -> Option<Token> {
-        let tag_len = self.rest[1..].find(|c: char| c == '$' || !in_word(c));
+    fn parameter_or_literal(&mut self) -> Option<Token> {
+        let tag_len = self.rest[1..].find(|c: char| c == '$' || !is_word_char(c));
         let tag = tag_len.and_then(|len| self.rest.get(..len + 2)).filter(|t| t.ends_with('$'));
         match tag {
             Some(tag) if !tag[1..].starts_with(|c: char| c.is_ascii_digit()) => {
@@ -131,7 +131,7 @@
     }
 
     fn word(&mut self) -> Token {
-        let end = self.rest.find(|c| !in_word(c)).unwrap_or(self.rest.len());
+        let end = self.rest.find(|c| !is_word_char(c)).unwrap_or(self.rest.len());
         let (word, rest) = self.rest.split_at(end);
         self.rest = rest;
         Token::Word(word.to_uppercase().into())
--- a/components/entry/tests/sql.rs
+++ b/components/entry/tests/sql.rs
@@ -1,9 +1,9 @@
 //! What statements are taken for.
 
-use bergamottrack_entry::sql::{Command, commands, single};
+use bergamottrack_entry::sql::{Command, parse, parse_single};
 
 fn is_read(sql: &str) -> bool {
-    single(sql) == Command::Read
+    parse_single(sql) == Command::Read
 }
 
 #[test]
@@ -47,10 +47,10 @@
 #[test]
 fn a_text_of_several_statements_is_read_one_by_one() {
     let sql = "BEGIN; INSERT INTO t VALUES (';'); COMMIT;";
-    assert_eq!(commands(sql), [Command::Begin, Command::Write, Command::End("COMMIT")]);
-    assert_eq!(commands(" ; -- nothing\n"), [Command::Empty]);
-    assert_eq!(single("ROLLBACK TO SAVEPOINT a"), Command::Write);
-    assert_eq!(single("abort"), Command::End("ROLLBACK"));
+    assert_eq!(parse(sql), [Command::Begin, Command::Write, Command::End("COMMIT")]);
+    assert_eq!(parse(" ; -- nothing\n"), [Command::Empty]);
+    assert_eq!(parse_single("ROLLBACK TO SAVEPOINT a"), Command::Write);
+    assert_eq!(parse_single("abort"), Command::End("ROLLBACK"));
 }
 
 #[test]
@@ -76,7 +76,7 @@
         ("DEALLOCATE PREPARE \"S1\"", Command::Deallocate(Some("S1".into()))),
     ];
     for (sql, wanted) in cases {
-        assert_eq!(single(sql), wanted, "{sql}");
+        assert_eq!(parse_single(sql), wanted, "{sql}");
     }
 }
 
@@ -97,8 +97,8 @@
         "SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY",
     ];
     for sql in refused {
-        assert!(matches!(single(sql), Command::Unsupported(_)), "{sql}");
+        assert!(matches!(parse_single(sql), Command::Unsupported(_)), "{sql}");
     }
-    assert_eq!(single("COMMIT AND NO CHAIN"), Command::End("COMMIT"));
-    assert_eq!(single("SELECT pg_advisory_xact_lock(1)"), Command::Write);
+    assert_eq!(parse_single("COMMIT AND NO CHAIN"), Command::End("COMMIT"));
+    assert_eq!(parse_single("SELECT pg_advisory_xact_lock(1)"), Command::Write);
 }
