--- a/components/entry/src/extended.rs
+++ b/components/entry/src/extended.rs
@@ -19,11 +19,11 @@
 
 use crate::{
     local,
+    replies::{Effect, ExpectedReplies, ExpectedReply},
     session::{Access, Request, Session},
     settings::Fault,
     sql::Command,
     statements::Statement,
-    steps::{Effect, ExpectedReplies, ExpectedReply},
 };
 
 /// The most bytes of one batch of messages.
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -8,11 +8,11 @@
 pub mod local;
 pub mod login;
 pub mod relay;
+pub mod replies;
 pub mod session;
 pub mod settings;
 pub mod sql;
 pub mod statements;
-pub mod steps;
 pub mod tls;
 pub mod tokens;
 
--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -9,9 +9,9 @@
 
 use crate::{
     context::CancelHandle,
+    replies::ExpectedReplies,
     session::{Reader, Writer},
     statements::Statements,
-    steps::ExpectedReplies,
 };
 
 /// When a caller may come back after a link or host was lost.
--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -31,10 +31,10 @@
     extended::Batch,
     login::Caller,
     relay::{Completion, Relay},
+    replies::ExpectedReplies,
     settings::{self, Fault, Owner, Settings},
     sql::{self, Command},
     statements::{Statement, Statements},
-    steps::ExpectedReplies,
 };
 
 /// How long one message of a caller may be on its way.
