--- a/components/entry/src/admit.rs
+++ b/components/entry/src/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may run at all: key, freshness and rate.
+//! Admission checks of requests: key, configuration freshness and rate limit.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,13 +7,13 @@
 
 use crate::context::Entry;
 
-/// When a caller may come back to a host that cannot show freshness; another
-/// host may serve it at once.
+/// Retry delay for callers of a host that cannot prove its configuration is fresh; another host
+/// may serve them at once.
 const STALE_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 impl Entry {
-    /// Admits one transaction, or one statement outside of any, of the account;
-    /// asked for every one, not at connect. It costs one token.
+    /// Admits one transaction, or one statement outside a transaction, at the cost of one token
+    /// of the account's rate. Called for each of them, not once per connection.
     pub async fn admit(
         &self,
         account: &AccountId,
@@ -21,19 +21,20 @@
     ) -> Result<Rc<RevisionDoc>, Refusal> {
         self.check(account, key)?;
         self.limits.take(account).await?;
-        // Borrowing a token takes a while, in which the key may have been withdrawn.
+        // Checked again: borrowing a token takes time, during which the key may be revoked.
         self.check(account, key)
     }
 
-    /// Admits a further statement of an open transaction.
+    /// Admits a further statement of an open transaction, at no cost in tokens.
     pub fn check(&self, account: &AccountId, key: &KeyId) -> Result<Rc<RevisionDoc>, Refusal> {
         self.check_fresh()?;
         self.check_key(account, key)
     }
 
-    /// Guards against a host that is cut off: it would go on honouring a key
-    /// that was withdrawn, and a share that another host has by now. It serves
-    /// only while it can show that its revision is the newest.
+    /// Refuses requests unless the host can prove that its revision is the newest.
+    ///
+    /// A partitioned host would otherwise keep accepting a revoked key and using a rate share
+    /// that has been reassigned to another host.
     fn check_fresh(&self) -> Result<(), Refusal> {
         if self.current.is_fresh(self.clock.now()) {
             return Ok(());
