--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -1,4 +1,4 @@
-//! A caller that has proved its key: its messages, one after another.
+//! Session of an authenticated caller: reads its messages and serves them in order.
 
 use std::{
     collections::HashMap,
@@ -37,32 +37,32 @@
     statements::{Statement, Statements},
 };
 
-/// How long one message of a caller may be on its way.
+/// Maximum time between the first and the last byte of a caller's message.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a request may have been on its way when a host says goodbye.
+/// Time for which a draining host still accepts requests that were already in transit.
 const DRAIN_GRACE: Duration = Duration::from_millis(100);
 
-/// What a caller's messages are read from.
+/// Reader of a caller's messages.
 pub type Reader = PgReader<ReadHalf<Stream>>;
 
-/// What a caller's answers are written to.
+/// Writer of the answers to a caller.
 pub type Writer = PgWriter<WriteHalf<Stream>>;
 
-/// What the statements of a request do, taken together.
+/// Access mode of a statement, or the strongest one among the statements of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Access {
-    /// No statement runs: they are only prepared and described.
+    /// No statement is executed; statements are only prepared and described.
     #[default]
     Describe,
-    /// All of them surely read.
+    /// All statements are known to be read-only.
     Read,
-    /// One may change data.
+    /// At least one statement may change data.
     Write,
 }
 
 impl Access {
-    /// What a statement does.
+    /// Returns the access mode of a statement.
     pub fn of(command: &Command) -> Self {
         match command {
             Command::Read | Command::Show(_) => Self::Read,
@@ -71,24 +71,24 @@
     }
 }
 
-/// What goes to the home at once, and what becomes of its answer.
+/// Messages sent to the group's home together, and how its answer is processed.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// Whole messages, the last of them `Query` or `Sync`.
+    /// Complete messages, the last of which is `Query` or `Sync`.
     pub frames: Bytes,
-    /// What becomes of the answers.
+    /// Expected replies, in the order of the messages.
     pub replies: ExpectedReplies,
-    /// What its statements do.
+    /// Access mode of its statements.
     pub access: Access,
-    /// Whether it begins a transaction.
+    /// Whether the request begins a transaction.
     pub begins: bool,
-    /// Whether it ends a transaction.
+    /// Whether the request ends a transaction.
     pub ends: bool,
-    /// Whether the caller has not ended its batch yet.
+    /// Whether the caller ended the request with `Flush`, so that its batch continues.
     pub flushed: bool,
 }
 
-/// A caller that has proved its key.
+/// Session of an authenticated caller.
 pub struct Session {
     pub(crate) entry: Rc<Entry>,
     pub(crate) caller: Caller,
@@ -96,26 +96,26 @@
     reader: Reader,
     writer: Writer,
     permit: Permit,
-    /// Whether the caller may know that the host is being stopped.
-    drain_notified: bool,
-    /// The transaction that is open, if one is.
+    /// Whether the caller has already been granted [`DRAIN_GRACE`].
+    grace_used: bool,
+    /// Exchange with the group's home while a transaction is open.
     pub(crate) exchange: Option<Exchange>,
-    /// `Failed` without an exchange stands for a transaction that is already
-    /// rolled back and whose end the caller has not asked for yet.
+    /// Transaction status. `Failed` without an exchange means that the transaction is already
+    /// rolled back but the caller has not sent its `COMMIT` or `ROLLBACK` yet.
     pub(crate) standing: Standing,
     cancel: Rc<CancelHandle>,
     pub(crate) statements: Statements,
-    /// What each portal runs; those of an open transaction stay.
+    /// Statements by portal name; portals are kept until their transaction ends.
     pub(crate) portals: HashMap<Box<str>, Rc<Statement>>,
     pub(crate) batch: Batch,
-    /// What the batch holds.
+    /// Memory charged for the current batch.
     pub(crate) charge: Charge,
-    /// Whether messages are skipped up to the next `Sync`, after an error.
+    /// Whether messages are skipped until the next `Sync`, after an error.
     pub(crate) skipping: bool,
 }
 
 impl Session {
-    /// A session that has said nothing yet.
+    /// Creates the session of a caller that has just been authenticated.
     pub fn new(
         entry: Rc<Entry>,
         caller: Caller,
@@ -131,7 +131,7 @@
             reader,
             writer,
             permit,
-            drain_notified: false,
+            grace_used: false,
             exchange: None,
             standing: Standing::Idle,
             cancel,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Serves the caller until it leaves.
+    /// Serves the caller until it disconnects.
     pub async fn run(&mut self, pid: i32) -> anyhow::Result<()> {
         let notices = match self.apply_startup() {
             Ok(notices) => notices,
@@ -154,7 +154,7 @@
             let frame = match self.next().await {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
-                // Said goodbye to.
+                // The host is draining, and the caller has been notified.
                 Err(error) if error.is::<Refusal>() => return Err(error),
                 Err(error) if error.is::<Full>() => {
                     self.exchange = None;
@@ -171,7 +171,7 @@
                 b'H' => self.flush().await?,
                 b'S' => self.sync().await?,
                 b'X' => return Ok(()),
-                // What is left of a COPY that was refused.
+                // Remaining messages of a COPY that was refused.
                 b'd' | b'c' | b'f' => {}
                 other => {
                     let message = format!("a message of kind {:?} is not served", other as char);
@@ -181,16 +181,18 @@
         }
     }
 
-    /// Ends the connection with a reason.
+    /// Sends a fatal error and ends the connection.
     async fn fatal(&mut self, fault: &Fault) -> anyhow::Result<()> {
-        // Rolled back first: the caller may read on for as long as it likes.
+        // The transaction is rolled back first: sending waits for the caller to read.
         self.exchange = None;
         self.send(&fault.answer(Severity::Fatal)).await?;
         bail!("{}", fault.message)
     }
 
-    /// The next message. Between two requests a host that is being stopped says
-    /// goodbye instead; a request that crosses that on its way is still served.
+    /// Returns the next message, or `None` at the end of the stream.
+    ///
+    /// Outside a transaction, a draining host sends a refusal instead and returns it as the
+    /// error. A request that arrives within [`DRAIN_GRACE`] is still served.
     async fn next(&mut self) -> anyhow::Result<Option<Frame>> {
         if self.exchange.is_some() {
             return self.reader.next_within(MESSAGE_TIMEOUT).await;
@@ -202,9 +204,9 @@
             frame = self.reader.next_within(MESSAGE_TIMEOUT) => return frame,
             _ = self.permit.drain_started() => {}
         }
-        // A caller without pauses would be served for ever, so this is done once.
-        let wait = if self.drain_notified { Duration::ZERO } else { DRAIN_GRACE };
-        self.drain_notified = true;
+        // Granted once: a caller that sends requests without a pause would never be refused.
+        let wait = if self.grace_used { Duration::ZERO } else { DRAIN_GRACE };
+        self.grace_used = true;
         let frame = monoio::time::timeout(wait, self.reader.next_within(MESSAGE_TIMEOUT)).await;
         if let Ok(frame) = frame {
             return frame;
@@ -214,12 +216,12 @@
         Err(refusal.into())
     }
 
-    /// The stream, when the session is over.
+    /// Returns the stream once the session has ended.
     pub fn into_stream(self) -> (Reader, Writer) {
         (self.reader, self.writer)
     }
 
-    /// Takes the settings of the start-up message; gives notices for the caller.
+    /// Applies the settings of the start-up message and returns the notices for the caller.
     fn apply_startup(&mut self) -> Result<BytesMut, Fault> {
         let given = std::mem::take(&mut self.caller.settings);
         let mut notices = BytesMut::new();
@@ -232,8 +234,8 @@
                         self.set(&name, Some(&value))?;
                     }
                 }
-                // Drivers ask for the time zone of their own machine. They are
-                // told of the one in force, as of any other setting.
+                // Drivers request the time zone of their own machine. The refusal is only a
+                // notice, since the effective time zone is reported like any other setting.
                 "timezone" => {
                     if let Err(fault) = self.set("timezone", Some(value)) {
                         notices.extend_from_slice(&answer::notice(fault.code, &fault.message));
@@ -274,17 +276,17 @@
         })
     }
 
-    /// Whether a transaction has failed and is already rolled back.
+    /// Returns whether the transaction has failed and is already rolled back.
     pub(crate) fn is_aborted(&self) -> bool {
         self.standing == Standing::Failed && self.exchange.is_none()
     }
 
-    /// Ends what a refused request leaves open.
+    /// Rolls back the transaction of a refused request and releases its server connection.
+    /// `ends` tells whether the request would have ended the transaction.
     ///
-    /// The transaction is over, and its server's connection given up. The caller
-    /// may already have sent its next statements: were the session idle, they
-    /// would run outside of the transaction they were meant for. So it counts as
-    /// failed until the caller asks for its end, as with any server.
+    /// The caller may already have sent its next statements. In an idle session they would run
+    /// outside the transaction they belong to, so the transaction counts as failed until the
+    /// caller ends it, as in PostgreSQL itself.
     pub(crate) fn abort(&mut self, ends: bool) {
         let was_open = self.standing != Standing::Idle;
         self.exchange = None;
@@ -295,7 +297,7 @@
     async fn query(&mut self, frame: &Frame) -> anyhow::Result<()> {
         let query = match frame.frontend() {
             Ok(PgWireFrontendMessage::Query(query)) => query,
-            Ok(_) => bail!("a query was expected"),
+            Ok(_) => bail!("received another message in place of a query"),
             Err(error) => return self.fatal(&Fault::new("08P01", format!("{error:#}"))).await,
         };
         self.batch = Batch::default();
@@ -322,7 +324,7 @@
         self.send(&answer::join([&bytes, &self.ready()])).await
     }
 
-    /// Runs a request and ends its answer.
+    /// Runs a request and sends the end of its answer to the caller.
     pub(crate) async fn run_request(&mut self, request: Request) -> anyhow::Result<()> {
         let flushed = request.flushed;
         let (begins, ends) = (request.begins, request.ends);
@@ -338,8 +340,8 @@
             }
             Err(refusal) => {
                 self.abort(ends);
-                // Statements that a caller has sent behind its BEGIN are for the
-                // transaction that was refused: run alone they would be half of it.
+                // Statements sent after a refused BEGIN belong to its transaction. Run without
+                // it, they would apply only a part of the transaction.
                 if begins && !ends && !self.reader.is_empty() {
                     self.standing = Standing::Failed;
                 }
@@ -362,7 +364,8 @@
         }
     }
 
-    /// Runs a request; gives the end of its answer.
+    /// Sends a request to the group's home, passes the answer on to the caller and returns its
+    /// last part.
     async fn relay_request(
         &mut self,
         request: Request,
@@ -381,7 +384,7 @@
             Ok(doc) => doc,
             Err(refusal) => return Ok(Err(refusal)),
         };
-        let config = doc.config.as_ref().context("a revision without a configuration")?;
+        let config = doc.config.as_ref().context("revision has no configuration")?;
         let intent = self.intent(request.access);
         let frames = request.frames;
         match &self.exchange {
@@ -397,8 +400,8 @@
                     group: self.caller.group.clone(),
                     account: self.caller.account.clone(),
                     intent: intent.clone(),
-                    // Kept for the next write: a read in between, such as a
-                    // driver's own, must not use it up.
+                    // Reserved for the next write: a read in between, such as one that a driver
+                    // sends itself, must not consume the id.
                     request: if request.access == Access::Write { id.take() } else { None },
                     budget,
                     frames,
@@ -407,7 +410,7 @@
             }
         }
         let relay = Relay {
-            exchange: self.exchange.as_mut().context("an exchange was opened")?,
+            exchange: self.exchange.as_mut().context("no exchange is open")?,
             reader: &mut self.reader,
             writer: &mut self.writer,
             cancel: &self.cancel,
