--- a/components/entry/src/extended.rs
+++ b/components/entry/src/extended.rs
@@ -1,8 +1,8 @@
-//! Extended query: a caller's batches of messages and its prepared statements.
+//! Extended query protocol: batches of messages and prepared statements of a caller.
 //!
-//! Towards the home everything uses the unnamed statement, which is prepared
-//! again wherever it is needed. So a server's connection keeps nothing of one
-//! caller for the next.
+//! Messages to the group's home only use the unnamed statement, which is prepared again
+//! wherever it is needed. Server connections are shared, so they must not keep the prepared
+//! statements of one caller for the next.
 
 use std::rc::Rc;
 
@@ -26,32 +26,33 @@
     statements::Statement,
 };
 
-/// The most bytes of one batch of messages.
+/// Maximum size of a batch of messages, in bytes.
 const MAX_BATCH: usize = 16 << 20;
 
-/// The most portals that a transaction holds.
+/// Maximum number of portals in a transaction.
 const MAX_PORTALS: usize = 1_000;
 
-/// Which kind of thing a message names.
+/// Target type of `Describe` and `Close` messages that name a prepared statement.
 const STATEMENT: u8 = b'S';
 
-/// The messages since the last `Sync`.
+/// Messages received since the last `Sync` or `Flush`.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// What goes to the home.
+    /// Messages to send to the group's home.
     frames: BytesMut,
     replies: ExpectedReplies,
-    /// Statements that the batch prepares and, without one, closes.
+    /// Names of the statements that the batch prepares, or closes if the value is `None`.
     named: Vec<(Box<str>, Option<Rc<Statement>>)>,
-    /// What the server's unnamed statement will be.
+    /// Statement that the server's unnamed statement holds after the batch's messages so far.
     current: Option<Rc<Statement>>,
     access: Access,
-    /// What the batch runs on a server, in order.
+    /// Whether the batch begins a transaction on a server.
     begins: bool,
+    /// Whether the batch ends a transaction on a server.
     ends: bool,
-    /// Why nothing of it runs.
+    /// Error because of which no message of the batch is sent.
     fault: Option<Fault>,
-    /// Bytes of all its messages.
+    /// Size of all its messages, in bytes.
     size: usize,
 }
 
@@ -67,7 +68,7 @@
         self.current = Some(statement.clone());
     }
 
-    /// Has the server's unnamed statement be this one.
+    /// Prepares the statement as the server's unnamed statement unless it already is.
     fn prepare(&mut self, statement: &Rc<Statement>) {
         let is_current = self.current.as_ref().is_some_and(|c| Rc::ptr_eq(c, statement));
         if !is_current {
@@ -81,7 +82,7 @@
 }
 
 impl Session {
-    /// Takes a message of a batch; nothing runs before its end.
+    /// Adds a message to the batch. Statements run on a server only once the batch ends.
     pub(crate) fn collect(&mut self, frame: &Frame) {
         if self.skipping || self.batch.fault.is_some() {
             return;
@@ -95,7 +96,7 @@
             self.take(frame)
         };
         if let Err(fault) = taken {
-            // Nothing of the batch is sent, so "not run" is true of all of it.
+            // No message of the batch is sent, so "not run" holds for all of its statements.
             self.batch = Batch { fault: Some(fault), ends: self.batch.ends, ..Batch::default() };
         }
     }
@@ -189,7 +190,7 @@
         let name = execute.name.as_deref().unwrap_or_default();
         let statement = self.portals.get(name).cloned();
         let Some(statement) = statement else {
-            // The server knows no such portal either, and says so.
+            // The server does not have this portal either, and returns the error.
             self.batch.access = Access::Write;
             self.batch.send(execute, ExpectedReply::PASS);
             return Ok(());
@@ -211,7 +212,8 @@
         Ok(())
     }
 
-    /// Runs a `COMMIT` or `ROLLBACK`, of which the server has heard nothing so far.
+    /// Adds a `COMMIT` or `ROLLBACK` to the batch. Its `Parse` and `Bind` are answered locally,
+    /// so the server receives them here.
     fn end_transaction(&mut self, statement: &Rc<Statement>) {
         self.batch.prepare(statement);
         self.batch.send(&Bind::new(None, None, vec![], vec![], vec![]), ExpectedReply::SKIP);
@@ -255,7 +257,7 @@
         Ok(())
     }
 
-    /// Ends a batch.
+    /// Handles `Sync`: runs the batch and ends it.
     pub(crate) async fn sync(&mut self) -> anyhow::Result<()> {
         if std::mem::take(&mut self.skipping) {
             self.batch = Batch::default();
@@ -270,11 +272,11 @@
         self.run_batch(batch, false).await
     }
 
-    /// Gives the answers to what has come of a batch so far.
+    /// Handles `Flush`: runs the messages of the batch so far.
     ///
-    /// A server is always sent a `Sync`. That makes no difference within a
-    /// transaction, nor as long as statements are only prepared. Elsewhere it
-    /// would commit what the caller may still want undone: refused.
+    /// The server always receives a `Sync`. This makes no difference within a transaction or
+    /// while statements are only prepared. Otherwise it would commit changes that the caller may
+    /// still need to roll back, so the `Flush` is refused.
     pub(crate) async fn flush(&mut self) -> anyhow::Result<()> {
         if self.skipping {
             return Ok(());
@@ -305,7 +307,7 @@
             return self.send(&self.ready()).await;
         }
         if self.is_aborted() {
-            // Run now, its statements would be outside of the transaction they are for.
+            // The statements would run outside the transaction they belong to.
             self.skipping = flushed;
             self.send(&local::aborted_fault().answer(Severity::Error)).await?;
             return if flushed { Ok(()) } else { self.send(&self.ready()).await };
