--- a/components/entry/src/settings.rs
+++ b/components/entry/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings of a caller's session. The entry keeps them itself: a server's
-//! connection carries none, for it goes from caller to caller.
+//! Session settings of a caller. They are stored in the entry and never set on a server
+//! connection, since server connections are shared by callers.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,72 +12,72 @@
 
 use crate::sql::Command;
 
-/// What the names of the proxy's own settings begin with.
+/// Prefix of the names of the proxy's own settings.
 const OWN_PREFIX: &str = "bergamottrack.";
 
-/// The setting that carries the session token.
+/// Setting that carries the session token.
 pub const SESSION: &str = "bergamottrack.session";
 
-/// The setting that makes the next statement or transaction run at most once.
+/// Setting of the request id, with which the next statement or transaction runs at most once.
 pub const REQUEST: &str = "bergamottrack.request";
 
-/// The setting of the age that reads accept.
+/// Setting of the maximum age of the data that reads accept.
 pub const MAX_AGE: &str = "bergamottrack.max_age";
 
-/// The setting of the time that a request may take.
+/// Setting of the request timeout.
 pub const DEADLINE: &str = "bergamottrack.deadline";
 
-/// The server's setting of the time that a statement may take.
+/// Statement timeout setting of PostgreSQL; it sets the request timeout.
 const STATEMENT_TIMEOUT: &str = "statement_timeout";
 
-/// The longest time that a caller may state for a request.
+/// Maximum request timeout that a caller may set.
 pub const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
-/// The longest value that is kept.
+/// Maximum length of the value of a setting, in bytes.
 const MAX_VALUE_LEN: usize = 4096;
 
-/// An error of a caller's own making, with its SQLSTATE; nothing ran.
+/// Error caused by the caller, with its SQLSTATE. The statements did not run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// The code of the SQL standard.
+    /// SQLSTATE of the error.
     pub code: &'static str,
-    /// What a person should know.
+    /// Message for people.
     pub message: Box<str>,
 }
 
 impl Fault {
-    /// An error with its SQLSTATE.
+    /// Creates an error with its SQLSTATE.
     pub fn new(code: &'static str, message: impl Into<Box<str>>) -> Self {
         Self { code, message: message.into() }
     }
 
-    /// What asks for a server session of the caller's own.
+    /// Creates the error for a feature that needs a dedicated server connection.
     pub fn unsupported(what: &str) -> Self {
         let why = "a server's connection is kept for one transaction only";
         Self::new("0A000", format!("{what} is not carried: {why}"))
     }
 
-    /// The error as the caller gets it.
+    /// Returns the error as a message to the caller.
     pub fn answer(&self, severity: Severity) -> Bytes {
         answer::error(severity, self.code, &self.message, Some("not run"), None)
     }
 }
 
-/// Which values a setting of the server may be given.
+/// Values that a caller may assign to a setting of the server.
 enum Accept {
-    /// Any: it changes nothing that the caller could notice.
+    /// All values, since the setting has no effect that the caller could notice.
     Any,
-    /// Only what is in force anyway.
+    /// Spellings of the value that is in effect anyway.
     OneOf(&'static [&'static str]),
 }
 
-/// A setting of the server that drivers ask for.
+/// Setting of the server that drivers use.
 struct ServerSetting {
     name: &'static str,
-    /// What is in force.
+    /// Value in effect.
     value: &'static str,
     accept: Accept,
-    /// Whether the caller is told of it at its start-up.
+    /// Whether the value is reported to the caller at start-up.
     reported: bool,
 }
 
@@ -90,7 +90,7 @@
     ServerSetting { name, value, accept, reported }
 }
 
-/// The settings of the server that the entry answers itself.
+/// Settings of the server that the entry handles itself.
 const SERVER_SETTINGS: [ServerSetting; 20] = [
     setting("application_name", "", Accept::Any, true),
     setting("bytea_output", "hex", Accept::OneOf(&["hex"]), false),
@@ -133,7 +133,7 @@
     SERVER_SETTINGS.iter().find(|setting| setting.name.eq_ignore_ascii_case(name))
 }
 
-/// Whether a server runs the statement; the entry runs the others itself.
+/// Returns whether the statement runs on a server; the entry handles all others itself.
 pub fn runs_on_server(command: &Command) -> bool {
     match command {
         Command::Read | Command::Write | Command::Begin | Command::End(_) | Command::SetLocal => {
@@ -146,34 +146,34 @@
     }
 }
 
-/// The settings of a caller's session.
+/// Session settings of a caller.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// What the session has been told of.
+    /// Token with the positions that the session has seen.
     pub token: SessionToken,
-    /// The id of the next statement or transaction, if it must run at most once.
+    /// Id of the next statement or transaction, if it must run at most once.
     pub request: Option<RequestId>,
-    /// The age that reads accept.
+    /// Maximum age of the data that reads accept.
     pub max_age: Option<Duration>,
-    /// The time that a request may take.
+    /// Request timeout.
     pub deadline: Option<Duration>,
-    /// Values given for settings of the server; at most one for each known one.
+    /// Values assigned to server settings; at most one for each of [`SERVER_SETTINGS`].
     overrides: BTreeMap<&'static str, Box<str>>,
 }
 
-/// Whose settings they are, which a token is checked against.
+/// Owner of the settings; a session token must be issued to the same account.
 #[derive(Clone, Copy)]
 pub struct Owner<'a> {
-    /// The client account.
+    /// Client account.
     pub account: &'a AccountId,
-    /// The secret that all hosts share.
+    /// Secret shared by all hosts.
     pub secret: &'a Secret,
 }
 
 impl Settings {
-    /// Gives a setting a value, or its default again.
+    /// Sets a setting to a value, or to its default if `value` is `None`.
     ///
-    /// A setting that cannot be kept is refused and never dropped in silence.
+    /// A setting that is not supported is refused; it is never ignored silently.
     pub fn set(&mut self, name: &str, value: Option<&str>, owner: Owner<'_>) -> Result<(), Fault> {
         if value.is_some_and(|value| value.len() > MAX_VALUE_LEN) {
             return Err(Fault::new("22023", format!("the value of {name} is too long")));
@@ -188,7 +188,7 @@
             (DEADLINE, text) => {
                 self.deadline = text.map(|t| parse_deadline(DEADLINE, t)).transpose()?
             }
-            // The server's own limit of a statement's time; 0 is none.
+            // In PostgreSQL, 0 disables the statement timeout.
             (STATEMENT_TIMEOUT, None | Some("0")) => self.deadline = None,
             (STATEMENT_TIMEOUT, Some(text)) => {
                 self.deadline = Some(parse_deadline(STATEMENT_TIMEOUT, text)?);
@@ -235,13 +235,13 @@
         Ok(())
     }
 
-    /// Gives all settings their defaults; what the session has been told of stays.
+    /// Resets all settings to their defaults, except for the session token.
     pub fn reset(&mut self) {
         let token = std::mem::take(&mut self.token);
         *self = Self { token, ..Self::default() };
     }
 
-    /// The value of a setting; `None` for one that the server knows.
+    /// Returns the value of a setting, or `None` if it has to be read from the server.
     pub fn show(&self, name: &str, owner: Owner<'_>) -> Result<Option<String>, Fault> {
         let format_ms = |d: Option<Duration>| d.map(|d| format!("{}ms", d.as_millis()));
         Ok(Some(match name {
@@ -262,14 +262,14 @@
     }
 
     fn value(&self, setting: &ServerSetting) -> &str {
-        // Names of an encoding differ in writing only.
+        // The accepted names of the encoding differ in spelling only.
         match self.overrides.get(setting.name) {
             Some(value) if setting.name != "client_encoding" => value,
             _ => setting.value,
         }
     }
 
-    /// What a caller is told at its start-up.
+    /// Returns the settings that are reported to the caller at start-up, with their values.
     pub fn reported(&self) -> impl Iterator<Item = (&'static str, &str)> {
         SERVER_SETTINGS
             .iter()
@@ -282,7 +282,7 @@
     text.parse().map_err(|error| Fault::new("22023", format!("{REQUEST} {text:?}: {error}")))
 }
 
-/// Reads a time: a number of milliseconds, or one with the unit `ms`, `s` or `min`.
+/// Parses a duration: a number of milliseconds, or a number with the unit `ms`, `s` or `min`.
 fn parse_duration(name: &str, text: &str) -> Result<Duration, Fault> {
     let text = text.trim();
     let split = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
@@ -309,13 +309,13 @@
     Ok(length)
 }
 
-/// Reads start-up options such as `-c name=value` or `--name=value`; a blank
-/// within a value stands behind a backslash.
+/// Parses start-up options such as `-c name=value` or `--name=value`. Blanks in a value are
+/// escaped with a backslash.
 pub fn parse_options(text: &str) -> Result<Vec<(String, String)>, Fault> {
     let mut words = vec![String::new()];
     let mut chars = text.chars();
     while let Some(c) = chars.next() {
-        let last = words.last_mut().expect("there is always a word");
+        let last = words.last_mut().expect("the list of words is never empty");
         match c {
             '\\' => last.extend(chars.next()),
             c if c.is_whitespace() => words.push(String::new()),
