--- a/components/entry/src/login.rs
+++ b/components/entry/src/login.rs
@@ -1,4 +1,6 @@
-//! The start of a caller's connection: who it is and what it wants.
+//! Start-up and authentication of callers' connections.
+//!
+//! The texts of all errors in this module are sent to the caller.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -22,23 +24,23 @@
 
 use crate::context::Entry;
 
-/// Random bytes of the server's part of the key exchange.
+/// Number of random bytes in the server's nonce of the SCRAM exchange.
 const NONCE_LEN: usize = 18;
 
-/// Who a caller is and what it wants.
+/// Identity of a caller and its start-up settings.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The client account.
+    /// Client account.
     pub account: AccountId,
-    /// The key it proved.
+    /// Key with which the caller authenticates.
     pub key: KeyId,
-    /// The database group it asked for.
+    /// Database group named as the database.
     pub group: GroupId,
-    /// All start-up settings.
+    /// All settings of the start-up message.
     pub settings: BTreeMap<String, String>,
 }
 
-/// The caller did not prove the key that it names, or there is no such key.
+/// Error for a caller that did not prove its key, or that named an unknown account or key.
 #[derive(Clone, Copy, Debug)]
 struct InvalidKey;
 
@@ -48,18 +50,20 @@
     }
 }
 
-/// What a new connection turned out to be.
+/// First message of a new connection.
 pub enum FirstMessage {
-    /// A caller that wants statements run.
+    /// Start-up message of a caller, with its settings.
     Startup(BTreeMap<String, String>),
-    /// A request to cancel what another connection runs.
+    /// Request to cancel the running request of another connection.
     Cancel(CancelRequest),
-    /// A caller that wants to be encrypted and has been answered with a yes.
+    /// TLS request, which has been accepted.
     StartTls,
 }
 
-/// Reads up to the start-up message; encryption that is not offered is refused
-/// with a plain `N`, after which the caller may go on without.
+/// Reads the first message of a connection.
+///
+/// TLS requests are accepted if `tls_offered` is set. Otherwise they are refused with `N`, after
+/// which the caller may continue without encryption.
 pub async fn read_first_message<R, W>(
     reader: &mut PgReader<R>,
     writer: &mut PgWriter<W>,
@@ -89,7 +93,7 @@
     }
 }
 
-/// Reads who the caller says it is: user `account.key`, database the group.
+/// Parses the identity that a caller claims: the user is `account.key`, the database the group.
 pub fn identify(settings: BTreeMap<String, String>) -> anyhow::Result<Caller> {
     let user = settings.get("user").context("the start-up names no user")?;
     let (account, key) =
@@ -103,10 +107,10 @@
     })
 }
 
-/// Lets the caller prove its key; the key itself never crosses the wire.
+/// Authenticates a caller by SCRAM, in which the key itself is never transmitted.
 ///
-/// An unknown account or key goes through the same steps, so that a stranger
-/// cannot tell which names exist.
+/// Unknown accounts and keys go through the same steps, so that clients without a key cannot
+/// find out which names exist.
 pub async fn authenticate<R, W>(
     entry: &Entry,
     caller: &Caller,
@@ -165,7 +169,7 @@
     Ok(PasswordMessageFamily::Raw(body).into_sasl_initial_response()?)
 }
 
-/// What a caller whose start-up failed is told.
+/// Returns the error message to a caller whose start-up failed.
 pub fn error_response(error: &anyhow::Error) -> Bytes {
     let text = format!("{error:#}");
     let code = if error.is::<InvalidKey>() { "28P01" } else { "28000" };
