--- a/components/entry/src/replies.rs
+++ b/components/entry/src/replies.rs
@@ -1,7 +1,7 @@
-//! Which messages of a server's answer the caller gets.
+//! Selection of the messages in a server's answer that are passed on to the caller.
 //!
-//! A server answers in the order of the messages it was sent. Some of these
-//! the entry added itself, and some messages of the caller it answers itself.
+//! A server replies in the order of the messages it receives. Some of these messages were added
+//! by the entry, and some messages of the caller are answered by the entry and not sent.
 
 use std::{collections::VecDeque, rc::Rc};
 
@@ -10,48 +10,48 @@
 
 use crate::statements::{Statement, Statements};
 
-/// Who answers one message.
+/// Source of the reply to a message, and whether it is passed on.
 #[derive(Debug)]
 pub enum ReplyAction {
-    /// The server; the caller gets it.
+    /// The server replies, and the reply is passed on to the caller.
     Pass,
-    /// The server; the caller did not ask for it.
+    /// The server replies, but the reply is dropped: the entry added the message.
     Skip,
-    /// The entry.
+    /// The entry replies with these messages.
     Local(Bytes),
 }
 
-/// What follows for the caller's prepared statements once a message is answered.
+/// Change to the caller's prepared statements once a message is answered.
 #[derive(Debug)]
 pub enum Effect {
-    /// The caller has a statement.
+    /// Adds a statement.
     Insert(Box<str>, Rc<Statement>),
-    /// The caller has it no more.
+    /// Removes a statement.
     Remove(Box<str>),
 }
 
-/// What becomes of one message.
+/// Expected reply to one message.
 #[derive(Debug)]
 pub struct ExpectedReply {
-    /// Who answers it.
+    /// Source of the reply.
     pub action: ReplyAction,
-    /// What follows from it.
+    /// Effect of the reply on the caller's prepared statements.
     pub effect: Option<Effect>,
 }
 
 impl ExpectedReply {
-    /// The server answers, and the caller gets it.
+    /// Reply of the server that is passed on to the caller.
     pub const PASS: Self = Self { action: ReplyAction::Pass, effect: None };
 
-    /// The server answers what the caller did not ask.
+    /// Reply of the server to a message that the entry added; it is dropped.
     pub const SKIP: Self = Self { action: ReplyAction::Skip, effect: None };
 
-    /// The entry answers.
+    /// Creates a reply by the entry.
     pub fn local(bytes: Bytes) -> Self {
         Self { action: ReplyAction::Local(bytes), effect: None }
     }
 
-    /// The same with an effect.
+    /// Returns the reply with an effect added.
     pub fn with_effect(self, effect: Effect) -> Self {
         Self { effect: Some(effect), ..self }
     }
@@ -61,31 +61,32 @@
     }
 }
 
-/// The steps of one batch of messages.
+/// Expected replies to the messages of a batch, in order.
 #[derive(Debug, Default)]
 pub struct ExpectedReplies {
     queue: VecDeque<ExpectedReply>,
-    /// Steps in the queue other than [`ExpectedReply::PASS`].
+    /// Number of replies in the queue other than [`ExpectedReply::PASS`].
     non_pass: usize,
-    /// Whether a message failed: the server skips all that follow it.
+    /// Whether a message failed; the server then skips the rest of the batch.
     failed: bool,
 }
 
 impl ExpectedReplies {
-    /// Adds what becomes of the next message.
+    /// Adds the expected reply to the next message.
     pub fn push(&mut self, reply: ExpectedReply) {
         self.non_pass += usize::from(!reply.is_pass());
         self.queue.push_back(reply);
     }
 
-    /// Whether a message of the batch failed.
+    /// Returns whether a message of the batch failed.
     pub fn failed(&self) -> bool {
         self.failed
     }
 
-    /// What the caller gets of a part of the answer.
+    /// Returns the messages in a part of the server's answer that the caller receives.
     ///
-    /// With `track_failure` the part is read to its end, so that [`ExpectedReplies::failed`] is known.
+    /// If `track_failure` is set, the part is always read to its end, so that
+    /// [`ExpectedReplies::failed`] is valid afterwards.
     pub fn filter(
         &mut self,
         answer: Bytes,
@@ -114,7 +115,7 @@
         Ok(out.freeze())
     }
 
-    /// What the caller gets when no server was asked.
+    /// Returns the answer to a batch of which no message was sent to a server.
     pub fn local_replies(&mut self, statements: &mut Statements) -> Bytes {
         let mut out = BytesMut::new();
         self.drain_local(&mut out, statements);
