--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: to the home and back.
+//! Relay of the answer to one request from the group's home to the caller.
 
 use std::time::{Duration, Instant};
 
@@ -14,53 +14,55 @@
     statements::Statements,
 };
 
-/// When a caller may come back after a link or host was lost.
+/// Retry delay for callers after the link to the home or its host was lost.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How much later than the home the entry gives up: the home knows more.
+/// Time by which the entry's timeout exceeds the home's. The home has more information about
+/// the request, so its refusal is preferred.
 const HOME_GRACE: Duration = Duration::from_millis(200);
 
-/// The most bytes read ahead of a caller while its request runs.
+/// Maximum number of bytes read ahead from a caller while its request runs.
 const READ_AHEAD: usize = 64 << 10;
 
-/// The last part of an answer.
+/// Last part of an answer.
 pub struct Completion {
-    /// Messages that end the answer, without `ReadyForQuery`.
+    /// Final messages of the answer, without `ReadyForQuery`.
     pub frames: Bytes,
-    /// How the transaction stands.
+    /// Transaction status after the request.
     pub standing: Standing,
-    /// What a confirmed write has reached.
+    /// Position of a confirmed write.
     pub point: Option<Point>,
-    /// Whether a replica answered.
+    /// Whether a replica served the request.
     pub replica: bool,
 }
 
-/// Passes an answer on to the caller.
+/// Relay of one answer to the caller.
 pub struct Relay<'a> {
-    /// Where the answer comes from.
+    /// Exchange from which the answer is received.
     pub exchange: &'a mut Exchange,
-    /// Where the caller's next messages come from.
+    /// Reader of the caller's next messages, which are read ahead.
     pub reader: &'a mut Reader,
-    /// Where the answer goes.
+    /// Writer to which the answer is sent.
     pub writer: &'a mut Writer,
-    /// The caller's wish to have it cancelled.
+    /// Handle through which the caller cancels the request.
     pub cancel: &'a CancelHandle,
-    /// What the exchange was opened for.
+    /// Intent of the request; it decides whether a lost request may have run.
     pub intent: &'a Intent,
-    /// When the request is given up.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// What becomes of each message of the answer.
+    /// Expected replies to the request's messages.
     pub replies: ExpectedReplies,
-    /// The caller's prepared statements.
+    /// Prepared statements of the caller.
     pub statements: &'a mut Statements,
-    /// Whether it must be known if a message failed.
+    /// Whether the answer is searched for a failed message.
     pub track_failure: bool,
-    /// Bytes of the answer that the caller has taken.
+    /// Number of bytes of the answer that were sent to the caller.
     pub delivered: u64,
 }
 
 impl Relay<'_> {
-    /// Passes an answer on up to its last part; an error when the caller is gone.
+    /// Passes the answer on, except for its last part, which is returned. Fails if the caller
+    /// disconnects or stops reading.
     pub async fn run(mut self) -> anyhow::Result<(Result<Completion, Refusal>, ExpectedReplies)> {
         self.cancel.begin();
         let result = self.answer().await;
@@ -78,7 +80,7 @@
                     continue;
                 }
                 result = self.reader.read_ahead(READ_AHEAD) => {
-                    result.context("the caller left while its request ran")?;
+                    result.context("caller disconnected while its request was running")?;
                     continue;
                 }
                 _ = monoio::time::sleep_until(deadline.into()) => {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// When the request is given up; a large answer has the longer for being taken.
+    /// Returns the deadline, extended by the transfer time of the bytes sent so far.
     fn extended_deadline(&self) -> Instant {
         self.deadline + pace::transfer_time(self.delivered)
     }
@@ -108,7 +110,7 @@
         let bytes = self.replies.filter(bytes, self.statements, self.track_failure)?;
         let deadline = self.extended_deadline() + HOME_GRACE;
         let sent = monoio::time::timeout_at(deadline.into(), self.writer.send(&bytes)).await;
-        sent.context("the caller does not take its answer")??;
+        sent.context("caller did not read its answer in time")??;
         self.exchange.send(ToHome::Credit(length));
         self.delivered += length;
         Ok(())
