--- a/components/entry/src/replies.rs
+++ b/components/entry/src/replies.rs
@@ -122,7 +122,8 @@
         out.freeze()
     }
 
-    /// Ends the reply of a message that the server has answered; whether to skip the answer.
+    /// Removes the expected reply to a message that the server has answered. Returns whether the
+    /// server's reply is dropped.
     fn advance(&mut self, statements: &mut Statements) -> bool {
         match self.take(statements) {
             Some(ReplyAction::Skip) => true,
