--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -56,7 +56,7 @@
     pub statements: &'a mut Statements,
     /// Whether the answer is searched for a failed message.
     pub track_failure: bool,
-    /// Number of bytes of the answer that were sent to the caller.
+    /// Number of bytes of the answer passed on so far.
     pub delivered: u64,
 }
 
