--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry: callers' connections, keys, session tokens, limits and answers.
+//! Entry of a host: callers' connections, authentication, session tokens, rate limits and
+//! answers.
 
 pub mod admit;
 pub mod caller;
