--- a/components/entry/src/local.rs
+++ b/components/entry/src/local.rs
@@ -1,4 +1,4 @@
-//! Statements that the entry answers itself, without any server.
+//! Statements that the entry answers itself, without a server.
 
 use bergamottrack_peer::message::Standing;
 use bergamottrack_pg::{answer, frame};
@@ -14,10 +14,10 @@
     sql::Command,
 };
 
-/// The type number of a text.
+/// Object id of the PostgreSQL type `text`.
 const TEXT_OID: u32 = 25;
 
-/// The columns of a statement that the entry answers.
+/// Returns the description of the columns of a statement that the entry answers.
 pub fn columns(command: &Command) -> Bytes {
     match command {
         Command::Show(name) => {
@@ -36,7 +36,8 @@
 }
 
 impl Session {
-    /// Whether the entry answers a query itself; an error when nobody may run it.
+    /// Returns whether the entry answers the statements of a query itself, or an error if the
+    /// query must not run at all.
     pub(crate) fn check_query(&self, commands: &[Command]) -> Result<bool, Fault> {
         if let Some(Command::Unsupported(what)) =
             commands.iter().find(|c| matches!(c, Command::Unsupported(_)))
@@ -62,7 +63,7 @@
         Ok(server_count == 0)
     }
 
-    /// Answers a query without a server.
+    /// Runs the statements of a query without a server and returns the answer.
     pub(crate) fn run_locally(&mut self, commands: &[Command]) -> Result<Bytes, Fault> {
         let mut out = BytesMut::new();
         for command in commands {
@@ -74,9 +75,9 @@
         Ok(out.freeze())
     }
 
-    /// Runs one statement without a server; its answer without its columns.
+    /// Runs one statement without a server. Returns the answer without the column description.
     pub(crate) fn execute_locally(&mut self, command: &Command) -> Result<Bytes, Fault> {
-        // The key is looked up for these too: a withdrawn one gets no answer.
+        // The key is also checked for local statements: a revoked key gets no answer.
         let standing = self.entry.check(&self.caller.account, &self.caller.key);
         standing.map_err(|refusal| Fault::new(answer::code(&refusal), refusal.message))?;
         let tag = match command {
@@ -119,7 +120,8 @@
         Ok(answer::join([&row(&value), &answer::complete("SHOW")]))
     }
 
-    /// Ends a transaction that is rolled back already, or none.
+    /// Answers a `COMMIT` or `ROLLBACK` when no transaction is open, or when the transaction is
+    /// already rolled back.
     fn end_locally(&mut self, tag: &str) -> Bytes {
         if self.standing == Standing::Failed {
             self.standing = Standing::Idle;
@@ -130,15 +132,15 @@
     }
 }
 
-/// The error for statements after a failed one in its transaction.
+/// Returns the error for statements in a transaction that has failed.
 pub fn aborted_fault() -> Fault {
     Fault::new("25P02", "the transaction has failed; its statements are not run until its end")
 }
 
-/// Refuses a transaction that begins where another has ended in one request.
+/// Refuses a request in which a transaction begins after another one has ended.
 ///
-/// The home tells the end of a request only, so the caller would be told that
-/// the first transaction is done before another server has confirmed it.
+/// The home reports the position of a whole request only, at its end. The caller would be told
+/// that the first transaction is committed before another server has confirmed it.
 pub fn check_order(commands: &[Command]) -> Result<(), Fault> {
     let end = commands.iter().position(|c| matches!(c, Command::End(_)));
     let begins = |at: usize| commands[at..].contains(&Command::Begin);
