--- a/components/entry/src/sql.rs
+++ b/components/entry/src/sql.rs
@@ -1,44 +1,46 @@
-//! What a statement is, as far as the proxy must know.
+//! Classification of SQL statements, as far as the proxy needs it.
 
 use crate::tokens::{self, Token};
 
-/// What a statement is.
+/// Class of a statement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Command {
-    /// It surely changes nothing and may run on a replica.
+    /// Known to be read-only; may run on a replica.
     Read,
-    /// It may change data.
+    /// May change data.
     Write,
-    /// It begins a transaction.
+    /// Begins a transaction.
     Begin,
-    /// It ends a transaction; the answer's tag.
+    /// Ends a transaction; with the command tag of the answer.
     End(&'static str),
-    /// It holds nothing.
+    /// Empty query string.
     Empty,
-    /// `SET name = value`; `DEFAULT` is no value.
+    /// `SET name = value`.
     Set {
-        /// The setting, in small letters.
+        /// Name of the setting, in lower case.
         name: Box<str>,
-        /// Its new value.
+        /// New value; `None` for `DEFAULT`.
         value: Option<Box<str>>,
     },
-    /// `SET LOCAL` or `SET TRANSACTION`: kept by the server, within a transaction only.
+    /// `SET LOCAL`, `SET TRANSACTION` or `SET CONSTRAINTS`, which the server applies to the open
+    /// transaction only.
     SetLocal,
-    /// `RESET name`, or of all settings.
+    /// `RESET name`, or `RESET ALL` if `None`.
     Reset(Option<Box<str>>),
     /// `SHOW name`.
     Show(Box<str>),
     /// `DISCARD ALL`.
     Discard,
-    /// `DEALLOCATE name`, or of all prepared statements.
+    /// `DEALLOCATE name`, or `DEALLOCATE ALL` if `None`.
     Deallocate(Option<Box<str>>),
-    /// `UNLISTEN`: there is nothing to stop listening to.
+    /// `UNLISTEN`, which has no effect since `LISTEN` is not supported.
     Unlisten,
-    /// It needs a session of its own on a server; what is not carried.
+    /// Needs a dedicated server connection; with the name of the unsupported feature.
     Unsupported(&'static str),
 }
 
-/// Reads each statement of a text; a text that cannot be read is one write.
+/// Classifies each statement of a query string. One that cannot be tokenized counts as a single
+/// write.
 pub fn parse(sql: &str) -> Vec<Command> {
     match tokens::split_statements(sql) {
         Some(all) if all.is_empty() => vec![Command::Empty],
@@ -47,7 +49,8 @@
     }
 }
 
-/// Reads a text of one statement, as in a prepared statement.
+/// Classifies a query string of one statement, as in a prepared statement. One with several
+/// statements counts as a write.
 pub fn parse_single(sql: &str) -> Command {
     let mut all = parse(sql);
     if all.len() == 1 { all.remove(0) } else { Command::Write }
@@ -76,10 +79,11 @@
     }
 }
 
-/// What of a statement would outlive its transaction on a server's connection.
+/// Returns the feature through which a statement leaves state on its server connection beyond
+/// the transaction, if any.
 ///
-/// The connection goes to another caller after the transaction, so such state
-/// would be lost for the one who made it and shown to one who did not.
+/// Another caller gets the connection after the transaction, so the state would be lost for the
+/// caller that created it and visible to one that did not.
 fn session_state(tokens: &[Token]) -> Option<&'static str> {
     let word = |i: usize| tokens.get(i).and_then(Token::word).unwrap_or_default();
     let is_temporary = |t: &Token| matches!(t.word(), Some("TEMP" | "TEMPORARY"));
@@ -122,24 +126,24 @@
     words.contains(&"CHAIN") && !words.contains(&"NO")
 }
 
-/// The names that stand before an opening parenthesis.
+/// Returns all names that are followed by an opening parenthesis.
 fn called_functions(tokens: &[Token]) -> Vec<&str> {
     let pairs = tokens.windows(2).filter(|pair| pair[1] == Token::Symbol('('));
     pairs
         .filter_map(|pair| match &pair[0] {
             Token::Word(word) => Some(&**word),
-            // A quoted name may be any function.
+            // A quoted name may be any function; `"` is in no list of functions.
             Token::Name(_) => Some("\""),
             _ => None,
         })
         .collect()
 }
 
-/// Words that make a statement change or lock something.
+/// Keywords of statements that change or lock data.
 const WRITE_KEYWORDS: [&str; 8] =
     ["INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "SHARE", "CALL", "LOCK"];
 
-/// Words that may stand before a parenthesis without being a function.
+/// Keywords that may be followed by a parenthesis without being a function.
 const NON_FUNCTION_KEYWORDS: [&str; 46] = [
     "ALL",
     "AND",
@@ -189,7 +193,7 @@
     "WHERE",
 ];
 
-/// Functions that surely change nothing.
+/// Functions that are known to change nothing.
 const PURE_FUNCTIONS: [&str; 50] = [
     "ABS",
     "ARRAY_AGG",
@@ -243,10 +247,10 @@
     "UPPER",
 ];
 
-/// Whether a statement surely changes nothing.
+/// Returns whether a statement is known to change nothing.
 ///
-/// A function that is not known here may write. It is taken for a write, for a
-/// read that was lost on the way is told as "not run" and tried again.
+/// A statement that calls a function outside [`PURE_FUNCTIONS`] counts as a write. If it were
+/// sent as a read and the answer got lost, it would be reported as "not run" and retried.
 fn is_read_only(tokens: &[Token]) -> bool {
     let words = || tokens.iter().filter_map(Token::word);
     let changes = words().any(|word| WRITE_KEYWORDS.contains(&word));
@@ -257,7 +261,7 @@
     !changes && !qualified && called_functions(tokens).iter().all(known)
 }
 
-/// A name of several parts, in small letters.
+/// Parses a name of several parts into lower case.
 fn parse_name(tokens: &[Token]) -> Box<str> {
     let parts: Vec<String> = tokens.iter().map(token_text).collect();
     parts.join(" ").replace(" . ", ".").to_ascii_lowercase().into()
@@ -265,7 +269,7 @@
 
 fn token_text(token: &Token) -> String {
     match token {
-        // Unquoted words are the same in capitals and small letters, kept small.
+        // Unquoted words are case-insensitive and are stored in lower case.
         Token::Word(text) => text.to_lowercase(),
         Token::Name(text) | Token::Text(text) => text.to_string(),
         Token::Symbol(c) => c.to_string(),
