--- a/components/entry/src/statements.rs
+++ b/components/entry/src/statements.rs
@@ -1,4 +1,4 @@
-//! The prepared statements of a caller, which no server's connection keeps.
+//! Prepared statements of a caller. They are stored here, not on server connections.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -10,50 +10,51 @@
     sql::{self, Command},
 };
 
-/// The most prepared statements of one caller.
+/// Maximum number of prepared statements of a caller.
 pub const MAX_STATEMENTS: usize = 1_000;
 
-/// The most bytes of all prepared statements of one caller.
+/// Maximum size of all prepared statements of a caller, in bytes.
 pub const MAX_BYTES: usize = 4 << 20;
 
-/// A statement that a caller has prepared.
+/// Prepared statement of a caller.
 #[derive(Debug)]
 pub struct Statement {
-    /// What it is.
+    /// Class of the statement.
     pub command: Command,
-    /// Its preparation under no name, for a server.
+    /// `Parse` message that prepares the statement on a server, without a name.
     pub parse: Bytes,
 }
 
 impl Statement {
-    /// Reads what a caller prepares.
+    /// Creates a statement from the caller's `Parse` message.
     pub fn new(parse: Parse) -> Rc<Self> {
         let command = sql::parse_single(&parse.query);
         let unnamed = Parse::new(None, parse.query, parse.type_oids);
         Rc::new(Self { command, parse: bergamottrack_pg::frame::bytes(&unnamed) })
     }
 
-    /// Whether the entry itself can answer for it.
+    /// Returns whether the entry itself can answer messages about the statement.
     pub fn is_local(&self) -> bool {
         matches!(self.command, Command::End(_)) || !settings::runs_on_server(&self.command)
     }
 }
 
-/// The prepared statements of a caller by name; the unnamed one has an empty name.
+/// Prepared statements of a caller by name; the unnamed statement has an empty name.
 #[derive(Debug, Default)]
 pub struct Statements {
     by_name: HashMap<Box<str>, Rc<Statement>>,
-    /// Bytes of all statements; at most [`MAX_BYTES`] and one statement more.
+    /// Size of all statements, in bytes. Exceeds [`MAX_BYTES`] by at most one statement.
     bytes: usize,
 }
 
 impl Statements {
-    /// The statement of that name.
+    /// Returns the statement with a name.
     pub fn get(&self, name: &str) -> Option<Rc<Statement>> {
         self.by_name.get(name).cloned()
     }
 
-    /// Whether one more may be kept.
+    /// Fails if another statement would exceed the limits, given `added` statements that are not
+    /// inserted yet.
     pub fn check_capacity(&self, added: usize) -> Result<(), Fault> {
         if self.by_name.len() + added < MAX_STATEMENTS && self.bytes < MAX_BYTES {
             return Ok(());
@@ -64,21 +65,21 @@
         Err(Fault::new("54000", message))
     }
 
-    /// Keeps a statement.
+    /// Inserts a statement, replacing the one with the same name.
     pub fn insert(&mut self, name: Box<str>, statement: Rc<Statement>) {
         self.remove(&name);
         self.bytes += statement.parse.len();
         self.by_name.insert(name, statement);
     }
 
-    /// Forgets a statement.
+    /// Removes a statement.
     pub fn remove(&mut self, name: &str) {
         if let Some(removed) = self.by_name.remove(name) {
             self.bytes -= removed.parse.len();
         }
     }
 
-    /// Forgets all.
+    /// Removes all statements.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
