--- a/components/entry/src/context.rs
+++ b/components/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What all callers' connections of one host share.
+//! State shared by all callers' connections of a host.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,50 +19,50 @@
 
 use crate::{callers::Callers, tls::Tls};
 
-/// When a caller may come back while a host lacks its configuration.
+/// Retry delay for callers of a host that has no configuration yet.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What all callers' connections of one host share.
+/// State shared by all callers' connections of a host.
 pub struct Entry {
-    /// The clock.
+    /// Clock of the host.
     pub clock: Rc<dyn Clock>,
-    /// The revision in force here.
+    /// Configuration revision in effect on this host.
     pub current: Rc<Current>,
     /// Links to the other hosts.
     pub mesh: Rc<Mesh>,
-    /// The rates of all accounts.
+    /// Rate limits of all accounts.
     pub limits: Rc<Limits>,
-    /// The groups whose home this host is.
+    /// Database groups whose home is this host.
     pub homes: Rc<Homes>,
-    /// The secret that all hosts share.
+    /// Secret shared by all hosts.
     pub secret: Secret,
-    /// What this host measures.
+    /// Metrics of this host.
     pub metrics: Rc<Metrics>,
-    /// The certificate for callers, if connections may be encrypted.
+    /// TLS configuration for callers, if TLS is enabled.
     pub tls: Option<Rc<Tls>>,
-    /// The callers that are there.
+    /// Connected callers.
     pub callers: Rc<Callers>,
-    /// Cancels of running connections, by process number.
+    /// Cancel handles of open connections, by process number.
     pub cancels: RefCell<HashMap<i32, Rc<CancelHandle>>>,
-    /// The last process number given out.
+    /// Counter from which the last process number was derived.
     pub last_pid: Cell<u32>,
 }
 
-/// How what a connection runs is cancelled.
+/// Handle through which the running request of a connection is cancelled.
 #[derive(Default)]
 pub struct CancelHandle {
-    /// What the caller must know to cancel.
+    /// Secret that a cancel request must present.
     pub secret: i32,
-    /// Whether a request runs.
+    /// Whether a request is running.
     running: Cell<bool>,
-    /// Whether the running request is to be cancelled.
+    /// Whether cancellation of the running request is requested.
     requested: Cell<bool>,
     notify: Notify,
 }
 
 impl CancelHandle {
-    /// Cancels the running request. Nothing is kept for a later one: a cancel
-    /// that comes late would hit a request that nobody wants cancelled.
+    /// Requests cancellation of the running request. Without one, nothing is recorded: a late
+    /// cancel request would otherwise hit the next request, which it was not meant for.
     pub fn request(&self) {
         if self.running.get() {
             self.requested.set(true);
@@ -70,28 +70,28 @@
         }
     }
 
-    /// Notes that a request runs.
+    /// Marks a request as running.
     pub fn begin(&self) {
         self.running.set(true);
         self.requested.set(false);
     }
 
-    /// Notes that it ended.
+    /// Marks the request as ended.
     pub fn end(&self) {
         self.running.set(false);
     }
 
-    /// Waits until the running request is to be cancelled.
+    /// Waits until cancellation of the running request is requested.
     pub async fn cancel_requested(&self) {
         while !self.requested.take() {
-            // May be left over from an earlier request, so the flag decides.
+            // The notification may be left over from an earlier request, so the flag decides.
             self.notify.notified().await;
         }
     }
 }
 
 impl Entry {
-    /// The configuration in force here.
+    /// Returns the revision in effect on this host, which contains a configuration.
     pub fn config(&self) -> Result<Rc<RevisionDoc>, Refusal> {
         let doc = self.current.get().filter(|doc| doc.config.is_some());
         doc.ok_or_else(|| {
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Checks that the key still stands; done again for every request.
+    /// Checks that the key exists and is not revoked. Called for every request.
     pub fn check_key(&self, account: &AccountId, key: &KeyId) -> Result<Rc<RevisionDoc>, Refusal> {
         let doc = self.config()?;
         let config = doc.config.as_ref();
@@ -112,7 +112,7 @@
         Ok(doc)
     }
 
-    /// Gives a new connection its process number.
+    /// Assigns a process number and a cancel handle to a new connection.
     pub fn register(&self) -> (i32, Rc<CancelHandle>) {
         let mut pid;
         loop {
@@ -127,13 +127,14 @@
         (pid, cancel)
     }
 
-    /// Cancels what a connection to this host runs; whether there is one with that secret.
+    /// Cancels the running request of a connection to this host. Returns whether a connection
+    /// with this process number and secret exists.
     pub fn cancel(&self, pid: i32, secret: i32) -> bool {
         let known = self.cancels.borrow().get(&pid).filter(|c| c.secret == secret).cloned();
         known.inspect(|cancel| cancel.request()).is_some()
     }
 
-    /// Begins an exchange with the home of the group.
+    /// Opens an exchange with the group's home.
     pub fn open(&self, config: &Config, open: Open) -> Exchange {
         for host in self.mesh.homes(&open.group) {
             if host == self.mesh.me.id {
