--- a/components/entry/src/local.rs
+++ b/components/entry/src/local.rs
@@ -139,8 +139,8 @@
 
 /// Refuses a request in which a transaction begins after another one has ended.
 ///
-/// The home reports the position of a whole request only, at its end. The caller would be told
-/// that the first transaction is committed before another server has confirmed it.
+/// The home reports only the end of a whole request, so the caller would be told that the first
+/// transaction is committed before another server has confirmed it.
 pub fn check_order(commands: &[Command]) -> Result<(), Fault> {
     let end = commands.iter().position(|c| matches!(c, Command::End(_)));
     let begins = |at: usize| commands[at..].contains(&Command::Begin);
