--- a/components/entry/src/callers.rs
+++ b/components/entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of one host: how many there are, and whether they are to leave.
+//! Connection limit and draining of the callers of a host.
 
 use std::{cell::Cell, io, net::SocketAddr, rc::Rc};
 
@@ -6,50 +6,50 @@
 use monoio::net::{ListenerOpts, TcpListener};
 use tokio::sync::Notify;
 
-/// Bytes of an answer that the machine holds for each caller.
+/// Size of the socket send buffer of each caller, in bytes.
 ///
-/// What the machine takes counts as taken by the caller. By itself it takes up
-/// to 4 MB, so that one that reads nothing would keep a server's slot for long.
+/// Data in this buffer counts as received by the caller. By default the kernel buffers up to
+/// 4 MB, with which a caller that reads nothing would occupy a server's slot for a long time.
 const SEND_BUFFER: usize = 128 << 10;
 
-/// Connections above the limit that are told so at the same time; all further
-/// ones are closed without a word.
+/// Maximum number of connections above the limit that are answered with a refusal at the same
+/// time. Any further ones are closed without an answer.
 const MAX_REFUSED: usize = 64;
 
-/// Listens for callers.
+/// Binds the listener for callers.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    // Without its own port a host would share callers with another one, or fail to say so.
+    // With SO_REUSEPORT, two hosts on one port would share the callers without an error.
     let options = ListenerOpts::new().send_buf_size(SEND_BUFFER).reuse_port(false);
     TcpListener::bind_with_config(address, &options)
 }
 
-/// Bytes that a host holds of large messages that are on their way from callers.
+/// Maximum memory for large messages that a host is receiving from callers, in bytes.
 const MAX_INPUT: usize = 64 << 20;
 
-/// The callers of one host.
+/// Callers connected to a host.
 pub struct Callers {
-    /// Memory that what they send may take.
+    /// Memory budget for messages received from callers.
     pub input: Rc<Budget>,
-    /// The most connections at once.
+    /// Maximum number of connections, without those above the limit that are being refused.
     limit: usize,
     connected: Cell<usize>,
     over_limit: Cell<usize>,
-    /// Callers whose request runs or whose transaction is open.
+    /// Number of callers with a running request or an open transaction.
     busy: Cell<usize>,
     draining: Cell<bool>,
     drain_notify: Notify,
 }
 
-/// A place among the callers; given back when it is dropped.
+/// Permit for one connection; released when dropped.
 pub struct Permit {
     callers: Rc<Callers>,
     busy: Cell<bool>,
-    /// Whether the caller is above the limit, and only there to be told so.
+    /// Whether the connection is above the limit and only accepted in order to be refused.
     pub over_limit: bool,
 }
 
 impl Callers {
-    /// No callers yet, and at most `limit` at once.
+    /// Creates an empty set of callers with a maximum number of connections.
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             input: Budget::new(MAX_INPUT),
@@ -62,7 +62,7 @@
         })
     }
 
-    /// A place for a new connection; `None` when it is to be closed at once.
+    /// Acquires a permit for a new connection; `None` if the connection must be closed at once.
     pub fn acquire(self: &Rc<Self>) -> Option<Permit> {
         let over_limit = self.connected.get() >= self.limit;
         let count = if over_limit { &self.over_limit } else { &self.connected };
@@ -73,30 +73,30 @@
         Some(Permit { callers: self.clone(), busy: Cell::default(), over_limit })
     }
 
-    /// How many there are.
+    /// Returns the number of connected callers.
     pub fn count(&self) -> usize {
         self.connected.get()
     }
 
-    /// Tells all callers to leave as soon as their requests and transactions have ended.
+    /// Starts to disconnect all callers, each once its request or transaction has ended.
     pub fn drain(&self) {
         self.draining.set(true);
         self.drain_notify.notify_waiters();
     }
 
-    /// Whether callers are told to leave.
+    /// Returns whether draining has started.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// Whether no request runs and no transaction is open.
+    /// Returns whether no request is running and no transaction is open.
     pub fn is_idle(&self) -> bool {
         self.busy.get() == 0
     }
 }
 
 impl Permit {
-    /// Notes whether a request runs or a transaction is open.
+    /// Sets whether a request is running or a transaction is open.
     pub fn set_busy(&self, busy: bool) {
         if self.busy.replace(busy) != busy {
             let count = self.callers.busy.get();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Waits until callers are told to leave.
+    /// Waits until draining starts.
     pub async fn drain_started(&self) {
         loop {
             let notified = self.callers.drain_notify.notified();
