--- a/components/entry/src/tokens.rs
+++ b/components/entry/src/tokens.rs
@@ -1,20 +1,20 @@
-//! The words of a statement, past comments and string constants.
+//! Tokenizer for SQL statements, which skips comments and recognizes string constants.
 
-/// A part of a statement.
+/// Token of a statement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Token {
-    /// A keyword, number, parameter or unquoted name, in capitals.
+    /// Keyword, number, parameter or unquoted name, in upper case.
     Word(Box<str>),
-    /// A quoted name, as it stands.
+    /// Quoted name, without its quotes and in its original case.
     Name(Box<str>),
-    /// A string constant, without its quotes.
+    /// String constant, without its quotes.
     Text(Box<str>),
     /// Any other character.
     Symbol(char),
 }
 
 impl Token {
-    /// The word, when it is one.
+    /// Returns the text of a word, or `None` for other tokens.
     pub fn word(&self) -> Option<&str> {
         match self {
             Self::Word(word) => Some(word),
@@ -23,9 +23,9 @@
     }
 }
 
-/// Splits a text into statements of tokens; empty ones are left out.
+/// Splits a query string into the tokens of each statement, without empty statements.
 ///
-/// `None` when a quote or comment does not end: such a text is for the server to refuse.
+/// Returns `None` if a quote or comment is not terminated; the server refuses such a string.
 pub fn split_statements(sql: &str) -> Option<Vec<Vec<Token>>> {
     let mut lexer = Lexer { rest: sql };
     let mut all = vec![Vec::new()];
@@ -48,7 +48,8 @@
 }
 
 impl Lexer<'_> {
-    /// The next token; `Some(None)` at the end and `None` when a part does not end.
+    /// Returns the next token, `Some(None)` at the end, or `None` if a quote or comment is not
+    /// terminated.
     #[allow(clippy::option_option)]
     fn next(&mut self) -> Option<Option<Token>> {
         loop {
@@ -79,7 +80,7 @@
         Some(Some(token))
     }
 
-    /// Skips a comment; comments nest.
+    /// Skips a block comment, which may be nested.
     fn skip_comment(&mut self) -> Option<()> {
         let mut depth = 0;
         loop {
@@ -115,7 +116,7 @@
         None
     }
 
-    /// A parameter such as `$1`, or a constant between two tags such as `$tag$`.
+    /// Reads a parameter such as `$1`, or a dollar-quoted constant such as `$tag$text$tag$`.
     fn parameter_or_literal(&mut self) -> Option<Token> {
         let tag_len = self.rest[1..].find(|c: char| c == '$' || !is_word_char(c));
         let tag = tag_len.and_then(|len| self.rest.get(..len + 2)).filter(|t| t.ends_with('$'));
