--- a/components/entry/src/tls.rs
+++ b/components/entry/src/tls.rs
@@ -1,4 +1,4 @@
-//! Encryption towards callers.
+//! TLS for callers' connections.
 
 use std::{
     cell::RefCell,
@@ -18,7 +18,7 @@
 
 use crate::session::{Reader, Writer};
 
-/// The certificate that a host shows to its callers.
+/// TLS configuration of a host, with the certificate for its callers.
 pub struct Tls {
     certificate: PathBuf,
     key: PathBuf,
@@ -26,33 +26,32 @@
 }
 
 impl Tls {
-    /// Reads a certificate chain and its key, both in PEM.
+    /// Reads a certificate chain and its private key, both in PEM.
     pub fn read(certificate: &Path, key: &Path) -> anyhow::Result<Self> {
         let config = RefCell::new(read(certificate, key)?);
         Ok(Self { certificate: certificate.into(), key: key.into(), config })
     }
 
-    /// Reads the files again, for connections from now on; on an error the old
-    /// certificate stays.
+    /// Reads the files again for new connections. On an error, the old certificate remains in use.
     pub fn reload(&self) -> anyhow::Result<()> {
         *self.config.borrow_mut() = read(&self.certificate, &self.key)?;
         Ok(())
     }
 
-    /// Encrypts a connection whose caller has asked for it and got a yes.
+    /// Performs the TLS handshake with a caller whose TLS request was accepted.
     ///
-    /// Bytes that came before the encryption are refused: whoever stands between
-    /// could have put them in front of what the caller says.
+    /// Plaintext bytes received before the handshake are refused: a man in the middle could have
+    /// inserted them ahead of the caller's messages.
     pub async fn accept(
         &self,
         reader: Reader,
         writer: Writer,
         max: usize,
     ) -> anyhow::Result<(Reader, Writer)> {
-        anyhow::ensure!(reader.is_empty(), "bytes came before the encryption");
+        anyhow::ensure!(reader.is_empty(), "plaintext bytes received before the TLS handshake");
         let plain = reader.into_inner().unsplit(writer.into_inner());
         let acceptor = TlsAcceptor::from(self.config.borrow().clone());
-        let encrypted = acceptor.accept(plain).await.context("encrypting a connection")?;
+        let encrypted = acceptor.accept(plain).await.context("TLS handshake with a caller")?;
         Ok(stream::split(Box::new(encrypted), max))
     }
 }
@@ -64,5 +63,5 @@
     let key = PrivateKeyDer::from_pem_file(key)
         .with_context(|| format!("reading the key {}", key.display()))?;
     let config = ServerConfig::builder().with_no_client_auth().with_single_cert(chain, key);
-    Ok(Arc::new(config.context("the certificate and its key")?))
+    Ok(Arc::new(config.context("loading the certificate and its key")?))
 }
