--- a/components/entry/src/caller.rs
+++ b/components/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: one task, straight down.
+//! Connection of a caller, served by one task from the start-up message to the end.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,36 +21,39 @@
     session::{Reader, Session, Writer},
 };
 
-/// How long a caller may take to prove its key.
+/// Maximum time for a caller to authenticate.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a caller above the limit may take to say what it wants.
+/// Maximum time for a caller above the connection limit to send its start-up message.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long another host may take to see to a cancel.
+/// Maximum time for another host to answer a forwarded cancel request.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long a closed connection is read on, so that the last words arrive.
+/// Maximum time to read on from a connection that is being closed, so that its last message
+/// arrives.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When a caller may come back to a host with too many, or one that stops.
+/// Retry delay for callers of a host that is overloaded or draining.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The most bytes of one message before the key is proved.
+/// Maximum length of a message before authentication, in bytes.
 const MAX_LOGIN_LEN: usize = 10_000;
 
-/// The most bytes that one message of a caller may have.
+/// Maximum length of a message after authentication, in bytes.
 const MAX_MESSAGE_LEN: usize = 16 << 20;
 
-/// Serves one caller until it leaves.
+/// Serves a caller until it disconnects.
 pub async fn serve(entry: Rc<Entry>, stream: TcpStream) {
     if let Err(error) = run(&entry, stream).await {
-        debug!("entry: a caller's connection ended: {error:#}.");
+        debug!("entry: connection of a caller failed: {error:#}.");
     }
 }
 
 async fn run(entry: &Rc<Entry>, stream: TcpStream) -> anyhow::Result<()> {
-    let Some(permit) = entry.callers.acquire() else { bail!("far too many callers") };
+    let Some(permit) = entry.callers.acquire() else {
+        bail!("too many connections above the limit")
+    };
     stream.set_nodelay(true)?;
     let stream: Stream = Box::new(stream.into_poll_io()?);
     let (mut reader, mut writer) = stream::split(stream, MAX_LOGIN_LEN);
@@ -77,17 +80,17 @@
     result
 }
 
-/// What a connection has begun with.
+/// Result of the handshake of a connection.
 enum Handshake {
-    /// A caller that has proved its key.
+    /// The caller is authenticated.
     Caller(Caller),
-    /// The wish to be encrypted, which was answered with a yes.
+    /// A TLS request was accepted; the TLS handshake follows.
     StartTls,
-    /// A cancel, which was seen to.
+    /// A cancel request was handled.
     Cancel,
 }
 
-/// Reads what a connection begins with; tells the other side of an error.
+/// Performs the handshake of a connection until `deadline`; errors are sent to the other side.
 async fn handshake(
     entry: &Entry,
     permit: &Permit,
@@ -98,7 +101,7 @@
 ) -> anyhow::Result<Handshake> {
     let login = login(entry, permit, reader, writer, encrypted);
     let result = monoio::time::timeout_at(deadline, login).await;
-    let result = result.context("the caller did not prove its key in time")?;
+    let result = result.context("caller did not authenticate in time")?;
     if let Err(error) = &result {
         if !permit.over_limit {
             entry.metrics.unproved();
@@ -109,16 +112,16 @@
     result
 }
 
-/// Closes a connection after its last words.
+/// Closes a connection so that the messages already sent reach the caller.
 ///
-/// Closed with bytes unread, it would be reset, and the reset may overtake the
-/// words that say what became of a request.
+/// A connection that is closed with unread bytes is reset, and the reset may overtake the
+/// message with the outcome of a request.
 async fn close_gracefully(reader: &mut Reader, writer: &mut Writer) {
     let last = async {
         writer.close().await;
         reader.discard().await;
     };
-    // What matters has been sent; a caller that stays on is not waited for.
+    // The final message has been sent; a caller that keeps the connection open is not awaited.
     let _ = monoio::time::timeout(CLOSE_TIMEOUT, last).await;
 }
 
@@ -149,7 +152,7 @@
     Ok(Handshake::Caller(caller))
 }
 
-/// What a caller whose start-up failed is told.
+/// Returns the error message to a caller whose handshake failed.
 fn error_response(error: &anyhow::Error) -> bytes::Bytes {
     match error.downcast_ref::<Refusal>() {
         Some(refusal) => answer::refusal(Severity::Fatal, refusal),
@@ -162,24 +165,24 @@
     Refusal::not_run(Reason::Overload, Some(RETRY_DELAY), message)
 }
 
-/// The refusal of a message for which there is no memory.
+/// Returns the refusal of a message that exceeds the memory budget.
 pub fn memory_refusal() -> Refusal {
     Refusal::not_run(Reason::Overload, Some(RETRY_DELAY), Full.to_string())
 }
 
-/// The refusal of a host that is being stopped; another host serves at once.
+/// Returns the refusal by a draining host; another host can serve the caller at once.
 pub fn drain_refusal() -> Refusal {
     let message = "this host is being stopped; connect again";
     Refusal::not_run(Reason::Draining, Some(RETRY_DELAY), message)
 }
 
-/// Sees to a cancel: here, or at the host whose connection it is for.
+/// Handles a cancel request here, or forwards it to the hosts that may hold the connection.
 async fn handle_cancel(entry: &Entry, request: &CancelRequest) {
     let (pid, secret) = (request.pid, request.secret_key.as_i32());
     let Some(secret) = secret.filter(|secret| !entry.cancel(pid, *secret)) else { return };
     for link in entry.mesh.links() {
         if process::belongs_to(pid, &link.host) {
-            // A cancel is a wish: when it does not arrive, the statement runs on.
+            // Cancellation is best effort: if the request is lost, the statement continues.
             let _ = link.ask(Question::Cancel { pid, secret }, CANCEL_TIMEOUT).await;
         }
     }
