--- a/components/entry/src/extended.rs
+++ b/components/entry/src/extended.rs
@@ -204,7 +204,7 @@
                 self.batch.replies.push(ExpectedReply::local(answer));
             }
             command => {
-                self.check_place(command)?;
+                self.check_position(command)?;
                 self.batch.access = self.batch.access.max(Access::of(command));
                 self.batch.send(execute, ExpectedReply::PASS);
             }
@@ -222,7 +222,7 @@
         self.batch.ends = true;
     }
 
-    fn check_place(&mut self, command: &Command) -> Result<(), Fault> {
+    fn check_position(&mut self, command: &Command) -> Result<(), Fault> {
         match command {
             Command::Begin if self.batch.ends => {
                 local::check_order(&[Command::End("COMMIT"), Command::Begin])
