--- a/components/entry/tests/sql.rs
+++ b/components/entry/tests/sql.rs
@@ -1,4 +1,4 @@
-//! What statements are taken for.
+//! Classification of SQL statements.
 
 use bergamottrack_entry::sql::{Command, parse, parse_single};
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn plain_queries_are_reads() {
+fn queries_without_side_effects_are_reads() {
     let reads = [
         "SELECT day FROM booking WHERE id = $1",
         "select count(*), max(day) from booking group by day having count(*) > 2;",
@@ -22,10 +22,10 @@
     }
 }
 
-/// A statement that changes something is sent to a replica, or is told as "not
-/// run" after it ran, because its first word looks like a read.
+/// Guards against a statement that changes data but counts as a read because of its first word.
+/// It would be sent to a replica, or be reported as "not run" after it ran.
 #[test]
-fn whatever_may_change_something_is_a_write() {
+fn statements_that_may_change_data_are_writes() {
     let writes = [
         "SELECT * FROM t FOR UPDATE",
         "SELECT * FROM t FOR/**/SHARE",
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_text_of_several_statements_is_read_one_by_one() {
+fn each_statement_of_a_query_string_is_classified() {
     let sql = "BEGIN; INSERT INTO t VALUES (';'); COMMIT;";
     assert_eq!(parse(sql), [Command::Begin, Command::Write, Command::End("COMMIT")]);
     assert_eq!(parse(" ; -- nothing\n"), [Command::Empty]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn settings_are_read_in_each_way_of_writing() {
+fn each_spelling_of_a_setting_is_parsed() {
     let set = |name: &str, value: Option<&str>| Command::Set {
         name: name.into(),
         value: value.map(Into::into),
@@ -75,16 +75,17 @@
         ("RESET ALL", Command::Reset(None)),
         ("DEALLOCATE PREPARE \"S1\"", Command::Deallocate(Some("S1".into()))),
     ];
-    for (sql, wanted) in cases {
-        assert_eq!(parse_single(sql), wanted, "{sql}");
+    for (sql, expected) in cases {
+        assert_eq!(parse_single(sql), expected, "{sql}");
     }
 }
 
-/// A caller's temporary table or lock stays on a pooled connection: gone for
-/// that caller, and in the way of the next one who gets the connection.
+/// Guards against session state, such as a temporary table or a lock, that stays on a pooled
+/// connection. The caller that created it would lose it, and the next one on the connection
+/// would conflict with it.
 #[test]
-fn state_of_a_server_session_is_not_carried() {
-    let refused = [
+fn statements_with_session_state_are_unsupported() {
+    let unsupported = [
         "LISTEN news",
         "COPY t FROM STDIN",
         "DECLARE c CURSOR FOR SELECT 1",
@@ -96,7 +97,7 @@
         "COMMIT AND CHAIN",
         "SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY",
     ];
-    for sql in refused {
+    for sql in unsupported {
         assert!(matches!(parse_single(sql), Command::Unsupported(_)), "{sql}");
     }
     assert_eq!(parse_single("COMMIT AND NO CHAIN"), Command::End("COMMIT"));
