--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,4 +1,5 @@
-//! The entry: callers' connections, keys, session tokens, limits and answers.
+//! Entry of a host: callers' connections, authentication, session tokens, rate limits and
+//! answers.
 
 pub mod admit;
 pub mod caller;
@@ -8,11 +9,11 @@
 pub mod local;
 pub mod login;
 pub mod relay;
+pub mod replies;
 pub mod session;
 pub mod settings;
 pub mod sql;
 pub mod statements;
-pub mod steps;
 pub mod tls;
 pub mod tokens;
 
--- a/components/entry/src/login.rs
+++ b/components/entry/src/login.rs
@@ -1,4 +1,6 @@
-//! The start of a caller's connection: who it is and what it wants.
+//! Start-up and authentication of callers' connections.
+//!
+//! The texts of all errors in this module are sent to the caller.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -22,49 +24,51 @@
 
 use crate::context::Entry;
 
-/// Random bytes of the server's part of the key exchange.
+/// Number of random bytes in the server's nonce of the SCRAM exchange.
 const NONCE_LEN: usize = 18;
 
-/// Who a caller is and what it wants.
+/// Identity of a caller and its start-up settings.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The client account.
+    /// Client account.
     pub account: AccountId,
-    /// The key it proved.
+    /// Key with which the caller authenticates.
     pub key: KeyId,
-    /// The database group it asked for.
+    /// Database group named as the database.
     pub group: GroupId,
-    /// All start-up settings.
+    /// All settings of the start-up message.
     pub settings: BTreeMap<String, String>,
 }
 
-/// The caller did not prove the key that it names, or there is no such key.
+/// Error for a caller that did not prove its key, or that named an unknown account or key.
 #[derive(Clone, Copy, Debug)]
-struct WrongKey;
+struct InvalidKey;
 
-impl fmt::Display for WrongKey {
+impl fmt::Display for InvalidKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the key was not proved")
     }
 }
 
-/// What a new connection turned out to be.
-pub enum Opened {
-    /// A caller that wants statements run.
+/// First message of a new connection.
+pub enum FirstMessage {
+    /// Start-up message of a caller, with its settings.
     Startup(BTreeMap<String, String>),
-    /// A request to cancel what another connection runs.
+    /// Request to cancel the running request of another connection.
     Cancel(CancelRequest),
-    /// A caller that wants to be encrypted and has been answered with a yes.
-    Encrypt,
+    /// TLS request, which has been accepted.
+    StartTls,
 }
 
-/// Reads up to the start-up message; encryption that is not offered is refused
-/// with a plain `N`, after which the caller may go on without.
-pub async fn open<R, W>(
+/// Reads the first message of a connection.
+///
+/// TLS requests are accepted if `tls_offered` is set. Otherwise they are refused with `N`, after
+/// which the caller may continue without encryption.
+pub async fn read_first_message<R, W>(
     reader: &mut PgReader<R>,
     writer: &mut PgWriter<W>,
-    offered: bool,
-) -> anyhow::Result<Opened>
+    tls_offered: bool,
+) -> anyhow::Result<FirstMessage>
 where
     R: AsyncRead + Unpin,
     W: AsyncWrite + Unpin,
@@ -72,22 +76,24 @@
     loop {
         match reader.startup(false).await? {
             PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::PostgresSsl(_))
-                if offered =>
+                if tls_offered =>
             {
                 writer.send(b"S").await?;
-                return Ok(Opened::Encrypt);
+                return Ok(FirstMessage::StartTls);
             }
             PgWireFrontendMessage::SslNegotiation(_) => writer.send(b"N").await?,
-            PgWireFrontendMessage::CancelRequest(cancel) => return Ok(Opened::Cancel(cancel)),
+            PgWireFrontendMessage::CancelRequest(cancel) => {
+                return Ok(FirstMessage::Cancel(cancel));
+            }
             PgWireFrontendMessage::Startup(startup) => {
-                return Ok(Opened::Startup(startup.parameters));
+                return Ok(FirstMessage::Startup(startup.parameters));
             }
             _ => bail!("the connection does not begin with a start-up message"),
         }
     }
 }
 
-/// Reads who the caller says it is: user `account.key`, database the group.
+/// Parses the identity that a caller claims: the user is `account.key`, the database the group.
 pub fn identify(settings: BTreeMap<String, String>) -> anyhow::Result<Caller> {
     let user = settings.get("user").context("the start-up names no user")?;
     let (account, key) =
@@ -101,11 +107,11 @@
     })
 }
 
-/// Lets the caller prove its key; the key itself never crosses the wire.
+/// Authenticates a caller by SCRAM, in which the key itself is never transmitted.
 ///
-/// An unknown account or key goes through the same steps, so that a stranger
-/// cannot tell which names exist.
-pub async fn prove<R, W>(
+/// Unknown accounts and keys go through the same steps, so that clients without a key cannot
+/// find out which names exist.
+pub async fn authenticate<R, W>(
     entry: &Entry,
     caller: &Caller,
     reader: &mut PgReader<R>,
@@ -118,25 +124,25 @@
     let verifier = verifier(entry, caller);
     let offer = Authentication::SASL(vec![scram::MECHANISM.to_owned()]);
     writer.send(&frame::bytes(&offer)).await?;
-    let PasswordMessageFamily::Raw(body) = password(reader).await? else {
+    let PasswordMessageFamily::Raw(body) = read_password(reader).await? else {
         bail!("the key exchange did not begin")
     };
-    let first = sasl_initial(body)?;
+    let first = parse_sasl_initial(body)?;
     anyhow::ensure!(first.auth_method == scram::MECHANISM, "only {} is offered", scram::MECHANISM);
     let nonce = STANDARD_NO_PAD.encode(rand::random::<[u8; NONCE_LEN]>());
     let data = first.data.context("the key exchange began with nothing")?;
     let exchange = Exchange::begin(&data, verifier, &nonce)?;
     let challenge = Bytes::copy_from_slice(exchange.challenge().as_bytes());
     writer.send(&frame::bytes(&Authentication::SASLContinue(challenge))).await?;
-    let PasswordMessageFamily::Raw(body) = password(reader).await? else {
+    let PasswordMessageFamily::Raw(body) = read_password(reader).await? else {
         bail!("the key exchange broke off")
     };
-    let proof = exchange.finish(&body).context(WrongKey)?;
+    let proof = exchange.finish(&body).context(InvalidKey)?;
     writer.send(&frame::bytes(&Authentication::SASLFinal(Bytes::from(proof)))).await
 }
 
 fn verifier(entry: &Entry, caller: &Caller) -> Verifier {
-    let doc = entry.standing(&caller.account, &caller.key).ok();
+    let doc = entry.check_key(&caller.account, &caller.key).ok();
     let config = doc.as_ref().and_then(|doc| doc.config.as_ref());
     let key = config.and_then(|c| c.account(&caller.account)).and_then(|a| a.key(&caller.key));
     match key {
@@ -149,7 +155,7 @@
     }
 }
 
-async fn password<R: AsyncRead + Unpin>(
+async fn read_password<R: AsyncRead + Unpin>(
     reader: &mut PgReader<R>,
 ) -> anyhow::Result<PasswordMessageFamily> {
     let frame = reader.next().await?.context("the caller left during the key exchange")?;
@@ -159,13 +165,13 @@
     }
 }
 
-fn sasl_initial(body: BytesMut) -> anyhow::Result<SASLInitialResponse> {
+fn parse_sasl_initial(body: BytesMut) -> anyhow::Result<SASLInitialResponse> {
     Ok(PasswordMessageFamily::Raw(body).into_sasl_initial_response()?)
 }
 
-/// What a caller whose start-up failed is told.
-pub fn refused(error: &anyhow::Error) -> Bytes {
+/// Returns the error message to a caller whose start-up failed.
+pub fn error_response(error: &anyhow::Error) -> Bytes {
     let text = format!("{error:#}");
-    let code = if error.is::<WrongKey>() { "28P01" } else { "28000" };
+    let code = if error.is::<InvalidKey>() { "28P01" } else { "28000" };
     answer::error(Severity::Fatal, code, &text, Some("not run"), None)
 }
--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -1,4 +1,4 @@
-//! One request of a caller: to the home and back.
+//! Relay of the answer to one request from the group's home to the caller.
 
 use std::time::{Duration, Instant};
 
@@ -8,116 +8,119 @@
 use bytes::Bytes;
 
 use crate::{
-    context::Cancel,
+    context::CancelHandle,
+    replies::ExpectedReplies,
     session::{Reader, Writer},
     statements::Statements,
-    steps::Steps,
 };
 
-/// When a caller may come back after a link or host was lost.
-const COME_BACK: Duration = Duration::from_millis(200);
+/// Retry delay for callers after the link to the home or its host was lost.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How much later than the home the entry gives up: the home knows more.
-const GRACE: Duration = Duration::from_millis(200);
+/// Time by which the entry's timeout exceeds the home's. The home has more information about
+/// the request, so its refusal is preferred.
+const HOME_GRACE: Duration = Duration::from_millis(200);
 
-/// The most bytes read ahead of a caller while its request runs.
+/// Maximum number of bytes read ahead from a caller while its request runs.
 const READ_AHEAD: usize = 64 << 10;
 
-/// The last part of an answer.
-pub struct Answered {
-    /// Messages that end the answer, without `ReadyForQuery`.
+/// Last part of an answer.
+pub struct Completion {
+    /// Final messages of the answer, without `ReadyForQuery`.
     pub frames: Bytes,
-    /// How the transaction stands.
+    /// Transaction status after the request.
     pub standing: TransactionState,
-    /// What a confirmed write has reached.
+    /// Position of a confirmed write.
     pub point: Option<Point>,
-    /// Whether a replica answered.
+    /// Whether a replica served the request.
     pub replica: bool,
 }
 
-/// Passes an answer on to the caller.
+/// Relay of one answer to the caller.
 pub struct Relay<'a> {
-    /// Where the answer comes from.
+    /// Exchange from which the answer is received.
     pub exchange: &'a mut Exchange,
-    /// Where the caller's next messages come from.
+    /// Reader of the caller's next messages, which are read ahead.
     pub reader: &'a mut Reader,
-    /// Where the answer goes.
+    /// Writer to which the answer is sent.
     pub writer: &'a mut Writer,
-    /// The caller's wish to have it cancelled.
-    pub cancel: &'a Cancel,
-    /// What the exchange was opened for.
+    /// Handle through which the caller cancels the request.
+    pub cancel: &'a CancelHandle,
+    /// Intent of the request; it decides whether a lost request may have run.
     pub intent: &'a Intent,
-    /// When the request is given up.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// What becomes of each message of the answer.
-    pub steps: Steps,
-    /// The caller's prepared statements.
+    /// Expected replies to the request's messages.
+    pub replies: ExpectedReplies,
+    /// Prepared statements of the caller.
     pub statements: &'a mut Statements,
-    /// Whether it must be known if a message failed.
-    pub watch: bool,
-    /// Bytes of the answer that the caller has taken.
-    pub taken: u64,
+    /// Whether the answer is searched for a failed message.
+    pub track_failure: bool,
+    /// Number of bytes of the answer passed on so far.
+    pub delivered: u64,
 }
 
 impl Relay<'_> {
-    /// Passes an answer on up to its last part; an error when the caller is gone.
-    pub async fn run(mut self) -> anyhow::Result<(Result<Answered, Refusal>, Steps)> {
+    /// Passes the answer on, except for its last part, which is returned. Fails if the caller
+    /// disconnects or stops reading.
+    pub async fn run(mut self) -> anyhow::Result<(Result<Completion, Refusal>, ExpectedReplies)> {
         self.cancel.begin();
         let result = self.answer().await;
         self.cancel.end();
-        Ok((result?, self.steps))
+        Ok((result?, self.replies))
     }
 
-    async fn answer(&mut self) -> anyhow::Result<Result<Answered, Refusal>> {
+    async fn answer(&mut self) -> anyhow::Result<Result<Completion, Refusal>> {
         loop {
-            let until = self.until() + GRACE;
+            let deadline = self.extended_deadline() + HOME_GRACE;
             let item = monoio::select! {
                 item = self.exchange.recv() => item,
-                _ = self.cancel.asked() => {
+                _ = self.cancel.cancel_requested() => {
                     self.exchange.send(ToHome::Cancel);
                     continue;
                 }
                 result = self.reader.read_ahead(READ_AHEAD) => {
-                    result.context("the caller left while its request ran")?;
+                    result.context("caller disconnected while its request was running")?;
                     continue;
                 }
-                _ = monoio::time::sleep_until(until.into()) => {
-                    return Ok(Err(self.lost(Reason::Deadline, "the deadline passed")));
+                _ = monoio::time::sleep_until(deadline.into()) => {
+                    return Ok(Err(self.failure(Reason::Deadline, "the deadline passed")));
                 }
             };
             match item {
-                Some(ToEntry::Part(bytes)) => self.pass(bytes).await?,
+                Some(ToEntry::Part(bytes)) => self.send_part(bytes).await?,
                 Some(ToEntry::AnswerEnd { frames, state: standing, point, replica }) => {
-                    let frames = self.steps.pass(frames, self.statements, self.watch)?;
-                    return Ok(Ok(Answered { frames, standing, point, replica }));
+                    let frames =
+                        self.replies.filter(frames, self.statements, self.track_failure)?;
+                    return Ok(Ok(Completion { frames, standing, point, replica }));
                 }
                 Some(ToEntry::Refused(refusal)) => return Ok(Err(refusal)),
-                None => return Ok(Err(self.lost(Reason::Lost, "the group's home was lost"))),
+                None => return Ok(Err(self.failure(Reason::Lost, "the group's home was lost"))),
             }
         }
     }
 
-    /// When the request is given up; a large answer has the longer for being taken.
-    fn until(&self) -> Instant {
-        self.deadline + pace::transfer_time(self.taken)
+    /// Returns the deadline, extended by the transfer time of the bytes sent so far.
+    fn extended_deadline(&self) -> Instant {
+        self.deadline + pace::transfer_time(self.delivered)
     }
 
-    async fn pass(&mut self, bytes: Bytes) -> anyhow::Result<()> {
+    async fn send_part(&mut self, bytes: Bytes) -> anyhow::Result<()> {
         let length = bytes.len() as u64;
-        let bytes = self.steps.pass(bytes, self.statements, self.watch)?;
-        let until = self.until() + GRACE;
-        let sent = monoio::time::timeout_at(until.into(), self.writer.send(&bytes)).await;
-        sent.context("the caller does not take its answer")??;
+        let bytes = self.replies.filter(bytes, self.statements, self.track_failure)?;
+        let deadline = self.extended_deadline() + HOME_GRACE;
+        let sent = monoio::time::timeout_at(deadline.into(), self.writer.send(&bytes)).await;
+        sent.context("caller did not read its answer in time")??;
         self.exchange.send(ToHome::Credit(length));
-        self.taken += length;
+        self.delivered += length;
         Ok(())
     }
 
-    fn lost(&self, reason: Reason, message: &str) -> Refusal {
+    fn failure(&self, reason: Reason, message: &str) -> Refusal {
         let fate = match self.intent {
             Intent::Write => Fate::Unknown,
             Intent::Read { .. } => Fate::NotRun,
         };
-        Refusal { reason, fate, retry: Some(COME_BACK), message: message.into() }
+        Refusal { reason, fate, retry: Some(RETRY_DELAY), message: message.into() }
     }
 }
--- a/components/entry/src/tokens.rs
+++ b/components/entry/src/tokens.rs
@@ -1,20 +1,20 @@
-//! The words of a statement, past comments and string constants.
+//! Tokenizer for SQL statements, which skips comments and recognizes string constants.
 
-/// A part of a statement.
+/// Token of a statement.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Token {
-    /// A keyword, number, parameter or unquoted name, in capitals.
+    /// Keyword, number, parameter or unquoted name, in upper case.
     Word(Box<str>),
-    /// A quoted name, as it stands.
+    /// Quoted name, without its quotes and in its original case.
     Name(Box<str>),
-    /// A string constant, without its quotes.
+    /// String constant, without its quotes.
     Text(Box<str>),
     /// Any other character.
     Symbol(char),
 }
 
 impl Token {
-    /// The word, when it is one.
+    /// Returns the text of a word, or `None` for other tokens.
     pub fn word(&self) -> Option<&str> {
         match self {
             Self::Word(word) => Some(word),
@@ -23,13 +23,13 @@
     }
 }
 
-/// Splits a text into statements of tokens; empty ones are left out.
+/// Splits a query string into the tokens of each statement, without empty statements.
 ///
-/// `None` when a quote or comment does not end: such a text is for the server to refuse.
-pub fn statements(sql: &str) -> Option<Vec<Vec<Token>>> {
-    let mut scan = Scan { rest: sql };
+/// Returns `None` if a quote or comment is not terminated; the server refuses such a string.
+pub fn split_statements(sql: &str) -> Option<Vec<Vec<Token>>> {
+    let mut lexer = Lexer { rest: sql };
     let mut all = vec![Vec::new()];
-    while let Some(token) = scan.next()? {
+    while let Some(token) = lexer.next()? {
         match token {
             Token::Symbol(';') => all.push(Vec::new()),
             token => all.last_mut()?.push(token),
@@ -39,16 +39,17 @@
     Some(all)
 }
 
-struct Scan<'a> {
+struct Lexer<'a> {
     rest: &'a str,
 }
 
-fn in_word(c: char) -> bool {
+fn is_word_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || c == '_' || c == '$' || !c.is_ascii()
 }
 
-impl Scan<'_> {
-    /// The next token; `Some(None)` at the end and `None` when a part does not end.
+impl Lexer<'_> {
+    /// Returns the next token, `Some(None)` at the end, or `None` if a quote or comment is not
+    /// terminated.
     #[allow(clippy::option_option)]
     fn next(&mut self) -> Option<Option<Token>> {
         loop {
@@ -69,8 +70,8 @@
                 self.rest = &self.rest[1..];
                 Token::Text(self.quoted('\'', true)?)
             }
-            '$' => self.dollar()?,
-            c if in_word(c) => self.word(),
+            '$' => self.parameter_or_literal()?,
+            c if is_word_char(c) => self.word(),
             c => {
                 self.rest = &self.rest[c.len_utf8()..];
                 Token::Symbol(c)
@@ -79,7 +80,7 @@
         Some(Some(token))
     }
 
-    /// Skips a comment; comments nest.
+    /// Skips a block comment, which may be nested.
     fn skip_comment(&mut self) -> Option<()> {
         let mut depth = 0;
         loop {
@@ -115,9 +116,9 @@
         None
     }
 
-    /// A parameter such as `$1`, or a constant between two tags such as `$tag$`.
-    fn dollar(&mut self) -> Option<Token> {
-        let tag_len = self.rest[1..].find(|c: char| c == '$' || !in_word(c));
+    /// Reads a parameter such as `$1`, or a dollar-quoted constant such as `$tag$text$tag$`.
+    fn parameter_or_literal(&mut self) -> Option<Token> {
+        let tag_len = self.rest[1..].find(|c: char| c == '$' || !is_word_char(c));
         let tag = tag_len.and_then(|len| self.rest.get(..len + 2)).filter(|t| t.ends_with('$'));
         match tag {
             Some(tag) if !tag[1..].starts_with(|c: char| c.is_ascii_digit()) => {
@@ -131,7 +132,7 @@
     }
 
     fn word(&mut self) -> Token {
-        let end = self.rest.find(|c| !in_word(c)).unwrap_or(self.rest.len());
+        let end = self.rest.find(|c| !is_word_char(c)).unwrap_or(self.rest.len());
         let (word, rest) = self.rest.split_at(end);
         self.rest = rest;
         Token::Word(word.to_uppercase().into())
