--- a/components/coordination/tests/ages.rs
+++ b/components/coordination/tests/ages.rs
@@ -1,4 +1,4 @@
-//! The age of a replica's data.
+//! Upper bound on the age of a replica's data.
 
 use std::time::{Duration, Instant};
 
@@ -23,8 +23,10 @@
     Observed { status: status(Role::Replica, term, promised, 0), sent }
 }
 
+/// Guards against data that counts as newer than it is: its age is counted from the newest
+/// sample of the primary that the data covers.
 #[test]
-fn the_age_is_that_of_the_newest_point_shown() {
+fn age_counts_from_the_newest_sample_covered() {
     let start = Instant::now();
     let mut ages = PositionHistory::default();
     for i in 0..10 {
@@ -38,11 +40,11 @@
     assert_eq!(ages.floor(50 * MS, now), None);
 }
 
-/// A caller accepts data two seconds old. The primary is cut off and replaced,
-/// but still says that it leads, and its replica follows it alone: what it says
-/// proves nothing, and the age grows.
+/// Guards against old data for a caller that accepts data two seconds old: a primary that was
+/// partitioned and replaced still reports that it leads, and its replica follows only that
+/// primary. The report proves nothing, so the age grows.
 #[test]
-fn a_replaced_primary_proves_no_age() {
+fn report_of_a_replaced_primary_does_not_reset_the_age() {
     let start = Instant::now();
     let mut ages = PositionHistory::default();
     ages.note(primary(1, 10, start), &[replica(1, 1, start)]);
@@ -52,8 +54,10 @@
     assert_eq!(ages.age(Point::new(1, 10), later), Some(5000 * MS));
 }
 
+/// Guards against data of an earlier term that counts as current because its position is
+/// higher than that of the new term.
 #[test]
-fn a_stale_log_that_runs_further_is_not_fresh() {
+fn higher_position_of_an_earlier_term_is_not_current() {
     let start = Instant::now();
     let mut ages = PositionHistory::default();
     ages.note(primary(1, 10, start), &[replica(1, 1, start)]);
@@ -63,10 +67,10 @@
     assert_eq!(ages.age(Point::new(2, 11), later), Some(Duration::ZERO));
 }
 
-/// Guards against reads that all go to the leader because a host has not seen its position
-/// itself: samples of other hosts count, in whatever order they are received.
+/// Guards against reads that are all sent to the leader because a host has not observed its
+/// position itself: samples from other hosts count, in whatever order they are received.
 #[test]
-fn samples_of_other_hosts_are_put_in_order() {
+fn samples_received_out_of_order_are_sorted_by_time() {
     let start = Instant::now();
     let mut ages = PositionHistory::default();
     ages.note_point(start + 900 * MS, Point::new(1, 90));
@@ -77,6 +81,10 @@
     let now = start + 1000 * MS;
     assert_eq!(ages.floor(800 * MS, now), Some(Point::new(1, 30)));
     assert_eq!(ages.floor(500 * MS, now), Some(Point::new(1, 60)));
-    assert_eq!(ages.floor(350 * MS, now), Some(Point::new(1, 90)), "a point that falls is refused");
+    assert_eq!(
+        ages.floor(350 * MS, now),
+        Some(Point::new(1, 90)),
+        "a point beyond that of a later sample is dropped"
+    );
     assert_eq!(ages.newest(), Some((start + 900 * MS, Point::new(1, 90))));
 }
