--- a/components/coordination/tests/changes.rs
+++ b/components/coordination/tests/changes.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other of a view that has changed.
+//! Differences between two views, which hosts exchange instead of whole views.
 
 use std::time::{Duration, Instant};
 
@@ -44,8 +44,9 @@
     Versioned { version: number, value }
 }
 
-/// All hosts have joined, one change of the store each, and the group has a leader.
-fn whole() -> View {
+/// Returns a view in which all hosts have joined, by one store change each, and the group has a
+/// leader.
+fn full_view() -> View {
     let version = HOSTS + 1;
     View {
         version,
@@ -56,82 +57,82 @@
     }
 }
 
-fn holding(view: View) -> LocalView {
-    let mut held = LocalView::new(host(1), 1);
-    assert!(held.learn(view, Instant::now()));
-    held
+fn local_view(view: View) -> LocalView {
+    let mut local = LocalView::new(host(1), 1);
+    assert!(local.learn(view, Instant::now()));
+    local
 }
 
-/// Callers of a fleet of 300 hosts wait for a new leader while hubs tell it: each
-/// host was told 300 rows for the one that had changed, 45 KB over links of 10 Mbit/s.
+/// Guards against callers of a fleet of 300 hosts that wait while hubs distribute a new leader:
+/// each host was sent 300 rows for the one that had changed, 45 KB over links of 10 Mbit/s.
 #[test]
-fn a_change_of_leader_is_told_as_one_row() {
-    let (mut hub, old) = (holding(whole()), holding(whole()));
-    let mut after = whole();
-    after.version += 5;
-    after.groups.insert(group(), steady("s2", after.version));
-    hub.learn(after.clone(), Instant::now());
+fn change_of_a_leader_is_sent_as_one_row() {
+    let (mut hub, old) = (local_view(full_view()), local_view(full_view()));
+    let mut newer = full_view();
+    newer.version += 5;
+    newer.groups.insert(group(), steady("s2", newer.version));
+    hub.learn(newer.clone(), Instant::now());
     let changes = hub.changes(old.view().version);
     assert_eq!((changes.view.members.len(), changes.view.groups.len()), (0, 1));
-    let made = changes.apply_to(old.view()).unwrap();
-    assert_eq!(made, after);
+    let applied = changes.apply_to(old.view()).unwrap();
+    assert_eq!(applied, newer);
 }
 
-/// A host is gone and another has joined. One that kept the row of the gone host
-/// would wait for its lease at the next change of a leader.
+/// Guards against a wait at the next failover for the lease of a removed host: a host was
+/// removed and another has joined, and the receiver kept the row of the removed one.
 #[test]
-fn hosts_that_are_gone_are_told() {
-    let (mut hub, old) = (holding(whole()), holding(whole()));
-    let mut after = whole();
-    after.version += 5;
-    after.members.remove(&host(7));
-    after.members.insert(host(400), member(after.version));
-    hub.learn(after.clone(), Instant::now());
-    assert_eq!(hub.changes(old.view().version).apply_to(old.view()).unwrap(), after);
+fn removed_hosts_are_part_of_the_changes() {
+    let (mut hub, old) = (local_view(full_view()), local_view(full_view()));
+    let mut newer = full_view();
+    newer.version += 5;
+    newer.members.remove(&host(7));
+    newer.members.insert(host(400), member(newer.version));
+    hub.learn(newer.clone(), Instant::now());
+    assert_eq!(hub.changes(old.view().version).apply_to(old.view()).unwrap(), newer);
 }
 
-/// A hub has just started and does not know who went before. Who knows an older
-/// view is told all of it, not a part that would leave the gone hosts in.
+/// Guards against removed hosts that stay in a receiver's view: a hub that has just started has
+/// no record of earlier removals, so a receiver with an older view gets the whole view.
 #[test]
-fn who_is_further_behind_than_the_teller_is_told_all() {
-    let mut old = whole();
+fn receiver_older_than_the_recorded_removals_gets_the_whole_view() {
+    let mut old = full_view();
     old.members.insert(host(900), member(2));
-    let mut newer = whole();
+    let mut newer = full_view();
     newer.version += 5;
-    let hub = holding(newer.clone());
+    let hub = local_view(newer.clone());
     let changes = hub.changes(old.version);
     assert_eq!(changes.view.members.len(), HOSTS as usize);
     assert_eq!(changes.apply_to(&old).unwrap(), newer);
 }
 
-/// The asker's rows are not those that the teller thinks it has. Made from them the
-/// view would name hosts or leaders that the store does not.
+/// Guards against a view with hosts or leaders that the store does not have: the receiver's
+/// rows are not those that the sender assumes.
 #[test]
-fn changes_that_do_not_fit_are_not_taken() {
-    let mut hub = holding(whole());
-    let mut after = whole();
-    after.version += 5;
-    after.groups.insert(group(), steady("s2", after.version));
-    hub.learn(after, Instant::now());
-    let mut other = whole();
+fn changes_are_rejected_by_a_view_with_other_rows() {
+    let mut hub = local_view(full_view());
+    let mut newer = full_view();
+    newer.version += 5;
+    newer.groups.insert(group(), steady("s2", newer.version));
+    hub.learn(newer, Instant::now());
+    let mut other = full_view();
     other.members.insert(host(900), member(3));
     assert!(hub.changes(other.version).apply_to(&other).is_none());
 }
 
-/// A host gave its lease back when it was told of an intent, and then heard an older
-/// view from its hub. It must not use the old leader again, which may be replaced.
+/// Guards against use of a former leader, which may have been replaced: a host released its
+/// lease on receipt of an intent, and then received an older view from its hub.
 #[test]
-fn an_older_view_does_not_undo_an_intent() {
-    let mut held = holding(whole());
-    assert!(held.take(&group(), moving(HOSTS + 9)));
-    let mut older = whole();
+fn older_view_does_not_revert_an_intent() {
+    let mut local = local_view(full_view());
+    assert!(local.take(&group(), moving(HOSTS + 9)));
+    let mut older = full_view();
     older.version += 4;
-    held.learn(older, Instant::now());
-    assert_eq!(held.leadership(&group()).unwrap(), &moving(HOSTS + 9));
-    assert!(!held.take(&group(), steady("s1", HOSTS + 6)), "an older row");
-    let mut newer = whole();
+    local.learn(older, Instant::now());
+    assert_eq!(local.leadership(&group()).unwrap(), &moving(HOSTS + 9));
+    assert!(!local.take(&group(), steady("s1", HOSTS + 6)), "an older row");
+    let mut newer = full_view();
     newer.version += 20;
     newer.groups.insert(group(), steady("s2", HOSTS + 15));
-    held.learn(newer, Instant::now());
-    assert_eq!(held.leadership(&group()).unwrap(), &steady("s2", HOSTS + 15));
+    local.learn(newer, Instant::now());
+    assert_eq!(local.leadership(&group()).unwrap(), &steady("s2", HOSTS + 15));
 }
