--- a/components/coordination/tests/choice.rs
+++ b/components/coordination/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which server of a group a read goes to.
+//! Selection of the backend server that serves a read.
 
 use std::time::{Duration, Instant};
 
@@ -30,47 +30,47 @@
     health
 }
 
-/// One server answers five times as slowly as the others. Reads leave it.
+/// Guards against reads at a server that answers five times as slowly as the others.
 #[test]
-fn a_slow_server_loses_its_reads() {
+fn slow_server_is_tried_last() {
     let now = Instant::now();
     let (slow, fast) = (answered(&[180; 12], now), answered(&[30; 12], now));
     let order = choice::order(&[candidate(&slow), candidate(&fast)], None, now);
     assert_eq!(order, [1, 0]);
 }
 
-/// A server goes silent in the middle of a request. Reads leave it before that
-/// request times out, since its answer is overdue.
+/// Guards against further reads at a server that stops answering in the middle of a request:
+/// the overdue answer moves reads to other servers before that request times out.
 #[test]
-fn a_silent_server_loses_its_reads_within_an_answer() {
+fn server_with_an_overdue_answer_is_tried_last() {
     let now = Instant::now();
-    let (mut silent, fast) = (answered(&[20; 12], now), answered(&[40; 12], now));
-    assert_eq!(choice::order(&[candidate(&silent), candidate(&fast)], None, now), [0, 1]);
-    silent.begin(now);
+    let (mut overdue, fast) = (answered(&[20; 12], now), answered(&[40; 12], now));
+    assert_eq!(choice::order(&[candidate(&overdue), candidate(&fast)], None, now), [0, 1]);
+    overdue.begin(now);
     let later = now + 150 * MS;
-    assert_eq!(choice::order(&[candidate(&silent), candidate(&fast)], None, later), [1, 0]);
+    assert_eq!(choice::order(&[candidate(&overdue), candidate(&fast)], None, later), [1, 0]);
 }
 
-/// A server fails requests while it looks healthy. It is passed over for a while,
-/// longer each time, and gets a request again after that.
+/// Guards against reads at a server that fails requests although it appears healthy. It is
+/// ejected, longer each time, and gets a request again after that.
 #[test]
-fn a_failing_server_is_ejected_and_tried_again() {
+fn failing_server_is_ejected_and_retried() {
     let now = Instant::now();
-    let (mut failing, sound) = (answered(&[20; 12], now), answered(&[60; 12], now));
+    let (mut failing, healthy) = (answered(&[20; 12], now), answered(&[60; 12], now));
     failing.fail(now);
     failing.fail(now);
-    assert_eq!(choice::order(&[candidate(&failing), candidate(&sound)], None, now), [1, 0]);
+    assert_eq!(choice::order(&[candidate(&failing), candidate(&healthy)], None, now), [1, 0]);
     let later = now + 300 * MS;
-    assert_eq!(choice::order(&[candidate(&failing), candidate(&sound)], None, later), [0, 1]);
+    assert_eq!(choice::order(&[candidate(&failing), candidate(&healthy)], None, later), [0, 1]);
     failing.fail(later);
-    let again = later + 300 * MS;
-    assert_eq!(choice::order(&[candidate(&failing), candidate(&sound)], None, again), [1, 0]);
+    let retried = later + 300 * MS;
+    assert_eq!(choice::order(&[candidate(&failing), candidate(&healthy)], None, retried), [1, 0]);
 }
 
-/// A replica is seconds behind. Each read that tried it first would lose a round
-/// trip, so it is passed over for positions that it lacked, but not for older ones.
+/// Guards against a lost round trip for each read that tries a replica with a lag of seconds
+/// first: the replica is skipped for positions that it lacked, but not for older ones.
 #[test]
-fn a_replica_that_is_behind_is_passed_over() {
+fn lagging_replica_is_skipped_for_positions_it_lacked() {
     let now = Instant::now();
     let (mut behind, other) = (answered(&[20; 12], now), answered(&[60; 12], now));
     behind.mark_lagging(Point::new(1, 100), None, now);
@@ -80,11 +80,11 @@
     assert_eq!(choice::order(&both, Some(Point::new(1, 120)), now + 100 * MS), [0, 1]);
 }
 
-/// Both replicas of a group are 20 seconds behind, and their leader is busy. Each read
-/// that the leader refused went to both in vain, a hundred a second. They say where they
-/// stand: none is asked again before it may be there, and one of 100 ms is soon.
+/// Guards against a hundred futile reads a second: both replicas of a group lag by 20 seconds,
+/// and each read that their busy leader refused was sent to both. With the lag known, none is
+/// retried before it may have the position; one with a lag of 100 ms is retried soon.
 #[test]
-fn a_replica_that_said_where_it_stands_is_left_alone() {
+fn replica_with_a_known_lag_is_skipped_until_it_may_have_caught_up() {
     let now = Instant::now();
     let mut health = answered(&[20; 12], now);
     let need = Point::new(1, 100);
@@ -98,19 +98,20 @@
     assert!(!health.lacks(need, now));
 }
 
-/// The leader and a replica are equally quick. Reads go to the replica: the
-/// leader's slots are needed for writes.
+/// Guards against reads that take the leader's slots, which are needed for writes, while a
+/// replica is equally fast.
 #[test]
-fn the_leader_is_spared() {
+fn replica_precedes_an_equally_fast_leader() {
     let now = Instant::now();
     let health = answered(&[30; 12], now);
     let leader = Candidate { leads: true, ..candidate(&health) };
     assert_eq!(choice::order(&[leader, candidate(&health)], None, now), [1, 0]);
 }
 
-/// All servers fail. They are still asked: better in vain than not at all.
+/// Guards against refusal of all reads while all servers fail: a failed attempt is better than
+/// none.
 #[test]
-fn no_server_is_left_out_for_good() {
+fn ejected_servers_remain_candidates() {
     let now = Instant::now();
     let mut health = Health::default();
     health.fail(now);
@@ -120,10 +121,10 @@
 
 /// Guards against reads at a server that has just started while others can run them.
 #[test]
-fn a_cold_server_gets_what_no_warm_one_takes() {
+fn cold_server_follows_warm_servers_and_precedes_ejected_ones() {
     let now = Instant::now();
-    let (quick, slow) = (answered(&[10; 12], now), answered(&[80; 12], now));
-    let cold = Candidate { cold: true, ..candidate(&quick) };
+    let (fast, slow) = (answered(&[10; 12], now), answered(&[80; 12], now));
+    let cold = Candidate { cold: true, ..candidate(&fast) };
     let leader = Candidate { leads: true, ..candidate(&slow) };
     assert_eq!(choice::order(&[cold.clone(), leader, candidate(&slow)], None, now), [2, 1, 0]);
     let mut failed = Health::default();
