--- a/components/coordination/tests/connections.rs
+++ b/components/coordination/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to a server with many accounts.
+//! Bounds of the connections to a backend server with many accounts.
 
 use std::time::Duration;
 
@@ -8,25 +8,26 @@
 };
 use rand::{Rng, SeedableRng, distr::weighted::WeightedIndex, prelude::Distribution, rngs::StdRng};
 
-const TRIM_EVERY: Duration = Duration::from_millis(100);
+const TRIM_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a statement has its connection.
-const WORK: Duration = Duration::from_millis(33);
+/// Time for which a statement holds its connection.
+const EXECUTION_TIME: Duration = Duration::from_millis(33);
 
-/// A deployment: connections and slots of a server, accounts, and statements a second.
+/// A deployment: maximum connections and slots of a server, number of accounts, and statements
+/// per second.
 struct Load {
-    most: usize,
+    max_connections: usize,
     slots: usize,
     accounts: usize,
     rate: f64,
 }
 
-/// Connections opened for each statement, once all accounts have sent some.
+/// Returns the number of connections opened per statement, once all accounts have sent some.
 fn openings(load: &Load, bounds: Bounds, seed: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let weights: Vec<f64> = (1..=load.accounts).map(|rank| 1.0 / rank as f64).collect();
     let account = WeightedIndex::new(weights).unwrap();
-    // Idle connections: account, and since when. The one used last is at the end.
+    // Idle connections: account and start of the idle time, ordered by last use.
     let mut idle: Vec<(usize, Duration)> = Vec::new();
     let mut busy: Vec<(Duration, usize)> = Vec::new();
     let (mut opened, mut sent) = (0, 0);
@@ -41,7 +42,7 @@
             *end > now
         });
         while trimmed < now {
-            trimmed += TRIM_EVERY;
+            trimmed += TRIM_INTERVAL;
             let unused =
                 |(_, since): &(usize, Duration)| trimmed.saturating_sub(*since) > bounds.idle_ttl;
             while idle.len() + busy.len() > bounds.kept && idle.first().is_some_and(unused) {
@@ -63,28 +64,29 @@
             }
             None => {}
         }
-        busy.push((now + WORK, account));
+        busy.push((now + EXECUTION_TIME, account));
     }
     f64::from(opened as u32) / f64::from(sent)
 }
 
-/// Guards against an opening for every second statement of accounts that send one in a while.
+/// Guards against a new connection for every second statement when each account sends a
+/// statement only once in a while.
 #[test]
 fn connections_of_many_accounts_are_reused() {
-    let large = Load { most: 193, slots: 5, accounts: 190, rate: 40.0 };
-    let small = Load { most: 34, slots: 5, accounts: 8, rate: 40.0 };
+    let large = Load { max_connections: 193, slots: 5, accounts: 190, rate: 40.0 };
+    let small = Load { max_connections: 34, slots: 5, accounts: 8, rate: 40.0 };
     for load in [large, small] {
-        let bounds = connections::bounds(load.most, load.slots, 295, Role::Holder);
+        let bounds = connections::bounds(load.max_connections, load.slots, 295, Role::Holder);
         for seed in 0..3 {
             let part = openings(&load, bounds, seed);
-            assert!(part <= 0.10, "{part:.3} openings a statement, {} accounts", load.accounts);
+            assert!(part <= 0.10, "{part:.3} openings per statement, {} accounts", load.accounts);
         }
     }
 }
 
-/// Guards against first seconds in which every statement opens a connection.
+/// Guards against a new connection for every statement in the first seconds after a start.
 #[test]
-fn connections_are_opened_ahead_while_a_server_is_idle() {
+fn connections_are_opened_ahead_while_slots_are_free() {
     let accounts: Vec<AccountId> = (0..190).map(|n| format!("a{n}").parse().unwrap()).collect();
     let bounds = connections::bounds(193, 5, 295, Role::Holder);
     let mut open: Vec<AccountId> = Vec::new();
@@ -96,36 +98,37 @@
     while let Some(account) = next(&open, usage(&open)) {
         open.push(account);
     }
-    assert_eq!(open, accounts[..bounds.ahead], "those of the highest rate come first");
-    assert!(bounds.ahead > 5 && bounds.ahead <= bounds.kept, "all slots find a connection");
+    assert_eq!(open, accounts[..bounds.ahead], "accounts with the highest rate come first");
+    assert!(bounds.ahead > 5 && bounds.ahead <= bounds.kept, "every slot has an open connection");
     let open = &open[1..];
-    assert_eq!(next(open, usage(open)), Some(accounts[0].clone()), "one that was closed");
+    assert_eq!(next(open, usage(open)), Some(accounts[0].clone()), "closed connection is reopened");
     let busy = Usage { running: 4, ..usage(open) };
-    assert_eq!(next(open, busy), None, "the last free slot is for statements");
+    assert_eq!(next(open, busy), None, "the last free slot is reserved for statements");
     let waiting = Usage { waiting: 1, ..usage(open) };
     assert_eq!(next(open, waiting), None);
 }
 
-/// Guards against more connections opened ahead, when a fleet starts, than its callers send
-/// statements in its first seconds: 300 groups of three servers and 20 statements a second each.
+/// Guards against more connections opened ahead at the start of a fleet than its callers send
+/// statements in the first seconds: 300 groups of three servers with 20 statements a second each.
 #[test]
-fn a_start_of_many_groups_opens_few_connections() {
-    for (most, slots) in [(79, 5), (193, 5), (632, 40)] {
-        let bounds = connections::bounds(most, slots, 300, Role::Holder);
+fn start_of_many_groups_opens_fewer_connections_than_statements() {
+    for (max, slots) in [(79, 5), (193, 5), (632, 40)] {
+        let bounds = connections::bounds(max, slots, 300, Role::Holder);
         let (ahead, statements) = (3 * bounds.ahead, 20 * 10);
         assert!(ahead < statements, "{ahead} openings for {statements} statements");
     }
 }
 
-/// Guards against a standby without connections while those of a dead holder still count.
+/// Guards against a standby that gets no connections while the server still counts those of a
+/// dead holder.
 #[test]
-fn a_standby_finds_room_beside_a_holder() {
-    for (most, slots) in [(193, 5), (285, 6), (90, 6), (60, 3), (50, 5), (34, 5), (23, 3)] {
+fn standby_can_fill_the_slots_beside_a_holder() {
+    for (max, slots) in [(193, 5), (285, 6), (90, 6), (60, 3), (50, 5), (34, 5), (23, 3)] {
         for hosts in [2, 9, 89, 295, 1800] {
-            let holder = connections::bounds(most, slots, hosts, Role::Holder);
-            let standby = connections::bounds(most, slots, hosts, Role::Standby);
-            assert!(holder.kept + standby.cap <= most, "{most} connections, {hosts} hosts");
-            assert!(standby.cap > slots, "{most} connections: a standby cannot fill {slots} slots");
+            let holder = connections::bounds(max, slots, hosts, Role::Holder);
+            let standby = connections::bounds(max, slots, hosts, Role::Standby);
+            assert!(holder.kept + standby.cap <= max, "{max} connections, {hosts} hosts");
+            assert!(standby.cap > slots, "{max} connections: a standby cannot fill {slots} slots");
         }
     }
 }
@@ -133,10 +136,10 @@
 /// Guards against bounds that leave a host without any connection.
 #[test]
 fn every_host_may_open_a_connection() {
-    for most in [1, 2, 3, 5, 193] {
+    for max in [1, 2, 3, 5, 193] {
         for role in [Role::Holder, Role::Standby, Role::Other] {
-            let bounds = connections::bounds(most, 1, 1800, role);
-            assert!(bounds.cap >= 1 && bounds.kept <= bounds.cap, "{most} connections: {bounds:?}");
+            let bounds = connections::bounds(max, 1, 1800, role);
+            assert!(bounds.cap >= 1 && bounds.kept <= bounds.cap, "{max} connections: {bounds:?}");
         }
     }
 }
