--- a/components/coordination/tests/duty.rs
+++ b/components/coordination/tests/duty.rs
@@ -1,14 +1,14 @@
-//! Who may call for a promotion.
+//! Lock on promotion calls.
 
 use std::time::Duration;
 
 use bergamottrack_coordination::duty::{CALL_DEADLINE, CALL_TIMEOUT, Duty};
 
-/// Two groups lose their leaders at the same moment, and two hosts replace one
-/// each. The first draws its token, is held up, and calls after the second: the
-/// platform sees a token that is lower than one before.
+/// Guards against tokens that reach the platform in decreasing order: two groups lose their
+/// leaders at the same time and two hosts replace one each; the host that acquires its token
+/// first is delayed and calls after the other.
 #[test]
-fn a_duty_in_use_is_not_taken() {
+fn held_duty_is_not_free_until_released() {
     let since = Duration::from_secs(100);
     let mut duty = Duty { holder: "first".parse().unwrap(), since, free: false };
     assert!(!duty.is_free(since));
@@ -16,10 +16,10 @@
     assert!(duty.is_free(since));
 }
 
-/// The holder's machine freezes right after it took the duty. The group must get
-/// its leader without it, but not before a call of the holder can be under way no more.
+/// Guards against a group without a leader after the holder's machine froze right after it
+/// acquired the duty, and against a second call while a call of the holder may be in flight.
 #[test]
-fn a_duty_of_a_silent_holder_is_taken_when_its_call_is_over() {
+fn duty_of_a_frozen_holder_is_free_after_the_timeout_of_its_call() {
     let since = Duration::from_secs(100);
     let duty = Duty { holder: "frozen".parse().unwrap(), since, free: false };
     assert!(!duty.is_free(since + CALL_DEADLINE + CALL_TIMEOUT));
