--- a/components/coordination/tests/demand.rs
+++ b/components/coordination/tests/demand.rs
@@ -1,4 +1,4 @@
-//! Parts of an account's rate over hosts that come, go and lose each other.
+//! Division of an account's rate among hosts that join, fail and lose contact.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -16,7 +16,7 @@
 const TOLERANCE: Tolerance =
     Tolerance { overage: 0.1, slack: 20.0, window: Duration::from_secs(5) };
 
-/// Tells each start of a host from all others.
+/// Returns an identifier that is unique among all starts of hosts.
 fn next_run() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     NEXT.fetch_add(1, Ordering::Relaxed)
@@ -47,16 +47,16 @@
         Self { hosts: hosts.collect(), now: Instant::now(), admitted: Vec::new() }
     }
 
-    /// Lets time pass; each host has so many requests a second, and tells its
-    /// demand to the hosts that `hears` allows.
-    fn run(&mut self, time: Duration, asks: &[f64], hears: impl Fn(usize, usize) -> bool) {
+    /// Simulates `time`: host `n` has `rates[n]` requests per second, and the host `to` receives
+    /// the reports of the host `from` if `receives(to, from)`.
+    fn run(&mut self, time: Duration, rates: &[f64], receives: impl Fn(usize, usize) -> bool) {
         let end = self.now + time;
         let mut due: Vec<f64> = vec![0.0; self.hosts.len()];
-        let mut tell = self.now;
+        let mut next_report = self.now;
         while self.now < end {
             self.now += TICK;
             for (n, (_, demand)) in self.hosts.iter_mut().enumerate() {
-                due[n] += asks[n] * TICK.as_secs_f64();
+                due[n] += rates[n] * TICK.as_secs_f64();
                 while due[n] >= 1.0 {
                     due[n] -= 1.0;
                     if demand.take(&account(), RATE, BURST, self.now).admitted {
@@ -64,24 +64,24 @@
                     }
                 }
             }
-            if self.now >= tell {
-                tell += Duration::from_millis(400);
-                self.tell(&hears);
+            if self.now >= next_report {
+                next_report += Duration::from_millis(400);
+                self.exchange_reports(&receives);
             }
         }
     }
 
-    fn tell(&mut self, hears: impl Fn(usize, usize) -> bool) {
+    fn exchange_reports(&mut self, receives: impl Fn(usize, usize) -> bool) {
         let now = self.now;
-        let tell = |(_, demand): &mut (HostId, Demand)| {
+        let publish = |(_, demand): &mut (HostId, Demand)| {
             demand.publish(now);
             demand.report(now)
         };
-        let told: Vec<_> = self.hosts.iter_mut().map(tell).collect();
+        let reports: Vec<_> = self.hosts.iter_mut().map(publish).collect();
         for (to, (_, demand)) in self.hosts.iter_mut().enumerate() {
-            for (from, asked) in told.iter().enumerate() {
-                if from != to && hears(to, from) {
-                    demand.receive_report(&host(from), &host(from), asked, self.now);
+            for (from, report) in reports.iter().enumerate() {
+                if from != to && receives(to, from) {
+                    demand.receive_report(&host(from), &host(from), report, self.now);
                 }
             }
         }
@@ -91,7 +91,7 @@
         self.admitted.iter().filter(|(at, _)| *at >= since).count()
     }
 
-    /// The most admitted within any five seconds.
+    /// Returns the maximum number of requests admitted within any five seconds.
     fn worst_window(&self) -> usize {
         let window = Duration::from_secs(5);
         let starts = self.admitted.iter().map(|(at, _)| *at);
@@ -102,63 +102,63 @@
     }
 }
 
-/// What the users' rule allows within five seconds.
+/// Returns the maximum number of requests that may be admitted within five seconds.
 fn allowed() -> usize {
     ((RATE.0 * 5.0 + BURST.0) * 1.1 + 20.0) as usize
 }
 
-/// A large account's callers get refusals for the rest of the day. A host was
-/// removed for good and stayed in the view; all others were restarted at once.
-/// None of them heard the removed one, so none let its part grow from the least.
+/// Guards against refusals of a large account for the rest of the day: a host was removed for
+/// good but stayed in the view, and all others were restarted at once. None received a report
+/// of the removed host, so none raised its part above the minimum.
 #[test]
-fn a_host_that_is_gone_does_not_hold_the_rate_back() {
+fn removed_host_that_is_still_in_the_view_does_not_reduce_the_rate() {
     let mut fleet = Fleet::new(6);
-    let hears = |to: usize, from: usize| to != 5 && from != 5;
-    fleet.run(Duration::from_secs(6), &[20.0, 20.0, 20.0, 20.0, 20.0, 0.0], hears);
-    let asks = [50.0, 5.0, 15.0, 15.0, 15.0, 0.0];
-    fleet.run(Duration::from_secs(3), &asks, hears);
+    let receives = |to: usize, from: usize| to != 5 && from != 5;
+    fleet.run(Duration::from_secs(6), &[20.0, 20.0, 20.0, 20.0, 20.0, 0.0], receives);
+    let rates = [50.0, 5.0, 15.0, 15.0, 15.0, 0.0];
+    fleet.run(Duration::from_secs(3), &rates, receives);
     let since = fleet.now;
-    fleet.run(Duration::from_secs(5), &asks, hears);
+    fleet.run(Duration::from_secs(5), &rates, receives);
     let admitted = fleet.admitted_since(since);
     assert!(admitted >= 480, "of 500 requests within the rate {admitted} were admitted");
 }
 
-/// Callers of one account send several times its rate at all hosts, and one host
-/// is cut off from the others for a while. Both sides of the cut keep callers.
-/// If both sides took over each other's part, the account would get more than its rate.
+/// Guards against more than an account's rate while one host is partitioned from the others and
+/// callers send several times the rate at all hosts. Both sides of the partition keep callers,
+/// so the rate would be exceeded if each side took over the other's part.
 #[test]
-fn no_more_than_the_rate_runs_on_both_sides_of_a_cut() {
+fn both_sides_of_a_partition_together_stay_within_the_rate() {
     let mut fleet = Fleet::new(6);
-    let asks = [100.0; 6];
-    fleet.run(Duration::from_secs(6), &asks, |_, _| true);
-    fleet.run(Duration::from_secs(12), &asks, |to, from| to != 5 && from != 5);
-    fleet.run(Duration::from_secs(6), &asks, |_, _| true);
+    let rates = [100.0; 6];
+    fleet.run(Duration::from_secs(6), &rates, |_, _| true);
+    fleet.run(Duration::from_secs(12), &rates, |to, from| to != 5 && from != 5);
+    fleet.run(Duration::from_secs(6), &rates, |_, _| true);
     let worst = fleet.worst_window();
     assert!(worst <= allowed(), "{worst} were admitted in a window, {} are allowed", allowed());
 }
 
-/// A cut parts the hosts into two halves while an account sends more than its
-/// rate. Each half thought itself too small to take part, so that three quarters
-/// of what the account was owed were refused until the cut healed.
+/// Guards against refusal of three quarters of an account's rate until a partition heals: the
+/// hosts are split into two halves while the account exceeds its rate, and each half counted
+/// itself as too small to share the rate.
 #[test]
-fn two_halves_share_the_rate() {
+fn two_halves_of_a_partition_share_the_rate() {
     let mut fleet = Fleet::new(6);
-    let asks = [100.0; 6];
-    fleet.run(Duration::from_secs(6), &asks, |_, _| true);
+    let rates = [100.0; 6];
+    fleet.run(Duration::from_secs(6), &rates, |_, _| true);
     let side = |n: usize| n < 3;
-    fleet.run(Duration::from_secs(5), &asks, |to, from| side(to) == side(from));
+    fleet.run(Duration::from_secs(5), &rates, |to, from| side(to) == side(from));
     let since = fleet.now;
-    fleet.run(Duration::from_secs(5), &asks, |to, from| side(to) == side(from));
+    fleet.run(Duration::from_secs(5), &rates, |to, from| side(to) == side(from));
     let admitted = fleet.admitted_since(since);
-    assert!(admitted >= 550, "of 600 requests of the rate {admitted} were admitted");
+    assert!(admitted >= 550, "of 600 requests within the rate {admitted} were admitted");
     let worst = fleet.worst_window();
     assert!(worst <= allowed(), "{worst} were admitted in a window, {} are allowed", allowed());
 }
 
-/// Callers of an account all come to one host. Its part must follow them, or they
-/// are refused while the other hosts' tokens lie idle.
+/// Guards against refusals while tokens of other hosts are unused: all callers of an account are
+/// connected to one host, so its part must follow the demand.
 #[test]
-fn the_part_follows_the_callers() {
+fn part_of_a_host_follows_its_demand() {
     let mut fleet = Fleet::new(6);
     fleet.run(Duration::from_secs(6), &[80.0, 0.0, 0.0, 0.0, 0.0, 0.0], |_, _| true);
     let since = fleet.now;
@@ -167,17 +167,16 @@
     assert!(admitted >= 390, "of 400 requests within the rate {admitted} were admitted");
 }
 
-/// Callers of a small account ask for less than its rate, four requests together
-/// at one host and then at the next. Each host's part had room for three: some
-/// were refused, though the account was never over its rate.
+/// Guards against refusals of a small account that stays within its rate: four requests arrive
+/// together at one host and then at the next, and each host's part had room for three.
 #[test]
-fn an_account_within_its_rate_is_not_refused_for_its_rhythm() {
+fn account_within_its_rate_is_not_refused_for_clustered_requests() {
     let (rate, burst) = (Rate(20.0), Burst(20.0));
     let mut fleet = Fleet::new(6);
     let mut refused = 0;
     for round in 0..80 {
         fleet.now += Duration::from_millis(300);
-        fleet.tell(|_, _| true);
+        fleet.exchange_reports(|_, _| true);
         let (_, demand) = &mut fleet.hosts[round % 6];
         for _ in 0..4 {
             let admitted = demand.take(&account(), rate, burst, fleet.now).admitted;
@@ -187,36 +186,37 @@
     assert!(refused <= 3, "of 236 requests within the rate {refused} were refused");
 }
 
-/// All hosts are restarted at once while an account sends several times its rate.
-/// Buckets that started full would grant the burst a second time within seconds.
+/// Guards against a second burst within seconds, which buckets that start full would grant: all
+/// hosts are restarted at once while an account sends several times its rate.
 #[test]
-fn a_restart_of_all_hosts_grants_no_second_burst() {
+fn restart_of_all_hosts_grants_no_second_burst() {
     let mut fleet = Fleet::new(6);
-    let asks = [100.0; 6];
-    fleet.run(Duration::from_secs(6), &asks, |_, _| true);
+    let rates = [100.0; 6];
+    fleet.run(Duration::from_secs(6), &rates, |_, _| true);
     let mut restarted = Fleet::new(6);
     restarted.now = fleet.now + Duration::from_millis(500);
     restarted.admitted = std::mem::take(&mut fleet.admitted);
-    restarted.run(Duration::from_secs(6), &asks, |_, _| true);
+    restarted.run(Duration::from_secs(6), &rates, |_, _| true);
     let worst = restarted.worst_window();
     assert!(worst <= allowed(), "{worst} were admitted in a window, {} are allowed", allowed());
 }
 
-/// How often hosts tell each other what is asked of them.
-const TELL_EVERY: Duration = Duration::from_millis(400);
+/// Interval at which hosts report their demand to each other.
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Lets time pass in a fleet whose hosts tell their demand each at its own moment, as
-/// hosts do that were not started together.
-fn run_apart(fleet: &mut Fleet, time: Duration, asks: f64) {
+/// Simulates `time` with `rate` requests per second at each host. The hosts report at different
+/// times, like hosts that were not started together.
+fn run_staggered(fleet: &mut Fleet, time: Duration, rate: f64) {
     let end = fleet.now + time;
     let size = fleet.hosts.len() as u32;
     let mut due = vec![0.0; fleet.hosts.len()];
-    let mut next: Vec<Instant> = (0..size).map(|n| fleet.now + TELL_EVERY * n / size).collect();
+    let mut next: Vec<Instant> =
+        (0..size).map(|n| fleet.now + REPORT_INTERVAL * n / size).collect();
     while fleet.now < end {
         fleet.now += TICK;
         let now = fleet.now;
         for n in 0..fleet.hosts.len() {
-            due[n] += asks * TICK.as_secs_f64();
+            due[n] += rate * TICK.as_secs_f64();
             while due[n] >= 1.0 {
                 due[n] -= 1.0;
                 if fleet.hosts[n].1.take(&account(), RATE, BURST, now).admitted {
@@ -226,89 +226,94 @@
             if now < next[n] {
                 continue;
             }
-            next[n] += TELL_EVERY;
+            next[n] += REPORT_INTERVAL;
             fleet.hosts[n].1.publish(now);
-            let told = fleet.hosts[n].1.report(now);
+            let report = fleet.hosts[n].1.report(now);
             for (to, (_, demand)) in fleet.hosts.iter_mut().enumerate() {
                 if to != n {
-                    demand.receive_report(&host(n), &host(n), &told, now);
+                    demand.receive_report(&host(n), &host(n), &report, now);
                 }
             }
         }
     }
 }
 
-/// An account's callers are refused for the rest of a day since the platform counts
-/// more operations than its limit allows. The account sent eight times its rate, all
-/// hosts died together, and each came back knowing no demand but its own: each took
-/// the account's whole rate for itself until the others told theirs.
+/// Guards against an account that exceeds the platform's limit and is refused for the rest of a
+/// day: it sent eight times its rate, all hosts died together, and each restarted with only its
+/// own demand, so that each took the whole rate until the others reported theirs.
 #[test]
-fn hosts_that_all_died_do_not_each_take_the_whole_rate() {
-    for apart_ms in [100, 500, 1000, 2000] {
+fn restarted_hosts_do_not_each_admit_the_whole_rate() {
+    for outage_ms in [100, 500, 1000, 2000] {
         let mut fleet = Fleet::new(9);
-        let (usual, hot) = (RATE.0 / 1.6 / 9.0, RATE.0 * 5.0 / 9.0);
-        run_apart(&mut fleet, Duration::from_secs(6), usual);
-        run_apart(&mut fleet, Duration::from_secs(3), hot);
+        let (usual, peak) = (RATE.0 / 1.6 / 9.0, RATE.0 * 5.0 / 9.0);
+        run_staggered(&mut fleet, Duration::from_secs(6), usual);
+        run_staggered(&mut fleet, Duration::from_secs(3), peak);
         let mut restarted = Fleet::new(9);
-        restarted.now = fleet.now + Duration::from_millis(apart_ms);
+        restarted.now = fleet.now + Duration::from_millis(outage_ms);
         restarted.hosts.iter_mut().enumerate().for_each(|(n, (_, demand))| {
             let others = (0..9).filter(|other| *other != n).map(host);
             *demand = Demand::new(TOLERANCE, next_run(), restarted.now);
             demand.set_participants(&host(n), others, restarted.now);
         });
         restarted.admitted = std::mem::take(&mut fleet.admitted);
-        let back = restarted.now;
-        run_apart(&mut restarted, Duration::from_secs(6), hot);
+        let restarted_at = restarted.now;
+        run_staggered(&mut restarted, Duration::from_secs(6), peak);
         let worst = restarted.worst_window();
         assert!(worst <= allowed(), "{worst} were admitted in a window, {} are allowed", allowed());
-        let admitted = restarted.admitted_since(back) as f64;
-        assert!(admitted >= RATE.0 * 6.0 * 0.95, "only {admitted} of the rate were admitted");
+        let admitted = restarted.admitted_since(restarted_at) as f64;
+        assert!(
+            admitted >= RATE.0 * 6.0 * 0.95,
+            "only {admitted} requests within the rate were admitted"
+        );
     }
 }
 
-/// A demand that rises everywhere at once, while hosts tell it at different moments:
-/// each divided its own newest figure by older ones of the others, so that all parts
-/// together were more than the rate.
+/// Guards against parts that sum to more than the rate when demand rises at all hosts at once:
+/// hosts report at different times, and each divided its own newest demand by older reports of
+/// the others.
 #[test]
-fn a_demand_that_rises_everywhere_keeps_to_the_rate() {
+fn demand_that_rises_at_all_hosts_stays_within_the_rate() {
     let mut fleet = Fleet::new(9);
-    run_apart(&mut fleet, Duration::from_secs(6), RATE.0 / 1.6 / 9.0);
-    run_apart(&mut fleet, Duration::from_secs(6), RATE.0 * 8.0 / 9.0);
+    run_staggered(&mut fleet, Duration::from_secs(6), RATE.0 / 1.6 / 9.0);
+    run_staggered(&mut fleet, Duration::from_secs(6), RATE.0 * 8.0 / 9.0);
     let worst = fleet.worst_window();
-    let used = ((RATE.0 * 5.0 + BURST.0) * 1.05 + 10.0) as usize + 9;
-    assert!(worst <= used, "{worst} were admitted in a window, {used} are meant to be");
+    let intended = ((RATE.0 * 5.0 + BURST.0) * 1.05 + 10.0) as usize + 9;
+    assert!(worst <= intended, "{worst} were admitted in a window, {intended} are intended");
 }
 
-/// All accounts are refused for two seconds, five seconds after a cut has healed. What
-/// hosts had told while it lasted was held up on their links and came then, behind newer
-/// figures; counts that went back and forth again were taken for new requests.
+/// Guards against refusals of all accounts for two seconds, five seconds after a partition has
+/// healed: reports delayed on the links arrived after newer ones, and counts that decreased and
+/// increased again were charged as new requests.
 #[test]
-fn figures_that_come_late_are_not_counted_again() {
+fn delayed_reports_are_not_charged_again() {
     let mut fleet = Fleet::new(3);
     let usual = RATE.0 / 1.6 / 3.0;
-    run_apart(&mut fleet, Duration::from_secs(4), usual);
-    let late: Vec<_> = (1..3).map(|n| (n, fleet.hosts[n].1.report(fleet.now))).collect();
-    run_apart(&mut fleet, Duration::from_secs(12), usual);
+    run_staggered(&mut fleet, Duration::from_secs(4), usual);
+    let delayed: Vec<_> = (1..3).map(|n| (n, fleet.hosts[n].1.report(fleet.now))).collect();
+    run_staggered(&mut fleet, Duration::from_secs(12), usual);
     let now = fleet.now;
-    for (n, told) in late {
+    for (n, report) in delayed {
         let newest = fleet.hosts[n].1.report(now);
-        fleet.hosts[0].1.receive_report(&host(n), &host(n), &told, now);
+        fleet.hosts[0].1.receive_report(&host(n), &host(n), &report, now);
         fleet.hosts[0].1.receive_report(&host(n), &host(n), &newest, now);
     }
-    run_apart(&mut fleet, Duration::from_secs(2), usual);
+    run_staggered(&mut fleet, Duration::from_secs(2), usual);
     let admitted = fleet.admitted_since(now);
-    let asked = (usual * 3.0 * 2.0) as usize;
-    assert!(admitted + 3 >= asked, "of {asked} requests within the rate {admitted} were admitted");
+    let requested = (usual * 3.0 * 2.0) as usize;
+    assert!(
+        admitted + 3 >= requested,
+        "of {requested} requests within the rate {admitted} were admitted"
+    );
 }
 
-/// All accounts are refused for a second, in the calm after a cut. A host had no callers
-/// while it was cut off, so it told nothing of accounts that it had served before; the
-/// others took its count of the whole day for what it had admitted since.
+/// Guards against refusals of all accounts for a second after a partition: an isolated host had
+/// no callers, so its reports left out accounts that it had served before, and the others then
+/// charged its count of the whole day as recent admissions.
 #[test]
-fn an_account_that_a_host_tells_of_again_is_not_charged_twice() {
+fn account_that_returns_to_the_reports_of_a_host_is_not_charged_twice() {
     let mut fleet = Fleet::new(3);
     let usual = RATE.0 / 1.6 / 3.0;
-    run_apart(&mut fleet, Duration::from_secs(20), usual);
+    run_staggered(&mut fleet, Duration::from_secs(20), usual);
     fleet.run(Duration::from_secs(14), &[usual, usual, 0.0], |_, _| true);
     for n in 0..2 {
         let (others, now) = ((0..3).filter(|other| *other != n).map(host), fleet.now);
@@ -318,43 +323,50 @@
     }
     fleet.run(Duration::from_secs(1), &[usual, usual, 0.0], |_, _| true);
     let since = fleet.now;
-    run_apart(&mut fleet, Duration::from_secs(4), usual);
+    run_staggered(&mut fleet, Duration::from_secs(4), usual);
     let admitted = fleet.admitted_since(since);
-    let asked = (usual * 3.0 * 4.0) as usize;
-    assert!(admitted + 3 >= asked, "of {asked} requests within the rate {admitted} were admitted");
+    let requested = (usual * 3.0 * 4.0) as usize;
+    assert!(
+        admitted + 3 >= requested,
+        "of {requested} requests within the rate {admitted} were admitted"
+    );
 }
 
-/// An operator gives callers a new account while they call. Its bucket began empty on
-/// every host, so that half of its first second was refused though the account was
-/// within its rate. A host that learns of it late does not grant the burst again.
+/// Guards against refusal of half of the requests in a new account's first second although the
+/// account is within its rate: the operator creates it while its callers already send requests,
+/// and its bucket started empty on every host.
 #[test]
-fn a_new_account_begins_with_its_burst() {
+fn new_account_starts_with_its_burst() {
     let mut fleet = Fleet::new(9);
-    run_apart(&mut fleet, Duration::from_secs(2), 0.0);
+    run_staggered(&mut fleet, Duration::from_secs(2), 0.0);
     let now = fleet.now;
     for (_, demand) in &mut fleet.hosts {
         demand.create(&account(), RATE, BURST, now);
-        let together = (0..8).filter(|_| demand.take(&account(), RATE, BURST, now).admitted);
-        assert_eq!(together.count(), 8, "of eight callers that come together");
+        let admitted = (0..8).filter(|_| demand.take(&account(), RATE, BURST, now).admitted);
+        assert_eq!(admitted.count(), 8, "of eight simultaneous requests");
     }
     fleet.admitted.clear();
-    run_apart(&mut fleet, Duration::from_secs(2), RATE.0 / 1.6 / 9.0);
-    let asked = (RATE.0 / 1.6 * 2.0) as usize;
+    run_staggered(&mut fleet, Duration::from_secs(2), RATE.0 / 1.6 / 9.0);
+    let requested = (RATE.0 / 1.6 * 2.0) as usize;
     let admitted = fleet.admitted.len();
-    assert!(admitted + 9 >= asked, "of {asked} requests within the rate {admitted} were admitted");
+    assert!(
+        admitted + 9 >= requested,
+        "of {requested} requests within the rate {admitted} were admitted"
+    );
 }
 
+/// Guards against a burst that is granted again by a host that receives a new account late.
 #[test]
-fn a_host_that_hears_late_of_a_new_account_counts_what_others_admitted() {
+fn host_that_receives_a_new_account_late_deducts_reported_admissions() {
     let mut fleet = Fleet::new(9);
-    run_apart(&mut fleet, Duration::from_secs(2), 0.0);
+    run_staggered(&mut fleet, Duration::from_secs(2), 0.0);
     let now = fleet.now;
     let early = fleet.hosts.iter_mut().take(8);
     early.for_each(|(_, demand)| demand.create(&account(), RATE, BURST, now));
-    run_apart(&mut fleet, Duration::from_secs(2), RATE.0 * 8.0 / 9.0);
+    run_staggered(&mut fleet, Duration::from_secs(2), RATE.0 * 8.0 / 9.0);
     let now = fleet.now;
     fleet.hosts[8].1.create(&account(), RATE, BURST, now);
-    run_apart(&mut fleet, Duration::from_secs(5), RATE.0 * 8.0 / 9.0);
+    run_staggered(&mut fleet, Duration::from_secs(5), RATE.0 * 8.0 / 9.0);
     let worst = fleet.worst_window();
     assert!(worst <= allowed(), "{worst} were admitted in a window, {} are allowed", allowed());
 }
