--- a/components/coordination/tests/fair.rs
+++ b/components/coordination/tests/fair.rs
@@ -1,4 +1,4 @@
-//! The fair queue.
+//! Weighted fair queueing of accounts.
 
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
     Ticket { account: account(name), weight, deadline, urgent: false }
 }
 
-/// Serves `rounds` requests of 1 ms each, one slot, and counts them by account.
+/// Serves `rounds` requests of 1 ms each in one slot, and returns how many carry `name`.
 fn served(queue: &mut FairQueue<&'static str>, rounds: usize, name: &str) -> usize {
     let mut count = 0;
     for _ in 0..rounds {
@@ -28,10 +28,11 @@
     count
 }
 
-/// A studio that asks twenty times as often as the others waits behind itself;
-/// the other one's requests are served one for one.
+/// Guards against an account that sends twenty times as many requests as the others and delays
+/// theirs: its requests queue behind its own, and those of the other account are served in
+/// alternation.
 #[test]
-fn a_large_account_does_not_crowd_out_a_small_one() {
+fn large_account_does_not_delay_a_small_one() {
     let now = Instant::now();
     let far = now + Duration::from_secs(60);
     let mut queue = FairQueue::new(1, MS);
@@ -45,8 +46,10 @@
     assert!((9..=10).contains(&count), "{count} of 10 in the first 21");
 }
 
+/// Guards against slots of a busy server that are divided in another ratio than the weights of
+/// the accounts, here 3 to 1.
 #[test]
-fn weights_divide_a_busy_server() {
+fn busy_server_is_shared_by_weight() {
     let now = Instant::now();
     let far = now + Duration::from_secs(60);
     let mut queue = FairQueue::new(1, MS);
@@ -58,9 +61,10 @@
     assert!((148..=152).contains(&count), "{count} of 200");
 }
 
-/// An account whose requests take ten times as long gets a tenth of the turns.
+/// Guards against an account that gets more slot time because its requests are long: if they take
+/// ten times as long, a tenth as many are granted.
 #[test]
-fn time_used_is_what_is_shared() {
+fn accounts_share_slot_time_rather_than_requests() {
     let now = Instant::now();
     let far = now + Duration::from_secs(600);
     let mut queue = FairQueue::new(1, MS);
@@ -80,10 +84,10 @@
     assert!((0.8..1.25).contains(&ratio), "{ratio}");
 }
 
-/// Beyond saturation a request that would be late is refused when it comes,
-/// with a time to come back, and the queue stays as short as the deadline.
+/// Guards against a queue that grows beyond the deadline of its requests: under overload, a
+/// request that would be late is refused on arrival, with a retry delay.
 #[test]
-fn a_queue_is_no_longer_than_the_deadline_allows() {
+fn request_that_would_miss_its_deadline_is_refused_on_arrival() {
     let now = Instant::now();
     let mut queue = FairQueue::new(5, 10 * MS);
     let soon = now + 100 * MS;
@@ -94,14 +98,15 @@
         }
         queue.pop();
     }
-    assert!(queue.len() <= 50, "{} wait", queue.len());
+    assert!(queue.len() <= 50, "{} requests wait", queue.len());
     let retry = refused.unwrap();
     assert!(retry >= 10 * MS && retry < Duration::from_secs(1), "{retry:?}");
 }
 
-/// A server slows down tenfold: those who wait in vain are told at once.
+/// Guards against requests that wait until their deadline in vain after a server has become ten
+/// times slower: they are rejected at once.
 #[test]
-fn a_slow_server_sheds_those_who_wait_in_vain() {
+fn requests_that_will_be_late_are_shed_when_the_server_slows_down() {
     let now = Instant::now();
     let mut queue = FairQueue::new(1, MS);
     for _ in 0..50 {
@@ -117,8 +122,10 @@
     assert!(shed.iter().all(|(infeasible, _)| infeasible.retry > Duration::ZERO));
 }
 
+/// Guards against an open transaction that holds its connection, and possibly locks, while its
+/// next statement waits behind other requests of its account.
 #[test]
-fn an_urgent_request_goes_before_its_own_account_only() {
+fn urgent_request_precedes_other_requests_of_its_account() {
     let now = Instant::now();
     let far = now + Duration::from_secs(60);
     let mut queue = FairQueue::new(1, MS);
@@ -130,10 +137,11 @@
     assert_eq!(queue.pop().unwrap().item, "urgent");
 }
 
-/// All slots run statements that wait for a lock of an open transaction. Its next
-/// statement runs beyond the limit; nothing else comes until the limit holds again.
+/// Guards against a deadlock: all slots run statements that wait for a lock of an open
+/// transaction. Its next statement runs above the limit, and nothing else is granted until the
+/// number of running statements is within the limit again.
 #[test]
-fn an_open_transaction_runs_beyond_the_limit() {
+fn statement_of_an_open_transaction_runs_above_the_limit() {
     let now = Instant::now();
     let far = now + Duration::from_secs(60);
     let mut queue = FairQueue::new(1, MS);
@@ -142,7 +150,7 @@
     let first = queue.pop().unwrap();
     let cost = queue.force(&account("b"));
     queue.release(&first.account, first.cost, MS);
-    assert!(queue.pop().is_none(), "the transaction has the only slot");
+    assert!(queue.pop().is_none(), "the transaction holds the only slot");
     queue.release(&account("b"), cost, MS);
     assert!(queue.pop().is_some());
 }
