--- a/components/coordination/tests/freshness.rs
+++ b/components/coordination/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! Whether a host may still act on the revision it knows.
+//! Proof that a host's revision of the configuration is recent enough to act on.
 
 use std::time::Duration;
 
@@ -22,93 +22,106 @@
     }
 }
 
-fn answers(list: &[(&str, u64, bool)]) -> Vec<(HostId, FreshnessVote)> {
+fn votes_of(list: &[(&str, u64, bool)]) -> Vec<(HostId, FreshnessVote)> {
     list.iter()
         .map(|(id, known, confirmed)| (id.parse().unwrap(), vote(*known, *confirmed)))
         .collect()
 }
 
+/// Guards against a single host that proves its own revision to be the newest: it takes votes of
+/// a majority, none of which has a newer one.
 #[test]
-fn a_majority_that_knows_nothing_newer_shows_freshness() {
+fn majority_without_a_newer_revision_proves_freshness() {
     let roster = hosts(&["h1", "h2", "h3"]);
-    let told = answers(&[("h1", 7, true), ("h2", 7, true)]);
-    let tally = freshness::tally(Revision(7), &roster, &roster, &[], &told);
+    let votes = votes_of(&[("h1", 7, true), ("h2", 7, true)]);
+    let tally = freshness::tally(Revision(7), &roster, &roster, &[], &votes);
     assert!(tally.newest && tally.propagated);
-    let alone = answers(&[("h1", 7, true)]);
+    let alone = votes_of(&[("h1", 7, true)]);
     assert!(!freshness::tally(Revision(7), &roster, &roster, &[], &alone).newest);
 }
 
+/// Guards against a host that acts on an old revision because a majority has none newer,
+/// although one vote names a newer revision.
 #[test]
-fn one_host_that_knows_a_newer_revision_is_enough_to_stop() {
+fn one_vote_with_a_newer_revision_prevents_the_proof() {
     let roster = hosts(&["h1", "h2", "h3"]);
-    let told = answers(&[("h1", 7, true), ("h2", 8, true), ("h3", 7, true)]);
-    let tally = freshness::tally(Revision(7), &roster, &roster, &[], &told);
+    let votes = votes_of(&[("h1", 7, true), ("h2", 8, true), ("h3", 7, true)]);
+    let tally = freshness::tally(Revision(7), &roster, &roster, &[], &votes);
     assert!(!tally.newest);
     assert_eq!(tally.newer, Some(("h2".parse().unwrap(), Revision(8))));
 }
 
-/// A key is withdrawn and two of three hosts are told. One of them restarts and
-/// forgets; the third asks it. Did its ignorance count, the withdrawn key would
-/// go on working at the third host.
+/// Guards against a revoked key that continues to work: two of three hosts received the
+/// revocation, one of them restarted and lost it, and the third requests its vote. Such a vote
+/// must not count.
 #[test]
-fn a_restarted_host_vouches_for_nothing() {
+fn vote_of_a_restarted_host_does_not_count() {
     let roster = hosts(&["h1", "h2", "h3"]);
-    let told = answers(&[("h3", 7, true), ("h2", 7, false)]);
-    assert!(!freshness::tally(Revision(7), &roster, &roster, &[], &told).newest);
+    let votes = votes_of(&[("h3", 7, true), ("h2", 7, false)]);
+    assert!(!freshness::tally(Revision(7), &roster, &roster, &[], &votes).newest);
 }
 
+/// Guards against a majority made up of second votes of a host and votes of hosts outside the
+/// roster.
 #[test]
-fn hosts_outside_the_roster_and_second_answers_do_not_count() {
+fn second_votes_and_votes_from_outside_the_roster_do_not_count() {
     let roster = hosts(&["h1", "h2", "h3"]);
-    let told = answers(&[("h1", 7, true), ("h1", 7, true), ("h9", 7, true)]);
-    let tally = freshness::tally(Revision(7), &roster, &roster, &[], &told);
+    let votes = votes_of(&[("h1", 7, true), ("h1", 7, true), ("h9", 7, true)]);
+    let tally = freshness::tally(Revision(7), &roster, &roster, &[], &votes);
     assert!(!tally.newest && !tally.propagated);
 }
 
-/// The roster moves from h1-h3 to h3-h5. A host of the old one asks the old one
-/// only, so the new revision counts as told when majorities of both know it.
+/// Guards against hosts of the previous roster that act on an old revision after the roster has
+/// changed from h1-h3 to h3-h5: they request votes of the old roster only. So the new revision
+/// counts as propagated only when majorities of both rosters have it.
 #[test]
-fn a_roster_change_is_told_to_both_rosters() {
+fn roster_change_is_propagated_by_majorities_of_both_rosters() {
     let (before, after) = (hosts(&["h1", "h2", "h3"]), hosts(&["h3", "h4", "h5"]));
-    let new_only = answers(&[("h3", 8, true), ("h4", 8, true), ("h5", 8, true)]);
+    let new_only = votes_of(&[("h3", 8, true), ("h4", 8, true), ("h5", 8, true)]);
     assert!(!freshness::tally(Revision(8), &after, &before, &[], &new_only).propagated);
-    let both = answers(&[("h3", 8, true), ("h4", 8, true), ("h1", 8, true)]);
+    let both = votes_of(&[("h3", 8, true), ("h4", 8, true), ("h1", 8, true)]);
     assert!(freshness::tally(Revision(8), &after, &before, &[], &both).propagated);
 }
 
-/// Two of three hosts die for good, and the platform says so. The third must be
-/// able to go on to a roster without them, but not to vouch for itself alone.
+/// Guards against blocked changes after the permanent loss of two of three hosts, which the
+/// platform reports as dead: the third can propagate a roster without them, but its own vote
+/// alone proves no freshness.
 #[test]
-fn a_majority_that_is_dead_need_not_be_told() {
+fn revision_is_propagated_without_a_dead_majority() {
     let roster = hosts(&["h1", "h2", "h3"]);
     let dead = hosts(&["h2", "h3"]);
-    let own = answers(&[("h1", 7, true)]);
+    let own = votes_of(&[("h1", 7, true)]);
     let tally = freshness::tally(Revision(7), &roster, &roster, &dead, &own);
     assert!(tally.propagated && !tally.newest);
     assert!(!freshness::tally(Revision(7), &roster, &roster, &[], &own).propagated);
 }
 
+/// Guards against a proof without any vote.
 #[test]
-fn an_empty_roster_shows_nothing() {
+fn empty_roster_proves_no_freshness() {
     assert!(!freshness::tally(Revision(0), &[], &[], &[], &[]).newest);
 }
 
+/// Guards against a delayed answer that extends freshness: it counts from the time at which the
+/// request was sent.
 #[test]
-fn freshness_counts_from_the_question_and_runs_out() {
+fn freshness_counts_from_the_request_and_expires() {
     let clock = ManualClock::new();
     let mut freshness = Freshness::default();
     freshness.raise(Revision(7));
-    let asked = clock.now();
-    assert!(!freshness.is_fresh(asked, LIMIT) && !freshness.may_vote());
+    let sent_at = clock.now();
+    assert!(!freshness.is_fresh(sent_at, LIMIT) && !freshness.may_vote());
     clock.advance(Duration::from_secs(2));
-    freshness.confirm(Revision(7), asked);
+    freshness.confirm(Revision(7), sent_at);
     assert!(freshness.is_fresh(clock.now(), LIMIT));
     clock.advance(Duration::from_secs(1));
-    assert!(!freshness.is_fresh(clock.now(), LIMIT), "a late answer is no younger");
+    assert!(!freshness.is_fresh(clock.now(), LIMIT), "a delayed answer does not extend freshness");
 }
 
+/// Guards against a host that acts on an old revision because of a proof for a newer one that it
+/// does not have yet.
 #[test]
-fn what_shows_a_newer_revision_does_not_make_an_older_one_fresh() {
+fn proof_of_a_newer_revision_does_not_confirm_an_older_one() {
     let clock = ManualClock::new();
     let mut freshness = Freshness::default();
     freshness.raise(Revision(7));
@@ -119,24 +132,24 @@
     assert!(freshness.is_fresh(clock.now(), LIMIT));
 }
 
-/// Half of the hosts are cut off from the store and from the other half for 7 s.
-/// Every caller there was refused after 2.6 s, though nobody had asked for hosts
-/// that stop so soon. Where a strict bound is set, they do.
+/// Guards against refusal of all callers at isolated hosts: half of the hosts were partitioned
+/// from the store and from the other half for 7 s, and stopped after 2.6 s although no setting
+/// required it. With a strict bound, they stop.
 #[test]
-fn a_host_that_is_cut_off_goes_on_for_a_while() {
+fn isolated_host_continues_for_a_while_without_a_strict_bound() {
     let (loose, strict) = (bounds(None), bounds(Some(5)));
     assert!(aged(7).may_serve(loose));
     assert!(!aged(11).may_serve(loose));
     assert!(!aged(7).may_serve(strict));
     assert!(ConfigState { majority: true, ..aged(7) }.may_serve(strict));
-    let nothing = ConfigState { age: None, majority: true, ..aged(0) };
-    assert!(!nothing.may_serve(loose), "a host that knows nothing serves nobody");
+    let unconfigured = ConfigState { age: None, majority: true, ..aged(0) };
+    assert!(!unconfigured.may_serve(loose), "a host without a configuration serves no caller");
 }
 
-/// A newer configuration is too large for the links of a host. It is told that there is one
-/// and hears all others, and went on with withdrawn keys after the bound.
+/// Guards against a host that accepts revoked keys after the bound: a newer configuration is too
+/// large for its links, but it has contact with all others and is notified that there is one.
 #[test]
-fn a_host_that_knows_of_a_newer_configuration_stops_at_the_bound() {
+fn outdated_host_stops_at_the_bound() {
     for majority in [true, false] {
         let outdated = |age| ConfigState { outdated: true, majority, ..aged(age) };
         assert!(outdated(2).may_serve(bounds(None)));
@@ -150,19 +163,19 @@
     Bounds { apply: Duration::from_secs(3), strict: strict.map(Duration::from_secs) }
 }
 
-/// A host whose configuration was the newest so many seconds ago.
+/// Returns the state of an isolated host whose configuration was the newest `secs` seconds ago.
 fn aged(secs: u64) -> ConfigState {
     ConfigState { age: Some(Duration::from_secs(secs)), outdated: false, majority: false }
 }
 
-/// An operator's change must be in force within the bound of the deployment. With
-/// times made for a bound of 3 s, a host whose hub had died heard of a change after
-/// 2.4 s and a call, too late where the bound is 2 s.
+/// Guards against changes that are in force only after the bound of the deployment: with
+/// intervals for a bound of 3 s, a host whose hub had died read a change after 2.4 s and a call,
+/// too late for a bound of 2 s.
 #[test]
-fn a_change_is_looked_for_within_its_bound() {
+fn poll_intervals_leave_time_for_a_call_within_the_bound() {
     for bound in [1000, 2000, 3000, 5000].map(Duration::from_millis) {
-        let pace = freshness::PollIntervals::for_bound(bound);
-        assert!(pace.wait < pace.ask && pace.ask < pace.read, "{pace:?}");
-        assert!(bound - pace.read >= bound / 6, "time is left for the call: {pace:?}");
+        let intervals = freshness::PollIntervals::for_bound(bound);
+        assert!(intervals.wait < intervals.ask && intervals.ask < intervals.read, "{intervals:?}");
+        assert!(bound - intervals.read >= bound / 6, "no time left for the call: {intervals:?}");
     }
 }
