--- a/components/coordination/tests/succession.rs
+++ b/components/coordination/tests/succession.rs
@@ -1,4 +1,4 @@
-//! Who leads a group next.
+//! Selection of the next leader of a group.
 
 use bergamottrack_coordination::{
     Point, ServerId, Term,
@@ -27,60 +27,61 @@
     Terms { known: Term(known), closed: Term(closed) }
 }
 
-/// A leader died and another was promoted; the old one comes back and still thinks
-/// that it leads, just when the new one dies. Taken up again, it acknowledged
-/// writes that were lost and showed a log without the newer ones.
+/// Guards against adopting a former leader again. It returns after a failover and still reports
+/// that it leads, just when its successor fails; it would acknowledge writes that are lost, and
+/// show a log without the newer ones.
 #[test]
-fn an_old_leader_is_not_taken_up_where_a_replica_knows_better() {
-    let told = [server("old", true, 2, (2, 9)), server("replica", false, 3, (3, 4))];
+fn former_leader_is_not_adopted_if_a_replica_has_a_newer_term() {
+    let states = [server("old", true, 2, (2, 9)), server("replica", false, 3, (3, 4))];
     let promote = Next::Promote { successor: id("replica"), after: Term(3), last: None };
-    assert_eq!(succession::next(&told, terms(2, 1), None, Order::Log), promote);
-    let told = [
+    assert_eq!(succession::next(&states, terms(2, 1), None, Order::Log), promote);
+    let states = [
         server("old", true, 2, (2, 9)),
         server("new", true, 3, (3, 5)),
         server("replica", false, 3, (3, 4)),
     ];
     assert_eq!(
-        succession::next(&told, terms(2, 1), None, Order::Log),
+        succession::next(&states, terms(2, 1), None, Order::Log),
         Next::Adopt(id("new"), Term(3))
     );
-    let told = [server("only", true, 1, (1, 9)), server("replica", false, 1, (1, 4))];
+    let states = [server("only", true, 1, (1, 9)), server("replica", false, 1, (1, 4))];
     assert_eq!(
-        succession::next(&told, terms(0, 0), None, Order::Log),
+        succession::next(&states, terms(0, 0), None, Order::Log),
         Next::Adopt(id("only"), Term(1))
     );
 }
 
-/// A booking is acknowledged and gone a second later. The leader was replaced while
-/// no replica received anything; its successor went silent at once, before any replica
-/// had heard of it. All that could be asked spoke of the first term, so the first
-/// leader was taken up again and acknowledged what the next promotion took back.
+/// Guards against a write that is lost a second after its acknowledgement: a leader is replaced
+/// while no replica receives anything, its successor stops answering before any replica has its
+/// term, and the first leader is adopted again because all reachable servers report its term.
 #[test]
-fn an_old_leader_is_not_taken_up_where_nobody_has_heard_of_its_successor() {
-    let told = [server("old", true, 1, (1, 206)), server("deaf", false, 1, (1, 183))];
+fn former_leader_is_not_adopted_if_no_replica_has_its_successors_term() {
+    let states = [server("old", true, 1, (1, 206)), server("deaf", false, 1, (1, 183))];
     let promote = Next::Promote { successor: id("deaf"), after: Term(2), last: None };
-    assert_eq!(succession::next(&told, terms(2, 1), None, Order::Log), promote);
-    // The promotion may have taken effect without anybody knowing the new leader.
+    assert_eq!(succession::next(&states, terms(2, 1), None, Order::Log), promote);
+    // The promotion may have taken effect although no host knows the new leader.
     let promote = Next::Promote { successor: id("deaf"), after: Term(1), last: None };
-    assert_eq!(succession::next(&told, terms(1, 1), None, Order::Log), promote);
+    assert_eq!(succession::next(&states, terms(1, 1), None, Order::Log), promote);
 }
 
-/// A leader that leaves as planned is asked for its last record, which its successor
-/// has to receive first; it is not taken up again itself.
+/// Guards against losing records in a planned failover: the successor must first receive the last
+/// record that the leaving leader reports, and the leaving leader is not adopted again.
 #[test]
-fn a_leaving_leader_is_waited_for() {
-    let told = [
+fn planned_failover_waits_for_the_leaders_last_record() {
+    let states = [
         server("leader", true, 4, (4, 50)),
         server("near", false, 4, (4, 48)),
         server("far", false, 4, (4, 40)),
     ];
     let promote =
         Next::Promote { successor: id("near"), after: Term(4), last: Some(Point::new(4, 50)) };
-    assert_eq!(succession::next(&told, terms(4, 3), Some(&id("leader")), Order::Log), promote);
+    assert_eq!(succession::next(&states, terms(4, 3), Some(&id("leader")), Order::Log), promote);
 }
 
+/// Guards against promoting a server that is being removed, and against adopting the leader of a
+/// closed term because no replica is left.
 #[test]
-fn nobody_leads_without_a_replica_that_stays() {
+fn group_without_an_eligible_server_gets_no_leader() {
     let mut leaving = server("leaving", false, 1, (1, 3));
     leaving.leaving = true;
     assert_eq!(succession::next(&[leaving], terms(1, 0), None, Order::Log), Next::Nobody);
@@ -89,35 +90,36 @@
     assert_eq!(succession::next(&[old], terms(1, 1), None, Order::Log), Next::Nobody);
 }
 
-/// Guards against a leader in an evacuated failure domain, or a successor there.
+/// Guards against a leader that stays in an evacuated failure domain, and against a successor in
+/// one.
 #[test]
-fn no_server_of_an_evacuated_domain_leads_next() {
+fn servers_in_evacuated_domains_are_not_selected() {
     let evacuated = |server: Standing| Standing { evacuated: true, ..server };
     let leader = evacuated(server("leader", true, 4, (4, 50)));
     let ahead = evacuated(server("ahead", false, 4, (4, 50)));
     let behind = server("behind", false, 4, (4, 48));
-    let told = [leader.clone(), ahead.clone(), behind];
+    let states = [leader.clone(), ahead.clone(), behind];
     let last = Some(Point::new(4, 50));
     let promote = Next::Promote { successor: id("behind"), after: Term(4), last };
     for order in [Order::Log, Order::Placement] {
-        assert_eq!(succession::next(&told, terms(4, 3), None, order), promote);
+        assert_eq!(succession::next(&states, terms(4, 3), None, order), promote);
     }
-    // Where all are evacuated the leader stays, and serves again once that is taken back.
+    // If all are evacuated the leader stays, and serves again once the evacuation is cancelled.
     let adopt = Next::Adopt(id("leader"), Term(4));
     assert_eq!(succession::next(&[leader, ahead], terms(4, 3), None, Order::Log), adopt);
 }
 
-/// Guards against a planned change to a server that may serve fewer databases, or is cold,
-/// and against one without a plan that loses acknowledged commits for that.
+/// Guards against a planned failover to a server that may serve fewer databases or is cold, and
+/// against an unplanned one that loses acknowledged commits for the sake of placement.
 #[test]
-fn placement_decides_where_the_log_cannot_be_lost() {
+fn placement_precedes_the_log_only_in_a_planned_failover() {
     let outside = Standing { served: 0, ..server("outside", false, 4, (4, 50)) };
     let cold = Standing { cold: true, ..server("cold", false, 4, (4, 50)) };
     let home = server("home", false, 4, (4, 48));
-    let told = [server("leader", true, 4, (4, 50)), outside, cold, home];
+    let states = [server("leader", true, 4, (4, 50)), outside, cold, home];
     let leaves = Some(&id("leader"));
     let last = Some(Point::new(4, 50));
     let promote = |name| Next::Promote { successor: id(name), after: Term(4), last };
-    assert_eq!(succession::next(&told, terms(4, 3), leaves, Order::Placement), promote("home"));
-    assert_eq!(succession::next(&told, terms(4, 3), leaves, Order::Log), promote("cold"));
+    assert_eq!(succession::next(&states, terms(4, 3), leaves, Order::Placement), promote("home"));
+    assert_eq!(succession::next(&states, terms(4, 3), leaves, Order::Log), promote("cold"));
 }
