--- a/components/coordination/tests/suspicion.rs
+++ b/components/coordination/tests/suspicion.rs
@@ -1,4 +1,4 @@
-//! When a leader is replaced, and when not.
+//! Failure detection for leaders: the evidence that starts a failover.
 
 use std::time::{Duration, Instant};
 
@@ -9,19 +9,21 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// The leader's process dies: connections are refused. Nobody waits for time-outs.
+/// Guards against waiting for timeouts after the leader's process has died and connections are
+/// refused.
 #[test]
-fn a_dead_leader_is_replaced_at_once() {
+fn leader_that_refuses_connections_is_replaced_without_a_silence_timeout() {
     let start = Instant::now();
     let mut suspicion = Suspicion::default();
     suspicion.refused(start);
-    assert_eq!(suspicion.advice(start), Advice::Keep, "one refusal may be a restart");
+    assert_eq!(suspicion.advice(start), Advice::Keep, "a single refusal may be a restart");
     assert_eq!(suspicion.advice(start + 100 * MS), Advice::Replace);
 }
 
-/// The leader stalls for 300 ms and goes on. A change of leader would cost a second.
+/// Guards against a failover, which costs a second, because of a leader that stalls for 300 ms
+/// and continues.
 #[test]
-fn a_stall_replaces_nobody() {
+fn leader_that_stalls_for_300_ms_is_kept() {
     let start = Instant::now();
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
@@ -31,10 +33,10 @@
     assert_eq!(suspicion.advice(start + 900 * MS), Advice::Keep);
 }
 
-/// This host is cut off from the leader, which serves all others: its replicas go
-/// on receiving. Replacing it would stop everybody for the sake of one host.
+/// Guards against a failover that interrupts all hosts because this one is cut off from the
+/// leader: the leader serves the others, and its replicas continue to receive its log.
 #[test]
-fn a_leader_whose_replicas_receive_is_kept() {
+fn leader_unreachable_from_one_host_is_kept_while_its_replicas_receive() {
     let start = Instant::now();
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
@@ -45,9 +47,10 @@
     }
 }
 
-/// The leader goes dark for all: its replicas receive nothing more.
+/// Guards against keeping a leader that has stopped for all hosts: its replicas receive nothing
+/// more.
 #[test]
-fn a_silent_leader_whose_replicas_stand_still_is_replaced() {
+fn silent_leader_is_replaced_once_its_replicas_have_stalled() {
     let start = Instant::now();
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
@@ -57,15 +60,16 @@
     assert_eq!(
         suspicion.advice(start + REPLICA_STALL_TIMEOUT),
         Advice::AskReplicas,
-        "nobody was asked since"
+        "no replica was queried since"
     );
     suspicion.received(Point::new(1, 5), start + REPLICA_STALL_TIMEOUT);
     assert_eq!(suspicion.advice(start + REPLICA_STALL_TIMEOUT), Advice::Replace);
 }
 
-/// Guards against a replacement by a single answer of the replicas, whatever came after it.
+/// Guards against a failover based on a single report of the replicas, whatever they received
+/// after it.
 #[test]
-fn one_answer_of_the_replicas_does_not_show_that_they_stand_still() {
+fn single_report_of_a_replica_does_not_prove_a_stall() {
     let start = Instant::now();
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
@@ -75,20 +79,21 @@
     assert_eq!(suspicion.advice(start + 3 * REPLICA_STALL_TIMEOUT), Advice::AskReplicas);
 }
 
-/// Guards against a herd of questions to the servers of a silent leader, and against hosts
-/// that never act where the first ones are gone.
+/// Guards against hundreds of hosts that query the servers of a silent leader at once, and
+/// against hosts that never act when the first batches are gone.
 #[test]
-fn hosts_act_on_a_leader_one_after_the_other() {
-    let turns: Vec<_> = (0..300).map(suspicion::stagger_delay).collect();
-    assert!(turns.is_sorted());
-    assert_eq!(turns[0], Duration::ZERO);
-    assert!(turns.iter().filter(|stagger_delay| stagger_delay.is_zero()).count() <= 8);
-    assert!(turns[299] < Duration::from_secs(1));
+fn hosts_act_on_a_silent_leader_in_staggered_batches() {
+    let delays: Vec<_> = (0..300).map(suspicion::stagger_delay).collect();
+    assert!(delays.is_sorted());
+    assert_eq!(delays[0], Duration::ZERO);
+    assert!(delays.iter().filter(|delay| delay.is_zero()).count() <= 8);
+    assert!(delays[299] < Duration::from_secs(1));
 }
 
-/// Guards against a replacement by what replicas told long ago, while another host asks.
+/// Guards against a failover based on reports of the replicas that became outdated while another
+/// host probed the leader.
 #[test]
-fn a_leader_left_to_another_host_is_not_judged_by_old_answers() {
+fn evidence_of_silence_is_discarded_while_another_host_probes() {
     let start = Instant::now();
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
@@ -97,5 +102,5 @@
     assert_eq!(suspicion.advice(start + 2 * REPLICA_STALL_TIMEOUT), Advice::Keep);
     suspicion.refused(start);
     suspicion.reset_silence();
-    assert_eq!(suspicion.advice(start + 100 * MS), Advice::Replace, "refusals are no silence");
+    assert_eq!(suspicion.advice(start + 100 * MS), Advice::Replace, "refusals are kept");
 }
