--- a/components/coordination/tests/view.rs
+++ b/components/coordination/tests/view.rs
@@ -1,4 +1,4 @@
-//! Leases on leaders, and the wait until they are given back.
+//! Leases on leaders, and the wait for their release in a failover.
 
 use std::time::{Duration, Instant};
 
@@ -34,74 +34,75 @@
     }
 }
 
-/// A host is suspended and wakes, with another leader promoted meanwhile. Its
-/// lease counts from when it asked, by a clock that went on.
+/// Guards against a host that is suspended, resumes and uses its former leader although another
+/// was promoted meanwhile. The lease counts from the request for the view, by a clock that runs
+/// during the suspension.
 #[test]
-fn a_lease_ends_by_itself() {
+fn lease_expires_after_its_ttl() {
     let start = Instant::now();
-    let mut held = LocalView::new(host("a"), 1);
-    assert!(!held.leased(start));
-    held.learn(view(5, &[("a", member(1))]), start);
-    assert!(held.leased(start + LEASE_TTL - Duration::from_millis(1)));
-    assert!(!held.leased(start + LEASE_TTL));
+    let mut local = LocalView::new(host("a"), 1);
+    assert!(!local.leased(start));
+    local.learn(view(5, &[("a", member(1))]), start);
+    assert!(local.leased(start + LEASE_TTL - Duration::from_millis(1)));
+    assert!(!local.leased(start + LEASE_TTL));
 }
 
-/// Guards against a lease of a host that whoever replaces a leader does not wait for: it was
-/// taken out, or its row names another address.
+/// Guards against a lease that a failover does not wait for: the host was removed, or its row
+/// contains another address.
 #[test]
-fn who_is_not_counted_in_has_no_lease() {
+fn host_that_is_not_a_member_holds_no_lease() {
     let start = Instant::now();
-    let mut held = LocalView::new(host("a"), 1);
-    held.learn(view(5, &[("a", member(2))]), start);
-    assert!(!held.leased(start));
-    let out = Member { left: Some(Duration::from_secs(5)), ..member(1) };
-    held.learn(view(6, &[("a", out)]), start);
-    assert!(!held.leased(start));
+    let mut local = LocalView::new(host("a"), 1);
+    local.learn(view(5, &[("a", member(2))]), start);
+    assert!(!local.leased(start));
+    let removed = Member { left: Some(Duration::from_secs(5)), ..member(1) };
+    local.learn(view(6, &[("a", removed)]), start);
+    assert!(!local.leased(start));
 }
 
-/// Guards against seconds without leaders after all hosts have died, while each writes its
-/// row again: whoever changes a leader asks at the host's address, whichever process it is.
+/// Guards against seconds without leaders after all hosts have died, while each writes its row
+/// again. A failover contacts a host at its address, whichever process listens there.
 #[test]
-fn the_row_of_an_earlier_process_counts() {
+fn row_of_an_earlier_process_grants_a_lease() {
     let domain = "north".parse().unwrap();
     let at = |port: u16| view::place(([192, 0, 2, 1], port).into(), &domain, 250);
-    let mut held = LocalView::new(host("a"), at(7000));
+    let mut local = LocalView::new(host("a"), at(7000));
     let start = Instant::now();
-    held.learn(view(5, &[("a", member(at(7000)))]), start);
-    assert!(held.leased(start));
-    held.learn(view(6, &[("a", member(at(7001)))]), start);
-    assert!(!held.leased(start), "the row names another address");
+    local.learn(view(5, &[("a", member(at(7000)))]), start);
+    assert!(local.leased(start));
+    local.learn(view(6, &[("a", member(at(7001)))]), start);
+    assert!(!local.leased(start), "the row contains another address");
 }
 
-/// A message with an old view arrives after the newer one.
+/// Guards against a delayed message with an old view that replaces the newer one.
 #[test]
-fn views_never_go_back() {
+fn older_view_is_ignored() {
     let start = Instant::now();
-    let mut held = LocalView::new(host("a"), 1);
-    assert!(held.learn(view(6, &[("a", member(1))]), start));
-    assert!(!held.learn(view(5, &[]), start + Duration::from_secs(1)));
-    assert_eq!(held.view().version, 6);
+    let mut local = LocalView::new(host("a"), 1);
+    assert!(local.learn(view(6, &[("a", member(1))]), start));
+    assert!(!local.learn(view(5, &[]), start + Duration::from_secs(1)));
+    assert_eq!(local.view().version, 6);
 }
 
-/// Another host says "this view was the newest at that time of the store". It
-/// renews a lease only on the very same rows.
+/// Guards against a lease that is renewed on outdated rows: another host reports that a view with
+/// other rows was the newest at a time of the store's clock.
 #[test]
-fn only_the_same_view_is_renewed() {
+fn lease_is_renewed_only_for_an_identical_view() {
     let start = Instant::now();
-    let mut held = LocalView::new(host("a"), 1);
-    held.learn(view(5, &[("a", member(1))]), start);
-    let (stamp, later) = (held.stamp(), start + Duration::from_secs(3));
-    held.renew(stamp ^ 1, Duration::from_secs(9), later);
-    assert!(!held.leased(start + LEASE_TTL));
-    held.renew(stamp, Duration::from_secs(9), later);
-    assert!(held.leased(start + LEASE_TTL));
+    let mut local = LocalView::new(host("a"), 1);
+    local.learn(view(5, &[("a", member(1))]), start);
+    let (stamp, later) = (local.stamp(), start + Duration::from_secs(3));
+    local.renew(stamp ^ 1, Duration::from_secs(9), later);
+    assert!(!local.leased(start + LEASE_TTL));
+    local.renew(stamp, Duration::from_secs(9), later);
+    assert!(local.leased(start + LEASE_TTL));
 }
 
-/// A write is acknowledged by the old leader after the new one was promoted: the
-/// promoter did not wait for a host that it could not reach. It waits until the
-/// last lease has run out, unless the host gave its own back.
+/// Guards against a write that the former leader acknowledges after its successor was promoted,
+/// because the failover did not wait for an unreachable host. It waits until the last lease has
+/// expired or was released.
 #[test]
-fn a_silent_host_is_waited_for() {
+fn failover_waits_for_hosts_that_have_not_released_their_lease() {
     let now = Instant::now();
     let view = view(7, &[("me", member(1)), ("b", member(1)), ("c", member(1))]);
     let mut release = LeaseRelease::new(&view, &host("me"), now);
@@ -112,10 +113,10 @@
     assert!(release.is_over(now));
 }
 
-/// A host is cut off from the others but not from the store, and tells there that
-/// it uses the old leader no more. Without that the gap lasts a whole lease.
+/// Guards against a failover that takes a whole lease although the host that it cannot reach,
+/// which is cut off from the other hosts but not from the store, has written its release there.
 #[test]
-fn a_release_told_by_the_store_counts() {
+fn release_written_to_the_store_counts() {
     let now = Instant::now();
     let before = view(7, &[("me", member(1)), ("b", member(1))]);
     let mut release = LeaseRelease::new(&before, &host("me"), now);
@@ -127,30 +128,30 @@
     assert!(release.is_over(now));
 }
 
-/// A host that was removed for good must not delay each change of a leader.
+/// Guards against a permanently removed host that delays every failover.
 #[test]
-fn a_host_taken_out_long_ago_is_not_waited_for() {
+fn failover_does_not_wait_for_a_host_removed_long_ago() {
     let now = Instant::now();
-    let gone = Member { left: Some(Duration::from_secs(2)), ..member(1) };
-    let early = view(5, &[("me", member(1)), ("b", gone.clone())]);
+    let removed = Member { left: Some(Duration::from_secs(2)), ..member(1) };
+    let early = view(5, &[("me", member(1)), ("b", removed.clone())]);
     assert!(!LeaseRelease::new(&early, &host("me"), now).is_over(now));
-    let late = view(60, &[("me", member(1)), ("b", gone)]);
+    let late = view(60, &[("me", member(1)), ("b", removed)]);
     assert!(LeaseRelease::new(&late, &host("me"), now).is_over(now));
 }
 
-/// A statement by another host was held back by a cut and arrives late. It counts
-/// from the store's clock, so it does not look newer than it is.
+/// Guards against a report of another host that looks newer than it is, because a partition held
+/// it back. Its time is that of the store's clock, which does not depend on the delay.
 #[test]
-fn the_store_clock_is_never_read_too_late() {
+fn store_time_is_never_mapped_to_a_local_time_too_late() {
     let start = Instant::now();
     let mut clock = StoreClock::default();
     assert_eq!(clock.local(Duration::from_secs(50)), None);
-    // The store's clock showed 50 s somewhere between the call and its answer.
+    // The store's clock showed 50 s at some time between the call and its answer.
     clock.note(start, Duration::from_secs(50));
-    let sure = clock.local(Duration::from_secs(52)).unwrap();
-    assert!(sure <= start + Duration::from_secs(2));
-    assert!(sure >= start + Duration::from_millis(1990));
-    // A slower call says less and changes nothing.
+    let bound = clock.local(Duration::from_secs(52)).unwrap();
+    assert!(bound <= start + Duration::from_secs(2));
+    assert!(bound >= start + Duration::from_millis(1990));
+    // A slower call gives a looser bound and is ignored.
     clock.note(start + Duration::from_millis(400), Duration::from_millis(50_900));
     assert!(clock.local(Duration::from_secs(52)).unwrap() <= start + Duration::from_secs(2));
     assert!(clock.local(Duration::from_secs(49)).unwrap() <= start - Duration::from_secs(1));
