--- a/components/coordination/tests/leadership.rs
+++ b/components/coordination/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! When a group needs another primary, and who it is.
+//! Detection of a failed primary, and choice of its successor.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
     leadership::{self, Cause, FailureDetector, Observation, Role, Status, Verdict},
 };
 
-const SILENCE: Duration = Duration::from_millis(450);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(450);
 const STEP: Duration = Duration::from_millis(20);
 
 fn ms(n: u64) -> Duration {
@@ -19,136 +19,155 @@
     Status { role, term: Term(term), promised: Term(term), held: point, applied: point }
 }
 
-/// Three servers of which the first leads term 1, and their observer.
+/// Three servers, of which the first leads in term 1, with the failure detector of their observer.
 struct Group {
     now: Instant,
     detector: FailureDetector,
-    sights: [Observation; 3],
-    /// Which servers answer.
+    observations: [Observation; 3],
+    /// Whether each server answers.
     answers: [bool; 3],
 }
 
 impl Group {
     fn new() -> Self {
         let now = Instant::now();
-        let sight = |role| Observation {
+        let observation = |role| Observation {
             status: Some(status(role, 1, 10)),
             last_seen: Some(now),
             refused_since: None,
         };
         Self {
             now,
-            detector: FailureDetector::new(SILENCE, now),
-            sights: [sight(Role::Primary), sight(Role::Replica), sight(Role::Replica)],
+            detector: FailureDetector::new(SILENCE_TIMEOUT, now),
+            observations: [
+                observation(Role::Primary),
+                observation(Role::Replica),
+                observation(Role::Replica),
+            ],
             answers: [true; 3],
         }
     }
 
-    /// Looks every few milliseconds for a time; the last verdict.
-    fn pass(&mut self, time: Duration) -> Verdict {
+    /// Observes the group every [`STEP`] for the given time; returns the last verdict.
+    fn observe_for(&mut self, time: Duration) -> Verdict {
         let end = self.now + time;
         let mut verdict = Verdict::Healthy;
         while self.now < end {
             self.now += STEP;
-            for (sight, _) in self.sights.iter_mut().zip(self.answers).filter(|(_, a)| *a) {
-                sight.last_seen = Some(self.now);
+            for (observation, _) in
+                self.observations.iter_mut().zip(self.answers).filter(|(_, a)| *a)
+            {
+                observation.last_seen = Some(self.now);
             }
-            verdict = self.detector.observe(self.now, &self.sights);
+            verdict = self.detector.observe(self.now, &self.observations);
         }
         verdict
     }
 }
 
-/// A busy primary stands still for 300 ms, again and again: nobody replaces it.
+/// Guards against replacing a busy primary that stalls for 300 ms again and again.
 #[test]
-fn a_stall_of_300_ms_is_no_silence() {
+fn primary_that_stalls_for_300_ms_is_kept() {
     let mut group = Group::new();
     for _ in 0..20 {
         group.answers[0] = false;
-        assert_eq!(group.pass(ms(300)), Verdict::Healthy);
+        assert_eq!(group.observe_for(ms(300)), Verdict::Healthy);
         group.answers[0] = true;
-        assert_eq!(group.pass(ms(60)), Verdict::Healthy);
+        assert_eq!(group.observe_for(ms(60)), Verdict::Healthy);
     }
 }
 
+/// Guards against replacing a primary before it has been silent for the whole timeout, and
+/// against keeping it after that.
 #[test]
-fn silence_is_judged_in_the_end() {
+fn silent_primary_is_replaced_after_the_silence_timeout() {
     let mut group = Group::new();
     group.answers[0] = false;
-    assert_eq!(group.pass(ms(440)), Verdict::Healthy);
-    assert_eq!(group.pass(ms(60)), Verdict::Promote(Cause::Silent));
+    assert_eq!(group.observe_for(ms(440)), Verdict::Healthy);
+    assert_eq!(group.observe_for(ms(60)), Verdict::Promote(Cause::Silent));
 }
 
+/// Guards against waiting for the silence timeout although refused connections show a crash
+/// earlier.
 #[test]
-fn refusals_are_judged_sooner_than_silence() {
+fn refused_connections_replace_a_primary_sooner_than_silence() {
     let mut group = Group::new();
-    (group.answers[0], group.sights[0].refused_since) = (false, Some(group.now));
-    assert_eq!(group.pass(ms(140)), Verdict::Suspected);
-    assert_eq!(group.pass(ms(40)), Verdict::Promote(Cause::Refused));
+    (group.answers[0], group.observations[0].refused_since) = (false, Some(group.now));
+    assert_eq!(group.observe_for(ms(140)), Verdict::Suspected);
+    assert_eq!(group.observe_for(ms(40)), Verdict::Promote(Cause::Refused));
 }
 
-/// The observer itself is frozen for a while. When it wakes, everybody seems
-/// to have been silent: it must not act on that.
+/// Guards against replacing a healthy primary after the observer itself was paused: when it
+/// resumes, all servers seem to have been silent.
 #[test]
-fn the_observers_own_pause_is_no_silence() {
+fn pause_of_the_observer_does_not_count_as_silence() {
     let mut group = Group::new();
-    assert_eq!(group.pass(ms(100)), Verdict::Healthy);
+    assert_eq!(group.observe_for(ms(100)), Verdict::Healthy);
     group.now += Duration::from_secs(5);
-    assert_eq!(group.detector.observe(group.now, &group.sights), Verdict::Healthy);
-    assert_eq!(group.pass(ms(100)), Verdict::Healthy);
+    assert_eq!(group.detector.observe(group.now, &group.observations), Verdict::Healthy);
+    assert_eq!(group.observe_for(ms(100)), Verdict::Healthy);
     group.answers[0] = false;
-    assert_eq!(group.pass(ms(500)), Verdict::Promote(Cause::Silent));
+    assert_eq!(group.observe_for(ms(500)), Verdict::Promote(Cause::Silent));
 }
 
-/// The primary writes, answers its observers, and feeds nobody.
+/// Guards against a primary that accepts writes and answers its observers but sends no replica
+/// its log.
 #[test]
-fn a_primary_whose_replicas_receive_nothing_is_replaced() {
+fn primary_whose_replicas_receive_nothing_is_replaced() {
     let mut group = Group::new();
-    group.sights[0].status = Some(status(Role::Primary, 1, 11));
-    assert_eq!(group.pass(ms(400)), Verdict::Healthy);
-    assert_eq!(group.pass(ms(100)), Verdict::Promote(Cause::Unconfirmed));
+    group.observations[0].status = Some(status(Role::Primary, 1, 11));
+    assert_eq!(group.observe_for(ms(400)), Verdict::Healthy);
+    assert_eq!(group.observe_for(ms(100)), Verdict::Promote(Cause::Unconfirmed));
 }
 
+/// Guards against replacing a primary because its replicas lag far behind, although they still
+/// receive its log.
 #[test]
-fn replicas_that_receive_slowly_keep_their_primary() {
+fn primary_whose_replicas_receive_slowly_is_kept() {
     let mut group = Group::new();
-    group.sights[0].status = Some(status(Role::Primary, 1, 1000));
+    group.observations[0].status = Some(status(Role::Primary, 1, 1000));
     for held in 11..60 {
-        group.sights[1].status = Some(status(Role::Replica, 1, held));
-        assert_eq!(group.pass(ms(300)), Verdict::Healthy);
+        group.observations[1].status = Some(status(Role::Replica, 1, held));
+        assert_eq!(group.observe_for(ms(300)), Verdict::Healthy);
     }
 }
 
-/// A promoter won its promises and died: the term has no primary.
+/// Guards against a group without a primary after a promoter obtained the promises for a term and
+/// died.
 #[test]
-fn a_term_without_a_primary_gets_another() {
+fn term_without_a_primary_is_followed_by_another_promotion() {
     let mut group = Group::new();
     let promised = Status { promised: Term(2), ..status(Role::Replica, 1, 10) };
-    group.sights[1].status = Some(promised);
-    group.sights[2].status = Some(promised);
-    assert_eq!(group.pass(ms(440)), Verdict::Suspected);
-    assert_eq!(group.pass(ms(60)), Verdict::Promote(Cause::Leaderless));
-    assert_eq!(leadership::next_term(group.sights.iter().flat_map(|s| &s.status)), Term(3));
+    group.observations[1].status = Some(promised);
+    group.observations[2].status = Some(promised);
+    assert_eq!(group.observe_for(ms(440)), Verdict::Suspected);
+    assert_eq!(group.observe_for(ms(60)), Verdict::Promote(Cause::Leaderless));
+    assert_eq!(leadership::next_term(group.observations.iter().flat_map(|s| &s.status)), Term(3));
 }
 
+/// Guards against a promotion while one server of three is reachable, which is no majority.
 #[test]
-fn one_server_of_three_is_no_majority() {
+fn one_reachable_server_of_three_is_not_promoted() {
     let mut group = Group::new();
     group.answers = [false, false, true];
-    assert_eq!(group.pass(ms(600)), Verdict::NoMajority);
+    assert_eq!(group.observe_for(ms(600)), Verdict::NoMajority);
     group.answers = [false, true, true];
-    assert_eq!(group.pass(ms(100)), Verdict::Promote(Cause::Silent));
+    assert_eq!(group.observe_for(ms(100)), Verdict::Promote(Cause::Silent));
 }
 
+/// Guards against promoting a server that lacks acknowledged records, because its log is not the
+/// greatest or too few servers promised the term.
 #[test]
-fn the_greatest_log_of_a_majority_is_promoted() {
+fn server_with_the_greatest_log_of_a_majority_is_promoted() {
     let promises = [("a", Point::new(1, 9)), ("b", Point::new(2, 5))];
     assert_eq!(leadership::successor(&promises, 3), Some("b"));
     assert_eq!(leadership::successor(&promises[..1], 3), None);
 }
 
+/// Guards against two promoters that collide again at every attempt, and against a delay that
+/// grows without bound.
 #[test]
-fn back_off_grows_and_spreads() {
+fn backoff_is_random_and_within_its_bounds() {
     assert!(leadership::backoff(1, 0.0) >= ms(40));
     assert!(leadership::backoff(1, 1.0) > leadership::backoff(1, 0.0));
     assert!(leadership::backoff(20, 1.0) <= ms(1000));
