--- a/components/coordination/tests/holders.rs
+++ b/components/coordination/tests/holders.rs
@@ -1,4 +1,4 @@
-//! Which host holds the connections to a server.
+//! Assignment of holders to backend servers.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,28 +18,28 @@
     name.parse().unwrap()
 }
 
-/// The hosts that hold the connections to a server of that failure domain.
+/// Returns the holder and the standby of a server in the failure domain `domain`.
 fn order(view: &View, server: &str, domain: &FailureDomain) -> Vec<HostId> {
     holders::order(&holders::eligible(view, domain), server)
 }
 
-/// A fleet with hosts `(name, failure domain, power)`.
+/// Returns a view of a fleet with the given hosts `(name, failure domain, power)`.
 fn view(hosts: &[(&str, &str, u32)]) -> View {
-    let member = |name: &str, of: &str, power: u32| Member {
+    let member = |name: &str, domain_name: &str, power: u32| Member {
         peer: "127.0.0.1:1".parse().unwrap(),
-        domain: domain(of),
+        domain: domain(domain_name),
         place: name.len() as u64,
         left: None,
         released: 0,
         power,
     };
-    let rows = hosts.iter().map(|(name, of, power)| {
-        (host(name), Versioned { version: 1, value: member(name, of, *power) })
+    let rows = hosts.iter().map(|(name, domain_name, power)| {
+        (host(name), Versioned { version: 1, value: member(name, domain_name, *power) })
     });
     View { members: rows.collect::<BTreeMap<_, _>>(), ..View::default() }
 }
 
-const NINE: [(&str, &str, u32); 9] = [
+const NINE_HOSTS: [(&str, &str, u32); 9] = [
     ("a1", "a", 250),
     ("a2", "a", 250),
     ("a3", "a", 250),
@@ -51,12 +51,12 @@
     ("d2", "d", 250),
 ];
 
-/// Nine hosts and eight accounts stand before a server that takes 23 connections. Each
-/// pair of host and account needs one of its own, 72 in all, so most statements open one
-/// first. With a holder eight accounts need eight.
+/// Guards against most statements having to open a connection first. Nine hosts and eight
+/// accounts need one for each pair of them, 72 in all, where a server accepts 23. With a holder,
+/// eight accounts need eight.
 #[test]
-fn one_host_of_the_servers_domain_holds_its_connections() {
-    let view = view(&NINE);
+fn holder_and_standby_are_in_the_servers_failure_domain() {
+    let view = view(&NINE_HOSTS);
     for server in ["i-1", "i-2", "i-3", "i-4", "i-5", "i-6"] {
         let order = order(&view, server, &domain("b"));
         assert_eq!(order.len(), 2);
@@ -64,18 +64,19 @@
     }
 }
 
+/// Guards against a server without a holder because no host is in its failure domain.
 #[test]
-fn a_domain_without_hosts_is_served_by_the_others() {
-    let view = view(&NINE);
+fn servers_in_a_domain_without_hosts_are_held_by_hosts_of_other_domains() {
+    let view = view(&NINE_HOSTS);
     assert_eq!(order(&view, "i-1", &domain("elsewhere")).len(), 2);
     assert_eq!(order(&View::default(), "i-1", &domain("a")).len(), 0);
 }
 
-/// A host dies. Only servers that it held get another holder: connections of the others
+/// Guards against moving other servers as well when a host dies: the connections of their holders
 /// stay in use.
 #[test]
-fn a_host_that_leaves_moves_only_what_it_held() {
-    let before = view(&NINE);
+fn removed_host_moves_only_the_servers_that_it_held() {
+    let before = view(&NINE_HOSTS);
     let mut after = before.clone();
     after.members.remove(&host("a2"));
     for n in 0..50 {
@@ -86,10 +87,10 @@
     }
 }
 
-/// Hosts of an eighth of a processor stand beside hosts of a half. The small ones do not
-/// carry the statements of others, and the strong ones share them.
+/// Guards against small hosts that run the statements of others: hosts with an eighth of a
+/// processor are beside hosts with a half. The powerful ones share the servers.
 #[test]
-fn the_strong_half_holds() {
+fn only_the_more_powerful_half_of_a_domain_holds_servers() {
     let names: Vec<String> = (0..20).map(|n| format!("h{n}")).collect();
     let hosts: Vec<_> =
         names.iter().enumerate().map(|(n, name)| (&**name, "a", 120 + 20 * n as u32)).collect();
@@ -97,17 +98,17 @@
     let mut held: HashMap<HostId, usize> = HashMap::new();
     for n in 0..200 {
         let first = order(&view, &format!("i-{n}"), &domain("a"))[0].clone();
-        assert!(view.members[&first].value.power >= 320, "{first} is weak");
+        assert!(view.members[&first].value.power >= 320, "{first} has too little power");
         *held.entry(first).or_default() += 1;
     }
     assert_eq!(held.len(), 10);
     assert!(held.values().all(|servers| *servers <= 40), "{held:?}");
 }
 
-/// Guards against holders that stay the same though a host is gone or another one is stronger,
-/// and against working them out anew for every change of a leader.
+/// Guards against holders that stay the same although a host has left or another one is more
+/// powerful, and against computing them again for every failover.
 #[test]
-fn the_stamp_changes_with_what_decides_the_holders() {
+fn stamp_changes_only_with_the_inputs_of_the_assignment() {
     let base = [("a1", "a", 250), ("a2", "a", 250), ("b1", "b", 250)];
     let stamp = |hosts: &[(&str, &str, u32)]| holders::stamp(&view(hosts));
     assert_eq!(stamp(&base), stamp(&base));
