--- a/components/coordination/tests/homes.rs
+++ b/components/coordination/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Regions in which requests may run.
+//! Region bindings of databases and client accounts.
 
 use bergamottrack_coordination::{homes, ids};
 
@@ -6,36 +6,37 @@
     name.parse().unwrap()
 }
 
-fn of(names: &[&str]) -> homes::Homes {
+fn bound_to(names: &[&str]) -> homes::Homes {
     homes::Homes::new(names.iter().map(|name| region(name)))
 }
 
-/// Guards against a statement that leaves the homes of its database or its account.
+/// Guards against a statement that runs outside the homes of its database or of its account.
 #[test]
-fn both_bindings_hold() {
+fn bindings_of_database_and_account_both_apply() {
     let (west, east, north) = (region("west"), region("east"), region("north"));
-    let both = of(&["west", "east"]).and(&of(&["east", "north"]));
+    let both = bound_to(&["west", "east"]).and(&bound_to(&["east", "north"]));
     assert!(both.allow(Some(&east)));
     assert!(!both.allow(Some(&west)) && !both.allow(Some(&north)) && !both.allow(None));
-    let nowhere = of(&["west"]).and(&of(&["east"]));
+    let nowhere = bound_to(&["west"]).and(&bound_to(&["east"]));
     assert!(!nowhere.allow(Some(&west)) && !nowhere.allow(Some(&east)));
     assert!(!nowhere.is_unrestricted());
 }
 
-/// Guards against requests without homes that are refused in a region nobody names.
+/// Guards against refusing requests without homes in an unknown region.
 #[test]
-fn without_homes_any_region_will_do() {
+fn requests_without_homes_may_run_in_any_region() {
     let west = region("west");
-    assert!(of(&[]).is_unrestricted() && of(&[]).allow(None));
-    assert_eq!(of(&[]).and(&of(&["west"])), of(&["west"]));
-    assert_eq!(of(&["west"]).and(&of(&[])), of(&["west"]));
-    assert!(of(&["west"]).allow(Some(&west)) && !of(&["west"]).allow(None));
+    assert!(bound_to(&[]).is_unrestricted() && bound_to(&[]).allow(None));
+    assert_eq!(bound_to(&[]).and(&bound_to(&["west"])), bound_to(&["west"]));
+    assert_eq!(bound_to(&["west"]).and(&bound_to(&[])), bound_to(&["west"]));
+    assert!(bound_to(&["west"]).allow(Some(&west)) && !bound_to(&["west"]).allow(None));
 }
 
-/// Guards against a leader outside of the only home of a database while a server is inside.
+/// Guards against a leader outside the only home of a database while a server inside is
+/// available.
 #[test]
-fn a_server_at_home_serves_more_databases() {
-    let databases = [of(&[]), of(&["west"]), of(&["west", "east"])];
+fn server_in_a_home_region_may_serve_more_databases() {
+    let databases = [bound_to(&[]), bound_to(&["west"]), bound_to(&["west", "east"])];
     let served = |region: Option<&ids::Region>| homes::served(databases.iter(), region);
     let (west, east) = (region("west"), region("east"));
     assert_eq!((served(Some(&west)), served(Some(&east)), served(None)), (3, 2, 1));
