--- a/components/coordination/tests/limits.rs
+++ b/components/coordination/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Rate and burst over all hosts are never exceeded, whatever becomes of the
-//! messages and of the hosts.
+//! All hosts together never exceed an account's rate and burst, whatever faults affect messages
+//! and hosts.
 
 use std::{
     collections::HashMap,
@@ -11,10 +11,10 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const FRESH: Duration = Duration::from_secs(1);
+const FRESHNESS_PERIOD: Duration = Duration::from_secs(1);
 const STEP: Duration = Duration::from_millis(1);
-const RUN: Duration = Duration::from_secs(20);
-/// Rounding of the sums.
+const RUN_TIME: Duration = Duration::from_secs(20);
+/// Tolerance for rounding errors in sums, in tokens.
 const SLACK: f64 = 1e-6;
 
 fn share(rate: f64, burst: f64) -> Share {
@@ -26,9 +26,9 @@
 }
 
 enum Body {
-    Lend { no: u64, tokens: f64, over: Vec<u64> },
-    Lent { no: u64, tokens: f64, spare: f64 },
-    Told(Revision),
+    LoanRequest { id: u64, tokens: f64, ended: Vec<u64> },
+    Loan { id: u64, tokens: f64, spare: f64 },
+    Acknowledged(Revision),
 }
 
 struct Message {
@@ -42,25 +42,27 @@
     shares: Shares,
     bucket: Bucket,
     lenders: Lenders,
-    known: usize,
-    /// When it adopts the next revision at the earliest.
-    adopts: Instant,
-    frozen: Instant,
+    /// Index of the adopted revision.
+    adopted: usize,
+    /// Earliest time at which the host adopts the next revision.
+    adopts_at: Instant,
+    /// Time until which the host neither receives messages nor serves requests.
+    frozen_until: Instant,
 }
 
-/// Hosts that serve one account, with faults drawn from a seed.
+/// Simulated hosts that serve one account, with random faults from a seed.
 struct Fleet {
     rng: StdRng,
     now: Instant,
     names: Vec<HostId>,
     hosts: Vec<Host>,
     messages: Vec<Message>,
-    /// All revisions; the last is the newest.
+    /// All revisions, newest last.
     revisions: Vec<Allotment>,
-    /// When each was told to a majority.
-    told: Vec<Option<Instant>>,
+    /// Time at which majorities had acknowledged each revision; none before.
+    acknowledged_at: Vec<Option<Instant>>,
     served: Vec<Instant>,
-    /// Whether messages are lost, doubled and late.
+    /// Whether messages are lost, duplicated and delayed.
     faults: bool,
 }
 
@@ -72,9 +74,9 @@
             shares: Shares::new(name.clone()),
             bucket: Bucket::new(Share::NONE, 0, now),
             lenders: Lenders::default(),
-            known: 0,
-            adopts: now,
-            frozen: now,
+            adopted: 0,
+            adopts_at: now,
+            frozen_until: now,
         };
         let mut fleet = Self {
             rng: StdRng::seed_from_u64(seed),
@@ -83,7 +85,7 @@
             names,
             messages: Vec::new(),
             revisions: vec![allotment(0, &[], None)],
-            told: vec![Some(now)],
+            acknowledged_at: vec![Some(now)],
             served: Vec::new(),
             faults: true,
         };
@@ -98,67 +100,71 @@
         fleet
     }
 
-    /// A new revision; hosts come to know it at times of their own.
+    /// Creates a revision, which each host adopts after a random delay of its own.
     fn revise(&mut self, roster: &[HostId], contract: Share) {
         let number = self.revisions.len() as u64;
         self.revisions.push(allotment(number, roster, Some(contract)));
-        self.told.push(None);
+        self.acknowledged_at.push(None);
         for host in &mut self.hosts {
-            host.adopts = self.now + Duration::from_millis(self.rng.random_range(0..1500));
+            host.adopts_at = self.now + Duration::from_millis(self.rng.random_range(0..1500));
         }
     }
 
     fn restart(&mut self, i: usize) {
         let shares = Shares::new(self.names[i].clone());
-        let no = self.rng.random();
-        let bucket = Bucket::new(Share::NONE, no, self.now);
+        let first_id = self.rng.random();
+        let bucket = Bucket::new(Share::NONE, first_id, self.now);
         let newest = self.revisions.len() - 1;
         let host = &mut self.hosts[i];
-        (host.shares, host.bucket, host.known) = (shares, bucket, newest);
+        (host.shares, host.bucket, host.adopted) = (shares, bucket, newest);
         host.shares.advance(self.revisions[newest].clone());
         let share = host.shares.share(&account());
         host.bucket.set_share(share, self.now);
-        for known in 0..self.told.len() {
-            if self.told[known].is_some() {
-                self.send(i, i, Body::Told(Revision(known as u64)));
+        for index in 0..self.acknowledged_at.len() {
+            if self.acknowledged_at[index].is_some() {
+                self.send(i, i, Body::Acknowledged(Revision(index as u64)));
             }
         }
     }
 
     fn adopt(&mut self, i: usize) {
         let host = &mut self.hosts[i];
-        if self.now < host.adopts || host.known + 1 == self.revisions.len() {
+        if self.now < host.adopts_at || host.adopted + 1 == self.revisions.len() {
             return;
         }
-        host.known = self.revisions.len() - 1;
-        host.shares.advance(self.revisions[host.known].clone());
+        host.adopted = self.revisions.len() - 1;
+        host.shares.advance(self.revisions[host.adopted].clone());
         let share = host.shares.share(&account());
         host.bucket.set_share(share, self.now);
     }
 
-    /// A revision is told when majorities of its roster and of the one before know it.
-    fn tell(&mut self) {
+    /// Notifies all hosts of the newest revision's acknowledgement, once majorities of its roster
+    /// and of the preceding one have adopted it.
+    fn acknowledge(&mut self) {
         let newest = self.revisions.len() - 1;
-        if self.told[newest].is_some() {
+        if self.acknowledged_at[newest].is_some() {
             return;
         }
-        let knows = |name: &HostId| {
+        let has_adopted = |name: &HostId| {
             let i = self.names.iter().position(|n| n == name).unwrap();
-            self.hosts[i].known == newest
+            self.hosts[i].adopted == newest
         };
-        let holds = |r: &[HostId]| r.iter().filter(|n| knows(n)).count() > r.len() / 2;
-        if holds(&self.revisions[newest].roster) && holds(&self.revisions[newest - 1].roster) {
-            self.told[newest] = Some(self.now);
+        let has_majority = |r: &[HostId]| r.iter().filter(|n| has_adopted(n)).count() > r.len() / 2;
+        if has_majority(&self.revisions[newest].roster)
+            && has_majority(&self.revisions[newest - 1].roster)
+        {
+            self.acknowledged_at[newest] = Some(self.now);
             for i in 0..self.hosts.len() {
-                self.send(i, i, Body::Told(Revision(newest as u64)));
+                self.send(i, i, Body::Acknowledged(Revision(newest as u64)));
             }
         }
     }
 
-    /// The latest that freshness may last: until some time after a newer one was told.
+    /// Returns whether the host may act on its revision: at the latest until the freshness period
+    /// after the acknowledgement of a newer one.
     fn is_fresh(&self, i: usize) -> bool {
-        let newer = &self.told[self.hosts[i].known + 1..];
-        newer.iter().flatten().all(|told| self.now < *told + FRESH)
+        let newer = &self.acknowledged_at[self.hosts[i].adopted + 1..];
+        newer.iter().flatten().all(|at| self.now < *at + FRESHNESS_PERIOD)
     }
 
     fn send(&mut self, from: usize, to: usize, body: Body) {
@@ -166,16 +172,16 @@
         self.messages.push(Message { due, from, to, body });
     }
 
-    /// Sends a message that may be lost, doubled or late.
-    fn send_badly(&mut self, from: usize, to: usize, body: impl Fn() -> Body) {
+    /// Sends a message that may be lost, duplicated or delayed.
+    fn send_with_faults(&mut self, from: usize, to: usize, body: impl Fn() -> Body) {
         let copies = match self.rng.random_range(0..10) {
             0 if self.faults => 0,
             1 if self.faults => 2,
             _ => 1,
         };
         for _ in 0..copies {
-            let late = self.faults && self.rng.random_range(0..20) == 0;
-            let ms = self.rng.random_range(0..if late { 900 } else { 5 });
+            let delayed = self.faults && self.rng.random_range(0..20) == 0;
+            let ms = self.rng.random_range(0..if delayed { 900 } else { 5 });
             let due = self.now + Duration::from_millis(ms);
             self.messages.push(Message { due, from, to, body: body() });
         }
@@ -185,11 +191,11 @@
         self.now += STEP;
         let now = self.now;
         let hosts = &self.hosts;
-        let ready = |m: &mut Message| m.due <= now && hosts[m.to].frozen <= now;
+        let ready = |m: &mut Message| m.due <= now && hosts[m.to].frozen_until <= now;
         let due: Vec<Message> = self.messages.extract_if(.., ready).collect();
         due.into_iter().for_each(|message| self.deliver(message));
         for (i, load) in load.iter().enumerate() {
-            if self.hosts[i].frozen > now {
+            if self.hosts[i].frozen_until > now {
                 continue;
             }
             self.adopt(i);
@@ -201,7 +207,7 @@
                 self.request(i);
             }
         }
-        self.tell();
+        self.acknowledge();
     }
 
     fn deliver(&mut self, message: Message) {
@@ -209,19 +215,19 @@
         let fresh = self.is_fresh(i);
         let host = &mut self.hosts[i];
         match message.body {
-            Body::Told(revision) => host.shares.acknowledged(revision, now),
-            Body::Lent { no, tokens, spare } => {
-                host.bucket.receive(no, tokens, now);
+            Body::Acknowledged(revision) => host.shares.acknowledged(revision, now),
+            Body::Loan { id, tokens, spare } => {
+                host.bucket.receive(id, tokens, now);
                 host.lenders.answered(&self.names[message.from], spare, now);
             }
-            Body::Lend { no, tokens, over } => {
+            Body::LoanRequest { id, tokens, ended } => {
                 let borrower = &self.names[message.from];
                 let tokens = match fresh {
-                    true => host.bucket.lend(borrower, no, tokens, &over, now),
+                    true => host.bucket.lend(borrower, id, tokens, &ended, now),
                     false => 0.0,
                 };
                 let spare = host.bucket.spare(now);
-                self.send_badly(i, message.from, || Body::Lent { no, tokens, spare });
+                self.send_with_faults(i, message.from, || Body::Loan { id, tokens, spare });
             }
         }
     }
@@ -242,40 +248,50 @@
         let typical = newest.typical(&account());
         let chosen = host.lenders.choose(lenders.cloned(), typical, want, now);
         for (lender, tokens) in chosen {
-            let (no, over) = self.hosts[i].bucket.ask(&lender, now);
+            let (id, ended) = self.hosts[i].bucket.ask(&lender, now);
             let to = self.names.iter().position(|name| *name == lender).unwrap();
-            self.send_badly(i, to, || Body::Lend { no, tokens, over: over.clone() });
+            self.send_with_faults(i, to, || Body::LoanRequest { id, tokens, ended: ended.clone() });
         }
     }
 
-    /// A token bucket of the whole contract that every served request came
-    /// from: it runs empty exactly when some window held too many.
-    fn check(&self, contract: Share) {
+    /// Asserts that a token bucket with the whole contract could have admitted all served
+    /// requests: it is overdrawn exactly if some window contained too many.
+    fn assert_within_contract(&self, contract: Share) {
         let Some(mut at) = self.served.first().copied() else { return };
         let mut level = contract.burst.0;
         for served in &self.served {
             level += (*served - at).as_secs_f64() * contract.rate.0;
             level = level.min(contract.burst.0) - 1.0;
             at = *served;
-            assert!(level > -SLACK, "too many were served by {:?}", at - self.served[0]);
+            assert!(
+                level > -SLACK,
+                "contract exceeded {:?} after the first request",
+                at - self.served[0]
+            );
         }
     }
 }
 
 fn allotment(number: u64, roster: &[HostId], contract: Option<Share>) -> Allotment {
     let contracts: HashMap<_, _> = contract.map(|share| (account(), share)).into_iter().collect();
-    Allotment { revision: Revision(number), fresh: FRESH, roster: roster.to_vec(), contracts }
+    Allotment {
+        revision: Revision(number),
+        fresh: FRESHNESS_PERIOD,
+        roster: roster.to_vec(),
+        contracts,
+    }
 }
 
+/// Returns the requests per second at each host: `total` at a random one, 2 % of it at the others.
 fn loads(rng: &mut StdRng, hosts: usize, total: f64) -> Vec<f64> {
     let mut loads = vec![total * 0.02; hosts];
     loads[rng.random_range(0..hosts)] = total;
     loads
 }
 
-/// One host gets nearly all requests, and it is another one every second. Hosts
-/// borrow, and messages are lost, doubled and late; hosts freeze and wake with
-/// old loans in hand. A loan spent twice or too late would serve too many.
+/// Guards against a loan that is spent twice or too late. Nearly all requests arrive at one host,
+/// another one every second, so hosts borrow; messages are lost, duplicated and delayed, and
+/// hosts freeze and resume with old loans.
 #[test]
 fn loans_never_exceed_the_contract() {
     for seed in 0..40 {
@@ -287,39 +303,39 @@
         };
         let mut fleet = Fleet::new(seed, 5, contract);
         let mut load = loads(&mut fleet.rng, 5, contract.rate.0 * 3.0);
-        for step in 0..RUN.as_millis() {
+        for step in 0..RUN_TIME.as_millis() {
             if step % 1000 == 0 {
                 load = loads(&mut fleet.rng, 5, contract.rate.0 * 3.0);
             }
             if fleet.rng.random_range(0..2000) == 0 {
                 let i = fleet.rng.random_range(0..5);
                 let ms = fleet.rng.random_range(10..1500);
-                fleet.hosts[i].frozen = fleet.now + Duration::from_millis(ms);
+                fleet.hosts[i].frozen_until = fleet.now + Duration::from_millis(ms);
             }
             fleet.step(&load);
         }
         assert!(fleet.served.len() > 50, "seed {seed} served {}", fleet.served.len());
-        fleet.check(contract);
+        fleet.assert_within_contract(contract);
     }
 }
 
-/// Hosts restart, join and leave, and the rate changes, while hosts know of it
-/// at different times. A host that used its new part while another still used
-/// the old one would serve too many.
+/// Guards against a host that uses its new part while another still uses the old one. Hosts
+/// restart, join and leave, and the rate changes, while hosts receive these revisions at
+/// different times.
 #[test]
-fn changes_of_the_roster_and_the_rate_never_exceed_the_contract() {
+fn changes_of_roster_and_rate_never_exceed_the_contract() {
     for seed in 100..140 {
-        let most = share(100.0, if seed % 2 == 0 { 40.0 } else { 12.0 });
-        let mut fleet = Fleet::new(seed, 6, most);
-        let load = vec![most.rate.0; 6];
-        for step in 1..RUN.as_millis() {
-            let settled = fleet.told.last().is_some_and(|told| told.is_some());
-            if step % 700 == 0 && settled {
+        let largest = share(100.0, if seed % 2 == 0 { 40.0 } else { 12.0 });
+        let mut fleet = Fleet::new(seed, 6, largest);
+        let load = vec![largest.rate.0; 6];
+        for step in 1..RUN_TIME.as_millis() {
+            let acknowledged = fleet.acknowledged_at.last().is_some_and(|at| at.is_some());
+            if step % 700 == 0 && acknowledged {
                 let mut roster = fleet.names.clone();
-                let out = fleet.rng.random_range(0..4);
-                roster.rotate_left(out);
+                let shift = fleet.rng.random_range(0..4);
+                roster.rotate_left(shift);
                 roster.truncate(fleet.rng.random_range(3..=6));
-                let contract = if fleet.rng.random_bool(0.3) { share(60.0, 12.0) } else { most };
+                let contract = if fleet.rng.random_bool(0.3) { share(60.0, 12.0) } else { largest };
                 fleet.revise(&roster, contract);
                 for i in 0..2 {
                     fleet.restart(i);
@@ -332,24 +348,28 @@
             fleet.step(&load);
         }
         assert!(fleet.served.len() > 50, "seed {seed} served {}", fleet.served.len());
-        fleet.check(most);
+        fleet.assert_within_contract(largest);
     }
 }
 
-/// All requests come to one host and no message is lost: nearly the whole rate
-/// must be served there, also when each host's part holds but two tokens.
+/// Guards against refusals while other hosts have spare tokens: all requests arrive at one host
+/// and no message is lost. Most of the rate must be served there, even if each host's part of the
+/// burst is only two tokens.
 #[test]
-fn one_host_can_serve_nearly_the_whole_rate() {
+fn one_host_with_all_requests_serves_most_of_the_rate() {
     for (rate, burst, hosts) in [(200.0, 80.0, 8), (100.0, 16.0, 8), (50.0, 4.0, 5)] {
         let mut fleet = Fleet::new(7, hosts, share(rate, burst));
         fleet.faults = false;
         let mut load = vec![0.0; hosts];
         load[0] = rate * 2.0;
-        for _ in 0..RUN.as_millis() {
+        for _ in 0..RUN_TIME.as_millis() {
             fleet.step(&load);
         }
-        let served = fleet.served.len() as f64 / (rate * RUN.as_secs_f64());
-        assert!(served > 0.5, "of {rate}/s burst {burst} over {hosts} hosts: {served:.2}");
-        println!("{rate}/s burst {burst} over {hosts} hosts, all at one: {served:.2} of the rate");
+        let served = fleet.served.len() as f64 / (rate * RUN_TIME.as_secs_f64());
+        assert!(
+            served > 0.5,
+            "{served:.2} of {rate}/s served by one of {hosts} hosts, burst {burst}"
+        );
+        println!("{served:.2} of {rate}/s served by one of {hosts} hosts, burst {burst}");
     }
 }
