--- a/components/coordination/tests/hub_changes.rs
+++ b/components/coordination/tests/hub_changes.rs
@@ -1,5 +1,5 @@
-//! One account's rate in a fleet of hubs: six failure domains with three candidates each,
-//! of which any may admit requests for its failure domain, also two at once.
+//! Rate limit of one account in a fleet with hubs: six failure domains with three candidates each,
+//! of which any may admit requests for its failure domain, even two at the same time.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -18,21 +18,21 @@
 const RATE: Rate = Rate(240.0);
 const BURST: Burst = Burst(240.0);
 const TICK: Duration = Duration::from_millis(10);
-const REPORT_EVERY: Duration = Duration::from_millis(400);
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 const WINDOW: Duration = Duration::from_secs(5);
 const TOLERANCE: Tolerance = Tolerance { overage: 0.1, slack: 20.0, window: WINDOW };
 
-/// How long a candidate that admits no more goes on sending its figures.
-const REPORTED_FOR: Duration = Duration::from_millis(1500);
+/// Time after its last admission during which a candidate continues to send reports.
+const REPORTING_TTL: Duration = Duration::from_millis(1500);
 
-/// How soon a failure domain has its part of the rate again after the last fault.
-const RECOVERED_WITHIN: Duration = Duration::from_secs(2);
+/// Time after the last fault within which a failure domain must have its part of the rate again.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What callers of each failure domain ask for where the account stays within its rate.
-const USUAL: f64 = 0.8 * RATE.0 / DOMAINS as f64;
+/// Requests per second in each failure domain while the account stays within its rate.
+const NORMAL_RATE: f64 = 0.8 * RATE.0 / DOMAINS as f64;
 
-/// The same where the account sends six times its rate.
-const HOT: f64 = 6.0 * RATE.0 / DOMAINS as f64;
+/// Requests per second in each failure domain while the account sends six times its rate.
+const HOT_RATE: f64 = 6.0 * RATE.0 / DOMAINS as f64;
 
 fn next_run() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(1);
@@ -56,8 +56,9 @@
 struct Node {
     id: Candidate,
     demand: Demand,
-    /// When it admitted for its failure domain last.
-    admits: Option<Instant>,
+    /// Time at which the candidate last admitted requests for its failure domain.
+    last_admission: Option<Instant>,
+    /// Requests that are due, with the fraction of the next one.
     due: f64,
     next_report: Instant,
 }
@@ -65,7 +66,7 @@
 struct Delivery {
     to: usize,
     from: usize,
-    asked: Report,
+    report: Report,
     at: Instant,
 }
 
@@ -73,55 +74,57 @@
     nodes: Vec<Node>,
     now: Instant,
     admitted: Vec<(Instant, usize)>,
-    /// Reports that a link holds back.
+    /// Reports that have not arrived yet.
     delayed: Vec<Delivery>,
 }
 
-/// What happens while time passes.
+/// Load and faults during a run of the fleet.
 #[derive(Clone, Copy)]
 struct Phase<'a> {
-    /// Requests a second that callers of each failure domain ask for.
-    asks: &'a dyn Fn(usize) -> f64,
-    /// The part of its failure domain's requests that a candidate is asked to admit.
-    admits: &'a dyn Fn(Candidate) -> f64,
-    /// By when a report of the second candidate reaches the first; none if it is lost.
+    /// Requests per second in each failure domain.
+    rate: &'a dyn Fn(usize) -> f64,
+    /// Fraction of its failure domain's requests that are sent to a candidate.
+    share: &'a dyn Fn(Candidate) -> f64,
+    /// Delay of a report from the second candidate to the first; none if it is lost.
     delay: &'a dyn Fn(Candidate, Candidate) -> Option<Duration>,
 }
 
-fn first(candidate: Candidate) -> f64 {
+/// Sends all requests of each failure domain to its first candidate.
+fn first_candidate(candidate: Candidate) -> f64 {
     if candidate.rank == 0 { 1.0 } else { 0.0 }
 }
 
-/// The second candidate admits for the first failure domain.
-fn second_in_one(candidate: Candidate) -> f64 {
+/// Sends all requests of the first failure domain to its second candidate.
+fn second_in_first_domain(candidate: Candidate) -> f64 {
     match (candidate.domain, candidate.rank) {
         (0, 1) => 1.0,
         (0, _) => 0.0,
-        _ => first(candidate),
+        _ => first_candidate(candidate),
     }
 }
 
-fn at_once(_: Candidate, _: Candidate) -> Option<Duration> {
+fn no_delay(_: Candidate, _: Candidate) -> Option<Duration> {
     Some(Duration::ZERO)
 }
 
-fn usual(_: usize) -> f64 {
-    USUAL
+fn normal_rate(_: usize) -> f64 {
+    NORMAL_RATE
 }
 
 fn near_rate(_: usize) -> f64 {
     0.95 * RATE.0 / DOMAINS as f64
 }
 
-fn hot(_: usize) -> f64 {
-    HOT
+fn hot_rate(_: usize) -> f64 {
+    HOT_RATE
 }
 
-fn hot_in_one(domain: usize) -> f64 {
-    if domain == 0 { HOT * DOMAINS as f64 } else { 0.0 }
+fn hot_in_first_domain(domain: usize) -> f64 {
+    if domain == 0 { HOT_RATE * DOMAINS as f64 } else { 0.0 }
 }
 
-const CALM: Phase<'static> = Phase { asks: &usual, admits: &first, delay: &at_once };
+const NO_FAULTS: Phase<'static> =
+    Phase { rate: &normal_rate, share: &first_candidate, delay: &no_delay };
 
 fn demand(id: Candidate, now: Instant) -> Demand {
     let mut demand = Demand::new(TOLERANCE, next_run(), now);
@@ -143,9 +146,9 @@
         let nodes = ids.enumerate().map(|(n, id)| Node {
             id,
             demand: demand(id, now),
-            admits: None,
+            last_admission: None,
             due: 0.0,
-            next_report: now + REPORT_EVERY * n as u32 / (DOMAINS * CANDIDATES) as u32,
+            next_report: now + REPORT_INTERVAL * n as u32 / (DOMAINS * CANDIDATES) as u32,
         });
         Self { nodes: nodes.collect(), now, admitted: Vec::new(), delayed: Vec::new() }
     }
@@ -154,12 +157,12 @@
         &mut self.nodes[domain * CANDIDATES + rank]
     }
 
-    /// Starts a candidate anew, as after a crash.
+    /// Restarts a candidate, as after a crash.
     fn restart(&mut self, domain: usize, rank: usize) {
         let now = self.now;
         let node = self.node(domain, rank);
         node.demand = demand(node.id, now);
-        node.admits = None;
+        node.last_admission = None;
     }
 
     fn run(&mut self, time: Duration, phase: &Phase<'_>) {
@@ -176,12 +179,12 @@
 
     fn admit(&mut self, n: usize, phase: &Phase<'_>) {
         let (now, node) = (self.now, &mut self.nodes[n]);
-        let part = (phase.admits)(node.id);
-        if part == 0.0 {
+        let share = (phase.share)(node.id);
+        if share == 0.0 {
             return;
         }
-        node.admits = Some(now);
-        node.due += part * (phase.asks)(node.id.domain) * TICK.as_secs_f64();
+        node.last_admission = Some(now);
+        node.due += share * (phase.rate)(node.id.domain) * TICK.as_secs_f64();
         while node.due >= 1.0 {
             node.due -= 1.0;
             if node.demand.take(&account(), RATE, BURST, now).admitted {
@@ -195,21 +198,21 @@
         if now < node.next_report {
             return;
         }
-        node.next_report += REPORT_EVERY;
+        node.next_report += REPORT_INTERVAL;
         node.demand.publish(now);
         let from = node.id;
-        if node.admits.is_none_or(|at| now > at + REPORTED_FOR) {
-            let beside = |node: &&mut Node| node.id.domain == from.domain;
-            let reached = |node: &&mut Node| (phase.delay)(node.id, from).is_some();
-            let nodes = self.nodes.iter_mut().filter(beside).filter(reached);
+        if node.last_admission.is_none_or(|at| now > at + REPORTING_TTL) {
+            let same_domain = |node: &&mut Node| node.id.domain == from.domain;
+            let reachable = |node: &&mut Node| (phase.delay)(node.id, from).is_some();
+            let nodes = self.nodes.iter_mut().filter(same_domain).filter(reachable);
             nodes.for_each(|node| node.demand.mark_idle(&host(from)));
             return;
         }
-        let asked = node.demand.report(now);
+        let report = node.demand.report(now);
         for to in (0..self.nodes.len()).filter(|to| *to != n) {
             let Some(delay) = (phase.delay)(self.nodes[to].id, from) else { continue };
-            let (asked, at) = (asked.clone(), now + delay);
-            self.delayed.push(Delivery { to, from: n, asked, at });
+            let (report, at) = (report.clone(), now + delay);
+            self.delayed.push(Delivery { to, from: n, report, at });
         }
         self.deliver();
     }
@@ -218,33 +221,37 @@
         let now = self.now;
         let delayed = std::mem::take(&mut self.delayed);
         let (due, delayed): (Vec<_>, Vec<_>) =
-            delayed.into_iter().partition(|report| report.at <= now);
+            delayed.into_iter().partition(|delivery| delivery.at <= now);
         self.delayed = delayed;
-        for Delivery { to, from, asked, .. } in due {
+        for Delivery { to, from, report, .. } in due {
             let from = self.nodes[from].id;
-            self.nodes[to].demand.receive_report(&domain(from.domain), &host(from), &asked, now);
+            self.nodes[to].demand.receive_report(&domain(from.domain), &host(from), &report, now);
         }
     }
 
-    /// What callers of a failure domain were admitted, as a part of what they asked for.
-    fn served(&self, domain: usize, since: Instant, asks: f64) -> f64 {
+    /// Returns the fraction of a failure domain's requests that were admitted since the given time,
+    /// at `rate` requests per second.
+    fn served(&self, domain: usize, since: Instant, rate: f64) -> f64 {
         let of_domain = |(at, of): &&(Instant, usize)| *at >= since && *of == domain;
-        let asked = asks * (self.now - since).as_secs_f64();
-        self.admitted.iter().filter(of_domain).count() as f64 / asked
+        let requested = rate * (self.now - since).as_secs_f64();
+        self.admitted.iter().filter(of_domain).count() as f64 / requested
     }
 
     fn assert_served(&self, since: Instant) {
         for domain in 0..DOMAINS {
-            let served = self.served(domain, since, USUAL);
-            assert!(served >= 0.95, "failure domain {domain} has {served:.3} of what it asks for");
+            let served = self.served(domain, since, NORMAL_RATE);
+            assert!(
+                served >= 0.95,
+                "failure domain {domain}: {served:.3} of its requests admitted"
+            );
         }
     }
 
-    /// Every failure domain is served again soon after the last fault.
+    /// Asserts that every failure domain is served again after [`RECOVERY_TIMEOUT`] without faults.
     fn assert_recovers(&mut self) {
-        self.run(RECOVERED_WITHIN, &CALM);
+        self.run(RECOVERY_TIMEOUT, &NO_FAULTS);
         let since = self.now;
-        self.run(Duration::from_secs(4), &CALM);
+        self.run(Duration::from_secs(4), &NO_FAULTS);
         self.assert_served(since);
     }
 
@@ -254,37 +261,38 @@
             let after = times.partition_point(|at| *at < from);
             times.partition_point(|at| *at < from + WINDOW) - after
         };
-        let worst = times.iter().map(|at| in_window(*at)).max().unwrap_or(0);
+        let largest = times.iter().map(|at| in_window(*at)).max().unwrap_or(0);
         let allowed = ((RATE.0 * WINDOW.as_secs_f64() + BURST.0) * 1.1 + 20.0) as usize;
-        assert!(worst <= allowed, "{worst} were admitted in a window, {allowed} are allowed");
+        assert!(largest <= allowed, "{largest} requests admitted in a window, {allowed} allowed");
     }
 }
 
-/// Guards against a failure domain whose figures are ignored once its first hub returns.
+/// Guards against a failure domain whose reports are ignored once its first hub returns.
 #[test]
-fn a_hub_that_returns_is_heard() {
+fn reports_after_the_return_of_a_hub_are_counted() {
     let mut fleet = Fleet::new();
-    fleet.run(Duration::from_secs(4), &CALM);
+    fleet.run(Duration::from_secs(4), &NO_FAULTS);
     for rank in [1, 0, 2, 0, 1, 0] {
-        let admits = |id: Candidate| if id.rank == rank { 1.0 } else { 0.0 };
-        fleet.run(Duration::from_secs(3), &Phase { admits: &admits, ..CALM });
+        let share = |id: Candidate| if id.rank == rank { 1.0 } else { 0.0 };
+        fleet.run(Duration::from_secs(3), &Phase { share: &share, ..NO_FAULTS });
     }
     fleet.assert_recovers();
     fleet.assert_within_limit();
 }
 
-/// Guards against a second burst from a candidate that does not count what its hub admitted.
+/// Guards against a second burst from a candidate that does not count what the former hub
+/// admitted.
 #[test]
-fn a_candidate_that_takes_over_grants_no_second_burst() {
+fn candidate_that_takes_over_grants_no_second_burst() {
     for millis in [600, 1100, 1900, 2700] {
         let mut fleet = Fleet::new();
-        fleet.run(Duration::from_secs(6), &CALM);
+        fleet.run(Duration::from_secs(6), &NO_FAULTS);
         for rank in [0, 1, 2, 0] {
-            let admits = |id: Candidate| match id.domain {
+            let share = |id: Candidate| match id.domain {
                 0 => f64::from(u8::from(id.rank == rank)),
-                _ => first(id),
+                _ => first_candidate(id),
             };
-            let phase = Phase { asks: &hot_in_one, admits: &admits, ..CALM };
+            let phase = Phase { rate: &hot_in_first_domain, share: &share, ..NO_FAULTS };
             fleet.run(Duration::from_millis(millis), &phase);
         }
         fleet.assert_within_limit();
@@ -293,139 +301,143 @@
 
 /// Guards against two hubs of one failure domain that each admit its whole part.
 #[test]
-fn two_hubs_at_once_share_the_part_of_their_failure_domain() {
+fn two_simultaneous_hubs_share_the_part_of_their_failure_domain() {
     let mut fleet = Fleet::new();
-    fleet.run(Duration::from_secs(6), &CALM);
-    let admits = |id: Candidate| match (id.domain, id.rank) {
+    fleet.run(Duration::from_secs(6), &NO_FAULTS);
+    let share = |id: Candidate| match (id.domain, id.rank) {
         (0..3, 0 | 1) => 0.5,
         (0..3, _) => 0.0,
-        _ => first(id),
+        _ => first_candidate(id),
     };
-    fleet.run(Duration::from_secs(8), &Phase { asks: &hot, admits: &admits, ..CALM });
+    fleet.run(Duration::from_secs(8), &Phase { rate: &hot_rate, share: &share, ..NO_FAULTS });
     fleet.assert_within_limit();
-    let since = fleet.now + RECOVERED_WITHIN;
-    fleet.run(RECOVERED_WITHIN, &Phase { admits: &admits, ..CALM });
-    fleet.run(Duration::from_secs(4), &Phase { admits: &admits, ..CALM });
+    let since = fleet.now + RECOVERY_TIMEOUT;
+    fleet.run(RECOVERY_TIMEOUT, &Phase { share: &share, ..NO_FAULTS });
+    fleet.run(Duration::from_secs(4), &Phase { share: &share, ..NO_FAULTS });
     fleet.assert_served(since);
 }
 
-/// Guards against a limit that is exceeded by two hubs which a cut hides from each other.
+/// Guards against exceeding the limit while two hubs of a failure domain do not receive each
+/// other's reports, because of a partition between them.
 #[test]
-fn two_hubs_that_do_not_hear_each_other_keep_the_limit() {
+fn two_hubs_separated_by_a_partition_keep_the_limit() {
     let mut fleet = Fleet::new();
-    fleet.run(Duration::from_secs(6), &CALM);
-    let admits = |id: Candidate| match (id.domain, id.rank) {
+    fleet.run(Duration::from_secs(6), &NO_FAULTS);
+    let share = |id: Candidate| match (id.domain, id.rank) {
         (0, 0 | 1) => 0.5,
         (0, _) => 0.0,
-        _ => first(id),
+        _ => first_candidate(id),
     };
     let delay = |to: Candidate, from: Candidate| {
         let apart = to.domain == 0 && from.domain == 0 && to.rank != from.rank;
         (!apart).then_some(Duration::ZERO)
     };
-    fleet.run(Duration::from_secs(8), &Phase { asks: &hot, admits: &admits, delay: &delay });
+    fleet.run(Duration::from_secs(8), &Phase { rate: &hot_rate, share: &share, delay: &delay });
     fleet.assert_within_limit();
     fleet.assert_recovers();
 }
 
 /// Guards against refusals and a second burst after a hub has crashed and returned.
 #[test]
-fn a_hub_that_starts_anew_keeps_the_limit_and_is_served() {
+fn restarted_hub_keeps_the_limit_and_is_served() {
     let mut fleet = Fleet::new();
-    fleet.run(Duration::from_secs(6), &CALM);
-    fleet.run(Duration::from_millis(1500), &Phase { asks: &hot, ..CALM });
-    fleet.run(Duration::from_millis(1500), &Phase { asks: &hot, admits: &second_in_one, ..CALM });
+    fleet.run(Duration::from_secs(6), &NO_FAULTS);
+    fleet.run(Duration::from_millis(1500), &Phase { rate: &hot_rate, ..NO_FAULTS });
+    fleet.run(
+        Duration::from_millis(1500),
+        &Phase { rate: &hot_rate, share: &second_in_first_domain, ..NO_FAULTS },
+    );
     fleet.restart(0, 0);
-    fleet.run(Duration::from_secs(3), &Phase { asks: &hot, ..CALM });
+    fleet.run(Duration::from_secs(3), &Phase { rate: &hot_rate, ..NO_FAULTS });
     fleet.assert_within_limit();
     fleet.assert_recovers();
 }
 
-/// Guards against reports that a cut delays for seconds being charged twice or ignored.
+/// Guards against reports that a partition delays for seconds being charged twice or ignored.
 #[test]
-fn delayed_reports_of_a_former_hub_are_counted_once() {
+fn delayed_reports_of_a_former_hub_are_charged_once() {
     let mut fleet = Fleet::new();
-    fleet.run(Duration::from_secs(6), &CALM);
+    fleet.run(Duration::from_secs(6), &NO_FAULTS);
     let delay = |to: Candidate, from: Candidate| {
         let slow = from.domain == 0 && from.rank == 0 && to.domain != 0;
         Some(if slow { Duration::from_secs(3) } else { Duration::ZERO })
     };
-    fleet.run(Duration::from_secs(3), &Phase { delay: &delay, ..CALM });
-    fleet.run(Duration::from_secs(2), &Phase { admits: &second_in_one, ..CALM });
-    fleet.run(Duration::from_secs(2), &CALM);
+    fleet.run(Duration::from_secs(3), &Phase { delay: &delay, ..NO_FAULTS });
+    fleet.run(Duration::from_secs(2), &Phase { share: &second_in_first_domain, ..NO_FAULTS });
+    fleet.run(Duration::from_secs(2), &NO_FAULTS);
     let since = fleet.now;
-    fleet.run(Duration::from_secs(6), &CALM);
+    fleet.run(Duration::from_secs(6), &NO_FAULTS);
     fleet.assert_served(since);
     fleet.assert_within_limit();
 }
 
-/// How a failure domain is served for a while.
+/// Random load distribution and report delays of one failure domain during a run.
 #[derive(Clone, Copy)]
-struct Drawn {
-    /// The part of the requests that each candidate is asked to admit.
-    parts: [f64; CANDIDATES],
-    /// Candidates whose reports are received late.
-    late: [Duration; CANDIDATES],
+struct DomainPhase {
+    /// Fraction of the requests that are sent to each candidate.
+    shares: [f64; CANDIDATES],
+    /// Delay of each candidate's reports.
+    delays: [Duration; CANDIDATES],
 }
 
-fn draw(rng: &mut StdRng) -> Drawn {
-    let mut parts = [0.0; CANDIDATES];
+fn draw(rng: &mut StdRng) -> DomainPhase {
+    let mut shares = [0.0; CANDIDATES];
     let hub = rng.random_range(0..CANDIDATES);
     let second = rng.random_range(0..CANDIDATES);
-    let part = if rng.random_bool(0.3) { rng.random_range(0.1..0.5) } else { 0.0 };
-    parts[hub] += 1.0 - part;
-    parts[second] += part;
-    let late = std::array::from_fn(|_| match rng.random_bool(0.2) {
+    let second_share = if rng.random_bool(0.3) { rng.random_range(0.1..0.5) } else { 0.0 };
+    shares[hub] += 1.0 - second_share;
+    shares[second] += second_share;
+    let delays = std::array::from_fn(|_| match rng.random_bool(0.2) {
         true => Duration::from_millis(rng.random_range(50..900)),
         false => Duration::ZERO,
     });
-    Drawn { parts, late }
+    DomainPhase { shares, delays }
 }
 
-/// Guards against a failure domain that is refused, or a limit that is exceeded, after hubs
-/// were replaced, killed and delayed in any order.
+/// Guards against refusals in a failure domain, and against exceeding the limit, after hubs were
+/// replaced, crashed and delayed in any order.
 #[test]
-fn hubs_that_change_in_any_order_keep_limit_and_service() {
+fn random_hub_changes_keep_the_limit_and_the_service() {
     for seed in 0..30 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut fleet = Fleet::new();
-        fleet.run(Duration::from_secs(5), &CALM);
+        fleet.run(Duration::from_secs(5), &NO_FAULTS);
         let hot = rng.random_bool(0.5);
-        let asks: &dyn Fn(usize) -> f64 = if hot { &self::hot } else { &near_rate };
+        let rate: &dyn Fn(usize) -> f64 = if hot { &self::hot_rate } else { &near_rate };
         for _ in 0..6 {
-            let drawn: [Drawn; DOMAINS] = std::array::from_fn(|_| draw(&mut rng));
+            let phases: [DomainPhase; DOMAINS] = std::array::from_fn(|_| draw(&mut rng));
             if rng.random_bool(0.4) {
                 fleet.restart(rng.random_range(0..DOMAINS), rng.random_range(0..CANDIDATES));
             }
-            let admits = |id: Candidate| drawn[id.domain].parts[id.rank];
-            let delay = |_: Candidate, from: Candidate| Some(drawn[from.domain].late[from.rank]);
+            let share = |id: Candidate| phases[id.domain].shares[id.rank];
+            let delay = |_: Candidate, from: Candidate| Some(phases[from.domain].delays[from.rank]);
             let time = Duration::from_millis(rng.random_range(300..2500));
-            fleet.run(time, &Phase { asks, admits: &admits, delay: &delay });
+            fleet.run(time, &Phase { rate, share: &share, delay: &delay });
         }
-        fleet.run(RECOVERED_WITHIN, &CALM);
+        fleet.run(RECOVERY_TIMEOUT, &NO_FAULTS);
         let since = fleet.now;
-        fleet.run(Duration::from_secs(3), &CALM);
+        fleet.run(Duration::from_secs(3), &NO_FAULTS);
         println!("seed {seed}, hot {hot}");
         fleet.assert_within_limit();
         if !hot {
-            // An account that was over its rate has no burst left in that time.
+            // An account that exceeded its rate has no burst left at that time.
             fleet.assert_served(since);
         }
     }
 }
 
-/// Guards against memory that grows with every host that ever admitted requests.
+/// Guards against memory use that grows with every host that ever admitted requests.
 #[test]
-fn hosts_that_report_no_more_are_forgotten() {
+fn counts_of_hosts_without_reports_are_dropped() {
     let mut participant = Participant::new(Instant::now());
     let (account, mut now) = (account(), Instant::now());
     for n in 0..50 {
         now += Duration::from_secs(10);
         let figures =
             AccountReport { account: account.clone(), rate: 5.0, admitted: 10, level: None };
-        let asked = Report { run: n, no: 1, figures: vec![figures] };
+        let report = Report { run: n, no: 1, figures: vec![figures] };
         let from: HostId = format!("host-{n}").parse().unwrap();
-        assert_eq!(participant.receive(&from, &asked, now), Some(vec![10]));
+        assert_eq!(participant.receive(&from, &report, now), Some(vec![10]));
     }
-    assert!(participant.admitted(&account) <= 70, "all hosts are known for ever");
+    assert!(participant.admitted(&account) <= 70, "counts of all hosts are kept");
 }
