--- a/components/coordination/tests/hubs.rs
+++ b/components/coordination/tests/hubs.rs
@@ -1,4 +1,4 @@
-//! Which hosts speak to which, in fleets of any size.
+//! Gossip topology of fleets of any size.
 
 use std::collections::BTreeMap;
 
@@ -31,56 +31,61 @@
     format!("host-{n}").parse().unwrap()
 }
 
-fn of(view: &View, n: usize) -> Neighbours {
+fn neighbours_of(view: &View, n: usize) -> Neighbours {
     hubs::neighbours(view, &id(n), &DOMAINS[n % 4].parse().unwrap())
 }
 
-/// A fleet grew from eight hosts to ninety, and each host spent most of its
-/// messages on hosts that had nothing to tell it: all spoke to all.
+/// Guards against a full mesh in a large fleet: as it grows from eight hosts to ninety, each host
+/// would spend most of its messages on hosts that have no news for it.
 #[test]
-fn links_of_a_host_do_not_grow_with_the_fleet() {
+fn number_of_links_does_not_grow_with_the_fleet() {
     for size in [40, 100, 400, 1800] {
         let view = fleet(size);
-        let most = (0..size).map(|n| of(&view, n).links.len()).max().unwrap();
-        assert!(most <= 11, "a host of {size} has {most} links");
+        let max_links = (0..size).map(|n| neighbours_of(&view, n).links.len()).max().unwrap();
+        assert!(max_links <= 11, "a host has {max_links} links in a fleet of {size}");
     }
-    assert_eq!(of(&fleet(8), 3).links.len(), 7);
+    assert_eq!(neighbours_of(&fleet(8), 3).links.len(), 7);
 }
 
-/// The strongest hosts are the hubs, so that a small host does not carry the
-/// messages of its whole failure domain.
+/// Guards against a small host that carries the messages of its whole failure domain.
 #[test]
-fn hubs_are_strong() {
+fn hub_is_among_the_most_powerful_hosts() {
     let view = fleet(90);
-    let hub = of(&view, 7).hub(&id(7), |_| true);
+    let hub = neighbours_of(&view, 7).hub(&id(7), |_| true);
     assert_eq!(view.members[&hub].value.power, 500);
 }
 
-/// A hub dies. The hosts of its failure domain turn to the next candidate, all to
-/// the same one, and a host that reaches none stands for itself.
+/// Guards against hosts of a failure domain that use different hubs after theirs has failed. A
+/// host that reaches no candidate is its own hub.
 #[test]
-fn the_next_candidate_follows_a_hub_that_is_lost() {
+fn hosts_use_the_same_next_candidate_after_the_loss_of_a_hub() {
     let view = fleet(90);
-    let first = of(&view, 3).hub(&id(3), |_| true);
-    let next: Vec<_> = [3, 7, 11, 15].map(|n| of(&view, n).hub(&id(n), |id| *id != first)).into();
-    let others = next.iter().filter(|hub| **hub != next[0]).count();
-    assert!(others <= 1, "hosts turned to different hubs: {next:?}");
-    let plain = (0..90).find(|n| !of(&view, *n).candidates.contains(&id(*n))).unwrap();
-    assert_eq!(of(&view, plain).hub(&id(plain), |_| false), id(plain));
+    let first = neighbours_of(&view, 3).hub(&id(3), |_| true);
+    let next_hubs: Vec<_> =
+        [3, 7, 11, 15].map(|n| neighbours_of(&view, n).hub(&id(n), |id| *id != first)).into();
+    let others = next_hubs.iter().filter(|hub| **hub != next_hubs[0]).count();
+    assert!(others <= 1, "hosts use different hubs: {next_hubs:?}");
+    let other_host =
+        (0..90).find(|n| !neighbours_of(&view, *n).candidates.contains(&id(*n))).unwrap();
+    assert_eq!(neighbours_of(&view, other_host).hub(&id(other_host), |_| false), id(other_host));
 }
 
 /// Guards against refusals while all candidates of a failure domain are down.
 #[test]
-fn hosts_know_hubs_of_other_failure_domains() {
+fn hosts_of_large_fleets_have_two_remote_hubs() {
     let view = fleet(90);
     for n in 0..90 {
-        let Neighbours { candidates, remote_hubs, .. } = of(&view, n);
+        let Neighbours { candidates, remote_hubs, .. } = neighbours_of(&view, n);
         assert!(remote_hubs.len() == 2 && remote_hubs.iter().all(|hub| !candidates.contains(hub)));
         for hub in remote_hubs {
             let domain = &view.members[&hub].value.domain;
             let hubs = hubs::neighbours(&view, &hub, domain).candidates;
-            assert_eq!(hubs.first(), Some(&hub), "another host than the hub is asked");
+            assert_eq!(
+                hubs.first(),
+                Some(&hub),
+                "remote hub is not the first candidate of its failure domain"
+            );
         }
     }
-    assert!(of(&fleet(8), 3).remote_hubs.is_empty());
+    assert!(neighbours_of(&fleet(8), 3).remote_hubs.is_empty());
 }
