--- a/components/coordination/tests/offsets.rs
+++ b/components/coordination/tests/offsets.rs
@@ -1,31 +1,36 @@
-//! Moments that hosts send each other.
+//! Points in time that hosts send each other.
 
 use std::time::{Duration, Instant};
 
 use bergamottrack_coordination::offsets;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const LONGEST_DELAY_MS: u64 = 5000;
+const MAX_DELAY_MS: u64 = 5000;
 
-/// A position seen 1 ms later than it was could let a read miss a commit.
+/// Guards against a read that misses a commit because a position appears to be observed 1 ms
+/// later than it was.
 #[test]
-fn a_moment_is_never_taken_for_later_than_it_was() {
+fn received_time_is_never_too_late() {
     let mut rng = StdRng::seed_from_u64(1);
     let start = Instant::now() + Duration::from_secs(60);
-    let mut ms = |most: u64| Duration::from_micros(rng.random_range(0..=most * 1000));
+    let mut random_time = |max_ms: u64| Duration::from_micros(rng.random_range(0..=max_ms * 1000));
     for _ in 0..10_000 {
-        // One true clock stands for both hosts, so that moments can be compared.
-        let asked = start;
-        let made = asked + ms(LONGEST_DELAY_MS);
-        let seen = made - ms(2000);
-        let taken = offsets::instant(asked, offsets::offset_ms(seen, made)).unwrap();
-        assert!(taken <= seen, "in an answer");
-        assert!(seen - taken <= made - asked + Duration::from_millis(4), "by more than the delay");
+        // Both hosts use one clock here, so that their times can be compared.
+        let requested = start;
+        let answered = requested + random_time(MAX_DELAY_MS);
+        let observed = answered - random_time(2000);
+        let converted =
+            offsets::instant(requested, offsets::offset_ms(observed, answered)).unwrap();
+        assert!(converted <= observed, "too late in an answer");
+        assert!(
+            observed - converted <= answered - requested + Duration::from_millis(4),
+            "too early by more than the delay"
+        );
 
-        let stamped = start;
-        let received = stamped + ms(LONGEST_DELAY_MS);
-        let seen = received + ms(2000) - ms(1000);
-        let taken = offsets::instant(stamped, offsets::offset_ms(seen, received)).unwrap();
-        assert!(taken <= seen, "in a question");
+        let sent = start;
+        let received = sent + random_time(MAX_DELAY_MS);
+        let observed = received + random_time(2000) - random_time(1000);
+        let converted = offsets::instant(sent, offsets::offset_ms(observed, received)).unwrap();
+        assert!(converted <= observed, "too late in a request");
     }
 }
