--- a/components/coordination/tests/pieces.rs
+++ b/components/coordination/tests/pieces.rs
@@ -1,4 +1,4 @@
-//! Large documents between hosts, over links of any rate.
+//! Transfer of large documents between hosts over links of any bandwidth.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -10,120 +10,123 @@
 
 const ONE: Revision = Revision(1);
 
-/// How long a caller's statement may be held up by what is fetched over its link: part of
-/// the 400 ms that a caller waits gladly.
-const HELD_UP: Duration = Duration::from_millis(250);
+/// Maximum delay of a caller's statement by a transfer over the same link: part of the 400 ms that
+/// callers accept.
+const MAX_STATEMENT_DELAY: Duration = Duration::from_millis(250);
 
-/// One way between two hosts.
+/// One-way latency between two hosts.
 const LATENCY: Duration = Duration::from_millis(1);
 
 fn document(size: usize) -> Bytes {
     (0..size).map(|n| (n * 31 % 251) as u8).collect()
 }
 
-fn shelf(size: usize) -> Documents {
-    let mut shelf = Documents::default();
-    shelf.add(ONE, document(size));
-    shelf
+fn documents(size: usize) -> Documents {
+    let mut documents = Documents::default();
+    documents.add(ONE, document(size));
+    documents
 }
 
-/// A link that sends one thing after the other.
+/// Link that transmits one message after the other.
 #[derive(Clone)]
-struct Line {
+struct Link {
     bytes_per_sec: f64,
-    free: Duration,
+    /// Time at which the link is idle again.
+    free_at: Duration,
+    /// Number of bytes transmitted.
     sent: usize,
-    /// The longest that something would have waited that came right behind something else.
-    longest: Duration,
+    /// Longest time that a message queued right behind another one would have waited.
+    max_wait: Duration,
 }
 
-impl Line {
+impl Link {
     fn new(bytes_per_sec: f64) -> Self {
-        let (free, longest) = (Duration::ZERO, Duration::ZERO);
-        Self { bytes_per_sec, free, sent: 0, longest }
+        let (free_at, max_wait) = (Duration::ZERO, Duration::ZERO);
+        Self { bytes_per_sec, free_at, sent: 0, max_wait }
     }
 
-    /// When something that is ready at `at` has passed.
-    fn pass(&mut self, at: Duration, size: usize) -> Duration {
-        self.free = self.free.max(at) + Duration::from_secs_f64(size as f64 / self.bytes_per_sec);
-        self.longest = self.longest.max(self.free - at);
+    /// Transmits a message that is ready at `at`; returns the time of its arrival.
+    fn transmit(&mut self, at: Duration, size: usize) -> Duration {
+        self.free_at =
+            self.free_at.max(at) + Duration::from_secs_f64(size as f64 / self.bytes_per_sec);
+        self.max_wait = self.max_wait.max(self.free_at - at);
         self.sent += size;
-        self.free + LATENCY
+        self.free_at + LATENCY
     }
 }
 
-/// Hosts that fetch a document from one of them, each over a link of its own. When each
-/// has it, the teller's link and the other hosts' links.
-fn fetch(size: usize, teller: f64, hosts: &[f64]) -> (Vec<Duration>, Line, Vec<Line>) {
-    let shelf = shelf(size);
-    let mut teller = Line::new(teller);
-    let mut lines: Vec<Line> = hosts.iter().map(|rate| Line::new(*rate)).collect();
+/// Simulates hosts that fetch a document from one sender, each over its own link. Returns the time
+/// at which each host has it, the sender's link and the hosts' links.
+fn simulate_fetches(size: usize, sender: f64, hosts: &[f64]) -> (Vec<Duration>, Link, Vec<Link>) {
+    let documents = documents(size);
+    let mut sender = Link::new(sender);
+    let mut links: Vec<Link> = hosts.iter().map(|rate| Link::new(*rate)).collect();
     let mut fetches: Vec<Fetch> = hosts.iter().map(|_| Fetch::new(ONE)).collect();
     let mut done = vec![Duration::ZERO; hosts.len()];
-    let mut asks: BinaryHeap<_> = (0..hosts.len()).map(|n| Reverse((Duration::ZERO, n))).collect();
-    while let Some(Reverse((asked, host))) = asks.pop() {
-        assert!(asked < Duration::from_secs(600), "the document never arrives");
-        let piece = shelf.piece(fetches[host].next_request()).unwrap();
-        let sent = teller.pass(asked + LATENCY, piece.bytes.len());
-        let came = lines[host].pass(sent, piece.bytes.len());
-        let took = came - asked;
+    let mut requests: BinaryHeap<_> =
+        (0..hosts.len()).map(|n| Reverse((Duration::ZERO, n))).collect();
+    while let Some(Reverse((requested_at, host))) = requests.pop() {
+        assert!(requested_at < Duration::from_secs(600), "the document never arrives");
+        let piece = documents.piece(fetches[host].next_request()).unwrap();
+        let forwarded = sender.transmit(requested_at + LATENCY, piece.bytes.len());
+        let received_at = links[host].transmit(forwarded, piece.bytes.len());
+        let took = received_at - requested_at;
         if took > PIECE_TIMEOUT {
             fetches[host].miss();
-            asks.push(Reverse((asked + PIECE_TIMEOUT, host)));
+            requests.push(Reverse((requested_at + PIECE_TIMEOUT, host)));
             continue;
         }
         match fetches[host].take(piece, took) {
-            Progress::More => asks.push(Reverse((came, host))),
+            Progress::More => requests.push(Reverse((received_at, host))),
             Progress::Complete(bytes) => {
                 assert_eq!(bytes, document(size));
-                done[host] = came;
+                done[host] = received_at;
             }
-            Progress::Restarted => panic!("nothing was damaged"),
+            Progress::Restarted => panic!("fetch restarted although nothing was damaged"),
         }
     }
-    (done, teller, lines)
+    (done, sender, links)
 }
 
-/// A host fetches a configuration over a link of whatever rate. In one answer it would need
-/// longer than an answer may take, come too late and be asked for again, for ever. Here it
-/// takes little more than the bytes need, and a caller's statement on that link waits for
-/// one piece, not for the whole.
+/// Guards against a configuration that never arrives: in a single answer it would exceed the
+/// timeout on a slow link and be requested again for ever. The transfer takes little longer than
+/// its bytes need, and delays a caller's statement on the link by one piece only.
 #[test]
-fn a_document_arrives_over_links_of_any_rate() {
+fn document_arrives_over_links_of_any_bandwidth() {
     const SIZE: usize = 800_000;
     for rate in [20e3, 60e3, 250e3, 1.25e6, 25e6] {
-        let (done, teller, _) = fetch(SIZE, rate, &[1e9]);
-        let least = Duration::from_secs_f64(SIZE as f64 / rate);
-        let limit = least.mul_f64(1.1) + Duration::from_millis(200);
+        let (done, sender, _) = simulate_fetches(SIZE, rate, &[1e9]);
+        let min_time = Duration::from_secs_f64(SIZE as f64 / rate);
+        let limit = min_time.mul_f64(1.1) + Duration::from_millis(200);
         assert!(done[0] < limit, "{:?} at {rate} B/s", done[0]);
-        assert_eq!(teller.sent, SIZE, "something was sent twice at {rate} B/s");
-        assert!(teller.longest < HELD_UP, "{:?} at {rate} B/s", teller.longest);
+        assert_eq!(sender.sent, SIZE, "data was sent twice at {rate} B/s");
+        assert!(sender.max_wait < MAX_STATEMENT_DELAY, "{:?} at {rate} B/s", sender.max_wait);
     }
 }
 
-/// All hosts of a failure domain hear of a new configuration at the same moment and fetch it
-/// from one host, whose link bears 2 to 200 Mbit/s, over links of their own of 10 Mbit/s. None
-/// may be forgotten, and what goes over the one link must be little more than they all need.
+/// Guards against a host that never gets a new configuration, and against sending much more than
+/// all need. All fetch it at the same moment from one host, over its link of 2 to 200 Mbit/s and
+/// links of their own of 10 Mbit/s.
 #[test]
-fn a_whole_failure_domain_fetches_from_one_host() {
+fn all_hosts_of_a_failure_domain_fetch_from_one_host() {
     const SIZE: usize = 60_000;
     const HOSTS: usize = 75;
     for rate in [250e3, 1.25e6, 25e6] {
-        let (done, teller, lines) = fetch(SIZE, rate, &[1.25e6; HOSTS]);
-        let least = Duration::from_secs_f64((SIZE * HOSTS) as f64 / rate);
+        let (done, sender, links) = simulate_fetches(SIZE, rate, &[1.25e6; HOSTS]);
+        let min_time = Duration::from_secs_f64((SIZE * HOSTS) as f64 / rate);
         let last = done.iter().max().unwrap();
-        let limit = least.mul_f64(1.1) + Duration::from_millis(200);
+        let limit = min_time.mul_f64(1.1) + Duration::from_millis(200);
         assert!(*last < limit, "{last:?} at {rate} B/s");
-        assert_eq!(teller.sent, SIZE * HOSTS, "something was sent twice at {rate} B/s");
-        assert!(lines.iter().all(|line| line.longest < HELD_UP));
+        assert_eq!(sender.sent, SIZE * HOSTS, "data was sent twice at {rate} B/s");
+        assert!(links.iter().all(|link| link.max_wait < MAX_STATEMENT_DELAY));
     }
 }
 
-/// The link is lost when most of a document has come, and another host goes on telling.
-/// Only the rest is fetched; begun anew with each loss it would never arrive.
+/// Guards against a document that never arrives because its transfer restarts at each loss of a
+/// link. Another host continues the transfer and sends only the rest.
 #[test]
-fn what_has_come_is_kept_over_a_lost_link() {
-    let (first, second) = (shelf(100_000), shelf(100_000));
+fn received_pieces_are_kept_after_the_loss_of_a_link() {
+    let (first, second) = (documents(100_000), documents(100_000));
     let mut fetch = Fetch::new(ONE);
     let quick = Duration::from_millis(1);
     let piece = first.piece(fetch.next_request()).unwrap();
@@ -131,25 +134,25 @@
     let piece = first.piece(fetch.next_request()).unwrap();
     assert_eq!(fetch.take(piece, quick), Progress::More);
     fetch.miss();
-    let mut told = 0;
+    let mut fetched = 0;
     loop {
         let piece = second.piece(fetch.next_request()).unwrap();
-        told += piece.bytes.len();
+        fetched += piece.bytes.len();
         match fetch.take(piece, quick) {
             Progress::More => {}
             Progress::Complete(bytes) => break assert_eq!(bytes, document(100_000)),
-            Progress::Restarted => panic!("it was the same document"),
+            Progress::Restarted => panic!("fetch restarted with the same document"),
         }
     }
-    assert_eq!(told, 100_000 - 4 * 1024 - 8 * 1024);
+    assert_eq!(fetched, 100_000 - 4 * 1024 - 8 * 1024);
 }
 
-/// Two hosts hold different bytes under one revision, or a piece is damaged. A mixture of both
-/// must never be taken for the document.
+/// Guards against taking a mixture for the document, when two hosts have different bytes under
+/// one revision or a piece is damaged.
 #[test]
-fn pieces_of_different_documents_are_not_put_together() {
+fn pieces_of_different_documents_are_not_combined() {
     let quick = Duration::from_millis(1);
-    let first = shelf(20_000);
+    let first = documents(20_000);
     let mut other = Documents::default();
     other.add(ONE, document(20_001));
     let mut fetch = Fetch::new(ONE);
@@ -165,46 +168,57 @@
     assert_eq!(fetch.take(first.piece(fetch.next_request()).unwrap(), quick), Progress::Restarted);
 }
 
-/// Versions come faster than one can be fetched. A host that began with the newest each time
-/// would never have any; the one that it has begun stays there for it.
+/// Guards against a host that never has any version, because versions arrive faster than one can
+/// be fetched and it starts over with the newest each time. The version that it has begun to
+/// fetch stays available.
 #[test]
-fn a_fetch_ends_while_newer_versions_come() {
-    let mut shelf = shelf(10_000);
+fn fetch_completes_while_newer_versions_are_added() {
+    let mut documents = documents(10_000);
     let mut fetch = Fetch::new(ONE);
     let quick = Duration::from_millis(1);
-    assert_eq!(fetch.take(shelf.piece(fetch.next_request()).unwrap(), quick), Progress::More);
-    (2..=4).for_each(|version| shelf.add(Revision(version), document(50_000)));
-    let piece = shelf.piece(fetch.next_request()).unwrap();
+    assert_eq!(fetch.take(documents.piece(fetch.next_request()).unwrap(), quick), Progress::More);
+    (2..=4).for_each(|version| documents.add(Revision(version), document(50_000)));
+    let piece = documents.piece(fetch.next_request()).unwrap();
     assert_eq!(fetch.take(piece, quick), Progress::Complete(document(10_000)));
-    shelf.add(Revision(5), document(50_000));
-    assert_eq!(shelf.piece(Fetch::new(ONE).next_request()), None, "old ones stay for ever");
+    documents.add(Revision(5), document(50_000));
+    assert_eq!(
+        documents.piece(Fetch::new(ONE).next_request()),
+        None,
+        "old documents are never removed"
+    );
 }
 
-/// Guards against a host refusing its callers although it has the last revision but one.
+/// Guards against a host that refuses its callers although it has the last revision but one.
 #[test]
-fn a_piece_carries_the_time_at_which_its_document_was_the_newest() {
+fn piece_contains_the_time_at_which_its_document_was_the_newest() {
     let at = Duration::from_secs;
-    let mut shelf = shelf(10);
-    shelf.confirm(at(7));
-    shelf.confirm(at(5));
-    assert_eq!(shelf.confirmed(), at(7), "the time decreases");
-    shelf.add(Revision(2), document(10));
-    assert_eq!(shelf.confirmed(), at(7), "an added document starts from the former's time");
-    shelf.confirm(at(9));
+    let mut documents = documents(10);
+    documents.confirm(at(7));
+    documents.confirm(at(5));
+    assert_eq!(documents.confirmed(), at(7), "time decreased");
+    documents.add(Revision(2), document(10));
+    assert_eq!(
+        documents.confirmed(),
+        at(7),
+        "an added document starts with the time of the previous one"
+    );
+    documents.confirm(at(9));
     let mut fetch = Fetch::new(ONE);
-    fetch.take(shelf.piece(fetch.next_request()).unwrap(), at(0));
+    fetch.take(documents.piece(fetch.next_request()).unwrap(), at(0));
     assert_eq!(fetch.confirmed, at(7));
     let mut fetch = Fetch::new(Revision(2));
-    fetch.take(shelf.piece(fetch.next_request()).unwrap(), at(0));
+    fetch.take(documents.piece(fetch.next_request()).unwrap(), at(0));
     assert_eq!(fetch.confirmed, at(9));
 }
 
+/// Guards against a piece above the maximum size, whatever is requested, and against one beyond
+/// the end of its document or of an unknown revision.
 #[test]
-fn no_piece_is_larger_than_the_largest() {
-    let shelf = shelf(1_000_000);
+fn pieces_are_limited_to_the_maximum_size() {
+    let documents = documents(1_000_000);
     let all = PieceRequest { revision: ONE, from: Size(0), most: Size(u64::MAX) };
-    assert_eq!(shelf.piece(all).unwrap().bytes.len() as u64, MAX_PIECE.0);
-    assert_eq!(shelf.piece(PieceRequest { from: Size(u64::MAX), ..all }), None);
-    assert_eq!(shelf.piece(PieceRequest { from: Size(1_000_000), ..all }), None);
-    assert_eq!(shelf.piece(PieceRequest { revision: Revision(2), ..all }), None);
+    assert_eq!(documents.piece(all).unwrap().bytes.len() as u64, MAX_PIECE.0);
+    assert_eq!(documents.piece(PieceRequest { from: Size(u64::MAX), ..all }), None);
+    assert_eq!(documents.piece(PieceRequest { from: Size(1_000_000), ..all }), None);
+    assert_eq!(documents.piece(PieceRequest { revision: Revision(2), ..all }), None);
 }
