--- a/components/coordination/tests/retry.rs
+++ b/components/coordination/tests/retry.rs
@@ -1,10 +1,10 @@
-//! The budget of retries.
+//! Retry budget.
 
 use bergamottrack_coordination::retry::RetryBudget;
 
-/// Every request fails and each wants to be retried: the work stays bounded.
+/// Guards against unbounded load when every request fails and is to be retried.
 #[test]
-fn retries_stay_a_share_of_the_requests() {
+fn retries_are_limited_to_a_share_of_the_requests() {
     let mut budget = RetryBudget::new(0.1, 10.0);
     let mut retries = 0;
     for _ in 0..10_000 {
