--- a/components/coordination/tests/limits.rs
+++ b/components/coordination/tests/limits.rs
@@ -265,7 +265,7 @@
             at = *served;
             assert!(
                 level > -SLACK,
-                "contract exceeded {:?} after the first request",
+                "contract exceeded {:?} after the first served request",
                 at - self.served[0]
             );
         }
@@ -368,8 +368,10 @@
         let served = fleet.served.len() as f64 / (rate * RUN_TIME.as_secs_f64());
         assert!(
             served > 0.5,
-            "{served:.2} of {rate}/s served by one of {hosts} hosts, burst {burst}"
+            "{served:.2} of the rate of {rate}/s served by one of {hosts} hosts, burst {burst}"
+        );
+        println!(
+            "{served:.2} of the rate of {rate}/s served by one of {hosts} hosts, burst {burst}"
         );
-        println!("{served:.2} of {rate}/s served by one of {hosts} hosts, burst {burst}");
     }
 }
