--- a/components/entry/src/extended.rs
+++ b/components/entry/src/extended.rs
@@ -1,8 +1,8 @@
-//! Extended query: a caller's batches of messages and its prepared statements.
+//! Extended query protocol: batches of messages and prepared statements of a caller.
 //!
-//! Towards the home everything uses the unnamed statement, which is prepared
-//! again wherever it is needed. So a server's connection keeps nothing of one
-//! caller for the next.
+//! Messages to the group's home only use the unnamed statement, which is prepared again
+//! wherever it is needed. Server connections are shared, so they must not keep the prepared
+//! statements of one caller for the next.
 
 use std::rc::Rc;
 
@@ -19,69 +19,70 @@
 
 use crate::{
     local,
-    session::{Request, Session, Work},
+    replies::{Effect, ExpectedReplies, ExpectedReply},
+    session::{Access, Request, Session},
     settings::Fault,
     sql::Command,
     statements::Statement,
-    steps::{Effect, Step, Steps},
 };
 
-/// The most bytes of one batch of messages.
+/// Maximum size of a batch of messages, in bytes.
 const MAX_BATCH: usize = 16 << 20;
 
-/// The most portals that a transaction holds.
+/// Maximum number of portals in a transaction.
 const MAX_PORTALS: usize = 1_000;
 
-/// Which kind of thing a message names.
+/// Target type of `Describe` and `Close` messages that name a prepared statement.
 const STATEMENT: u8 = b'S';
 
-/// The messages since the last `Sync`.
+/// Messages received since the last `Sync` or `Flush`.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// What goes to the home.
+    /// Messages to send to the group's home.
     frames: BytesMut,
-    steps: Steps,
-    /// Statements that the batch prepares and, without one, closes.
+    replies: ExpectedReplies,
+    /// Names of the statements that the batch prepares, or closes if the value is `None`.
     named: Vec<(Box<str>, Option<Rc<Statement>>)>,
-    /// What the server's unnamed statement will be.
+    /// Statement that the server's unnamed statement holds after the batch's messages so far.
     current: Option<Rc<Statement>>,
-    work: Work,
-    /// What the batch runs on a server, in order.
+    access: Access,
+    /// Whether the batch begins a transaction on a server.
     begins: bool,
+    /// Whether the batch ends a transaction on a server.
     ends: bool,
-    /// Why nothing of it runs.
+    /// Error because of which no message of the batch is sent.
     fault: Option<Fault>,
-    /// Bytes of all its messages.
+    /// Size of all its messages, in bytes.
     size: usize,
 }
 
 impl Batch {
-    fn send(&mut self, message: &impl Message, step: Step) {
+    fn send(&mut self, message: &impl Message, reply: ExpectedReply) {
         frame::put(&mut self.frames, message);
-        self.steps.push(step);
+        self.replies.push(reply);
     }
 
-    fn send_parse(&mut self, statement: &Rc<Statement>, step: Step) {
+    fn send_parse(&mut self, statement: &Rc<Statement>, reply: ExpectedReply) {
         self.frames.extend_from_slice(&statement.parse);
-        self.steps.push(step);
+        self.replies.push(reply);
         self.current = Some(statement.clone());
     }
 
-    /// Has the server's unnamed statement be this one.
+    /// Prepares the statement as the server's unnamed statement unless it already is.
     fn prepare(&mut self, statement: &Rc<Statement>) {
         let is_current = self.current.as_ref().is_some_and(|c| Rc::ptr_eq(c, statement));
         if !is_current {
-            self.send_parse(statement, Step::SKIP);
+            self.send_parse(statement, ExpectedReply::SKIP);
         }
     }
 
     fn reply(&mut self, message: &impl Message) {
-        self.steps.push(Step::local(frame::bytes(message)));
+        self.replies.push(ExpectedReply::local(frame::bytes(message)));
     }
 }
 
 impl Session {
-    /// Takes a message of a batch; nothing runs before its end.
+    /// Adds a message to the batch. Statements run on a server only once the batch ends.
     pub(crate) fn collect(&mut self, frame: &Frame) {
         if self.skipping || self.batch.fault.is_some() {
             return;
@@ -89,13 +90,13 @@
         self.batch.size += frame.raw.len();
         let taken = if self.batch.size > MAX_BATCH {
             Err(Fault::new("54000", format!("a batch has at most {MAX_BATCH} bytes")))
-        } else if let Err(full) = self.held.set(self.batch.size) {
+        } else if let Err(full) = self.charge.set(self.batch.size) {
             Err(Fault::new("53300", full.to_string()))
         } else {
             self.take(frame)
         };
         if let Err(fault) = taken {
-            // Nothing of the batch is sent, so "not run" is true of all of it.
+            // No message of the batch is sent, so "not run" holds for all of its statements.
             self.batch = Batch { fault: Some(fault), ends: self.batch.ends, ..Batch::default() };
         }
     }
@@ -125,20 +126,20 @@
             let message = format!("the prepared statement {name:?} exists already");
             return Err(Fault::new("42P05", message));
         }
-        self.statements.check_room(self.batch.named.len())?;
+        self.statements.check_capacity(self.batch.named.len())?;
         let statement = Statement::new(parse);
         match &statement.command {
             Command::Unsupported(what) => return Err(Fault::unsupported(what)),
             Command::End(_) => {}
-            _ if self.is_aborted() => return Err(local::aborted()),
+            _ if self.is_aborted() => return Err(local::aborted_fault()),
             _ => {}
         }
-        let keep = Effect::Keep(name.clone(), statement.clone());
+        let keep = Effect::Insert(name.clone(), statement.clone());
         if statement.is_local() {
             let complete = frame::bytes(&ParseComplete::new());
-            self.batch.steps.push(Step::local(complete).then(keep));
+            self.batch.replies.push(ExpectedReply::local(complete).with_effect(keep));
         } else {
-            self.batch.send_parse(&statement, Step::PASS.then(keep));
+            self.batch.send_parse(&statement, ExpectedReply::PASS.with_effect(keep));
         }
         self.batch.named.push((name, Some(statement)));
         Ok(())
@@ -156,7 +157,7 @@
             self.batch.reply(&BindComplete::new());
         } else {
             self.batch.prepare(&statement);
-            self.batch.send(&bind, Step::PASS);
+            self.batch.send(&bind, ExpectedReply::PASS);
         }
         Ok(())
     }
@@ -167,20 +168,20 @@
             match self.portals.get(&*name).filter(|s| s.is_local()) {
                 Some(statement) => {
                     let columns = local::columns(&statement.command);
-                    self.batch.steps.push(Step::local(columns));
+                    self.batch.replies.push(ExpectedReply::local(columns));
                 }
-                None => self.batch.send(&describe, Step::PASS),
+                None => self.batch.send(&describe, ExpectedReply::PASS),
             }
             return Ok(());
         }
         let statement = self.prepared(&name).ok_or_else(|| no_statement(&name))?;
         if statement.is_local() {
             self.batch.reply(&ParameterDescription::new(Vec::new()));
-            self.batch.steps.push(Step::local(local::columns(&statement.command)));
+            self.batch.replies.push(ExpectedReply::local(local::columns(&statement.command)));
         } else {
             self.batch.prepare(&statement);
             describe.name = None;
-            self.batch.send(&describe, Step::PASS);
+            self.batch.send(&describe, ExpectedReply::PASS);
         }
         Ok(())
     }
@@ -189,9 +190,9 @@
         let name = execute.name.as_deref().unwrap_or_default();
         let statement = self.portals.get(name).cloned();
         let Some(statement) = statement else {
-            // The server knows no such portal either, and says so.
-            self.batch.work = Work::Write;
-            self.batch.send(execute, Step::PASS);
+            // The server does not have this portal either, and returns the error.
+            self.batch.access = Access::Write;
+            self.batch.send(execute, ExpectedReply::PASS);
             return Ok(());
         };
         match &statement.command {
@@ -200,27 +201,28 @@
             }
             command if statement.is_local() => {
                 let answer = self.execute_locally(command)?;
-                self.batch.steps.push(Step::local(answer));
+                self.batch.replies.push(ExpectedReply::local(answer));
             }
             command => {
-                self.check_place(command)?;
-                self.batch.work = self.batch.work.max(Work::of(command));
-                self.batch.send(execute, Step::PASS);
+                self.check_position(command)?;
+                self.batch.access = self.batch.access.max(Access::of(command));
+                self.batch.send(execute, ExpectedReply::PASS);
             }
         }
         Ok(())
     }
 
-    /// Runs a `COMMIT` or `ROLLBACK`, of which the server has heard nothing so far.
+    /// Adds a `COMMIT` or `ROLLBACK` to the batch. Its `Parse` and `Bind` are answered locally,
+    /// so the server receives them here.
     fn end_transaction(&mut self, statement: &Rc<Statement>) {
         self.batch.prepare(statement);
-        self.batch.send(&Bind::new(None, None, vec![], vec![], vec![]), Step::SKIP);
-        self.batch.send(&Execute::new(None, 0), Step::PASS);
-        self.batch.work = Work::Write;
+        self.batch.send(&Bind::new(None, None, vec![], vec![], vec![]), ExpectedReply::SKIP);
+        self.batch.send(&Execute::new(None, 0), ExpectedReply::PASS);
+        self.batch.access = Access::Write;
         self.batch.ends = true;
     }
 
-    fn check_place(&mut self, command: &Command) -> Result<(), Fault> {
+    fn check_position(&mut self, command: &Command) -> Result<(), Fault> {
         match command {
             Command::Begin if self.batch.ends => {
                 local::check_order(&[Command::End("COMMIT"), Command::Begin])
@@ -241,17 +243,21 @@
         if close.target_type == STATEMENT {
             self.batch.named.push((name.clone(), None));
             let complete = frame::bytes(&CloseComplete::new());
-            self.batch.steps.push(Step::local(complete).then(Effect::Forget(name)));
+            self.batch
+                .replies
+                .push(ExpectedReply::local(complete).with_effect(Effect::Remove(name)));
             return Ok(());
         }
         match self.portals.remove(&name) {
-            Some(statement) if !statement.is_local() => self.batch.send(&close, Step::PASS),
+            Some(statement) if !statement.is_local() => {
+                self.batch.send(&close, ExpectedReply::PASS)
+            }
             _ => self.batch.reply(&CloseComplete::new()),
         }
         Ok(())
     }
 
-    /// Ends a batch.
+    /// Handles `Sync`: runs the batch and ends it.
     pub(crate) async fn sync(&mut self) -> anyhow::Result<()> {
         if std::mem::take(&mut self.skipping) {
             self.batch = Batch::default();
@@ -266,17 +272,17 @@
         self.run_batch(batch, false).await
     }
 
-    /// Gives the answers to what has come of a batch so far.
+    /// Handles `Flush`: runs the messages of the batch so far.
     ///
-    /// A server is always sent a `Sync`. That makes no difference within a
-    /// transaction, nor as long as statements are only prepared. Elsewhere it
-    /// would commit what the caller may still want undone: refused.
+    /// The server always receives a `Sync`. This makes no difference within a transaction or
+    /// while statements are only prepared. Otherwise it would commit changes that the caller may
+    /// still need to roll back, so the `Flush` is refused.
     pub(crate) async fn flush(&mut self) -> anyhow::Result<()> {
         if self.skipping {
             return Ok(());
         }
         let mut batch = std::mem::take(&mut self.batch);
-        let runs = batch.work > Work::Describe || !self.portals.is_empty();
+        let runs = batch.access > Access::Describe || !self.portals.is_empty();
         if runs && self.exchange.is_none() && batch.fault.is_none() {
             batch.fault = Some(Fault::unsupported("Flush after a statement outside a transaction"));
         }
@@ -288,11 +294,11 @@
         self.run_batch(batch, true).await
     }
 
-    async fn run_batch(&mut self, mut batch: Batch, unfinished: bool) -> anyhow::Result<()> {
+    async fn run_batch(&mut self, mut batch: Batch, flushed: bool) -> anyhow::Result<()> {
         if batch.frames.is_empty() {
-            let answers = batch.steps.local(&mut self.statements);
+            let answers = batch.replies.local_replies(&mut self.statements);
             self.send(&answers).await?;
-            if unfinished {
+            if flushed {
                 return Ok(());
             }
             if self.exchange.is_none() {
@@ -301,21 +307,21 @@
             return self.send(&self.ready()).await;
         }
         if self.is_aborted() {
-            // Run now, its statements would be outside of the transaction they are for.
-            self.skipping = unfinished;
-            self.send(&local::aborted().answer(Severity::Error)).await?;
-            return if unfinished { Ok(()) } else { self.send(&self.ready()).await };
+            // The statements would run outside the transaction they belong to.
+            self.skipping = flushed;
+            self.send(&local::aborted_fault().answer(Severity::Error)).await?;
+            return if flushed { Ok(()) } else { self.send(&self.ready()).await };
         }
         frame::put(&mut batch.frames, &Sync::new());
         let request = Request {
             frames: Bytes::from(batch.frames),
-            steps: batch.steps,
-            work: batch.work,
+            replies: batch.replies,
+            access: batch.access,
             begins: batch.begins,
             ends: batch.ends,
-            unfinished,
+            flushed,
         };
-        self.finish(request).await.context("running a batch")
+        self.run_request(request).await.context("running a batch")
     }
 }
 
--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -1,4 +1,4 @@
-//! A caller that has proved its key: its messages, one after another.
+//! Session of an authenticated caller: reads its messages and serves them in order.
 
 use std::{
     collections::HashMap,
@@ -8,11 +8,11 @@
 
 use anyhow::{Context, bail};
 use bergamottrack_coordination::{Reason, Refusal};
-use bergamottrack_peer::{Exchange, Intent, Open, ToHome, message::Standing};
+use bergamottrack_peer::{Exchange, Intent, Open, ToHome, message::TransactionState};
 use bergamottrack_pg::{
     Frame, PgReader, PgWriter,
     answer::{self, Severity},
-    budget::{Charge, Full},
+    budget::{BudgetExhausted, Charge},
     frame,
     stream::Stream,
 };
@@ -26,43 +26,43 @@
 
 use crate::{
     caller,
-    callers::Seat,
-    context::{Cancel, Entry},
+    callers::Permit,
+    context::{CancelHandle, Entry},
     extended::Batch,
     login::Caller,
-    relay::{Answered, Relay},
+    relay::{Completion, Relay},
+    replies::ExpectedReplies,
     settings::{self, Fault, Owner, Settings},
     sql::{self, Command},
     statements::{Statement, Statements},
-    steps::Steps,
 };
 
-/// How long one message of a caller may be on its way.
-const MESSAGE_WITHIN: Duration = Duration::from_secs(30);
+/// Maximum time between the first and the last byte of a caller's message.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a request may have been on its way when a host says goodbye.
-const CROSSING: Duration = Duration::from_millis(100);
+/// Time for which a draining host still accepts requests that were already in transit.
+const DRAIN_GRACE: Duration = Duration::from_millis(100);
 
-/// What a caller's messages are read from.
+/// Reader of a caller's messages.
 pub type Reader = PgReader<ReadHalf<Stream>>;
 
-/// What a caller's answers are written to.
+/// Writer of the answers to a caller.
 pub type Writer = PgWriter<WriteHalf<Stream>>;
 
-/// What the statements of a request do, taken together.
+/// Access mode of a statement, or the strongest one among the statements of a request.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Work {
-    /// No statement runs: they are only prepared and described.
+pub enum Access {
+    /// No statement is executed; statements are only prepared and described.
     #[default]
     Describe,
-    /// All of them surely read.
+    /// All statements are known to be read-only.
     Read,
-    /// One may change data.
+    /// At least one statement may change data.
     Write,
 }
 
-impl Work {
-    /// What a statement does.
+impl Access {
+    /// Returns the access mode of a statement.
     pub fn of(command: &Command) -> Self {
         match command {
             Command::Read | Command::Show(_) => Self::Read,
@@ -71,69 +71,69 @@
     }
 }
 
-/// What goes to the home at once, and what becomes of its answer.
+/// Messages sent to the group's home together, and how its answer is processed.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// Whole messages, the last of them `Query` or `Sync`.
+    /// Complete messages, the last of which is `Query` or `Sync`.
     pub frames: Bytes,
-    /// What becomes of the answers.
-    pub steps: Steps,
-    /// What its statements do.
-    pub work: Work,
-    /// Whether it begins a transaction.
+    /// Expected replies, in the order of the messages.
+    pub replies: ExpectedReplies,
+    /// Access mode of its statements.
+    pub access: Access,
+    /// Whether the request begins a transaction.
     pub begins: bool,
-    /// Whether it ends a transaction.
+    /// Whether the request ends a transaction.
     pub ends: bool,
-    /// Whether the caller has not ended its batch yet.
-    pub unfinished: bool,
+    /// Whether the caller ended the request with `Flush`, so that its batch continues.
+    pub flushed: bool,
 }
 
-/// A caller that has proved its key.
+/// Session of an authenticated caller.
 pub struct Session {
     pub(crate) entry: Rc<Entry>,
     pub(crate) caller: Caller,
     pub(crate) settings: Settings,
     reader: Reader,
     writer: Writer,
-    seat: Seat,
-    /// Whether the caller may know that the host is being stopped.
-    told: bool,
-    /// The transaction that is open, if one is.
+    permit: Permit,
+    /// Whether the caller has already been granted [`DRAIN_GRACE`].
+    grace_used: bool,
+    /// Exchange with the group's home while a transaction is open.
     pub(crate) exchange: Option<Exchange>,
-    /// `Failed` without an exchange stands for a transaction that is already
-    /// rolled back and whose end the caller has not asked for yet.
-    pub(crate) standing: Standing,
-    cancel: Rc<Cancel>,
+    /// Transaction status. `Failed` without an exchange means that the transaction is already
+    /// rolled back but the caller has not sent its `COMMIT` or `ROLLBACK` yet.
+    pub(crate) standing: TransactionState,
+    cancel: Rc<CancelHandle>,
     pub(crate) statements: Statements,
-    /// What each portal runs; those of an open transaction stay.
+    /// Statements by portal name; portals are kept until their transaction ends.
     pub(crate) portals: HashMap<Box<str>, Rc<Statement>>,
     pub(crate) batch: Batch,
-    /// What the batch holds.
-    pub(crate) held: Charge,
-    /// Whether messages are skipped up to the next `Sync`, after an error.
+    /// Memory charged for the current batch.
+    pub(crate) charge: Charge,
+    /// Whether messages are skipped until the next `Sync`, after an error.
     pub(crate) skipping: bool,
 }
 
 impl Session {
-    /// A session that has said nothing yet.
+    /// Creates the session of a caller that has just been authenticated.
     pub fn new(
         entry: Rc<Entry>,
         caller: Caller,
         (reader, writer): (Reader, Writer),
-        cancel: Rc<Cancel>,
-        seat: Seat,
+        cancel: Rc<CancelHandle>,
+        permit: Permit,
     ) -> Self {
         Self {
-            held: entry.callers.input.charge(),
+            charge: entry.callers.input.charge(),
             entry,
             caller,
             settings: Settings::default(),
             reader,
             writer,
-            seat,
-            told: false,
+            permit,
+            grace_used: false,
             exchange: None,
-            standing: Standing::Idle,
+            standing: TransactionState::Idle,
             cancel,
             statements: Statements::default(),
             portals: HashMap::new(),
@@ -142,36 +142,36 @@
         }
     }
 
-    /// Serves the caller until it leaves.
+    /// Serves the caller until it disconnects.
     pub async fn run(&mut self, pid: i32) -> anyhow::Result<()> {
-        let notices = match self.start_up() {
+        let notices = match self.apply_startup() {
             Ok(notices) => notices,
             Err(fault) => return self.fatal(&fault).await,
         };
-        self.greet(pid, &notices).await?;
+        self.send_startup(pid, &notices).await?;
         loop {
-            self.seat.set_busy(self.exchange.is_some());
+            self.permit.set_busy(self.exchange.is_some());
             let frame = match self.next().await {
                 Ok(Some(frame)) => frame,
                 Ok(None) => return Ok(()),
-                // Said goodbye to.
+                // The host is draining, and the caller has been notified.
                 Err(error) if error.is::<Refusal>() => return Err(error),
-                Err(error) if error.is::<Full>() => {
+                Err(error) if error.is::<BudgetExhausted>() => {
                     self.exchange = None;
-                    let refusal = answer::refusal(Severity::Fatal, &caller::too_much());
+                    let refusal = answer::refusal(Severity::Fatal, &caller::memory_refusal());
                     self.send(&refusal).await?;
                     return Err(error);
                 }
                 Err(error) => return self.fatal(&Fault::new("08P01", format!("{error:#}"))).await,
             };
-            self.seat.set_busy(true);
+            self.permit.set_busy(true);
             match frame.tag {
                 b'Q' => self.query(&frame).await?,
                 b'P' | b'B' | b'D' | b'E' | b'C' => self.collect(&frame),
                 b'H' => self.flush().await?,
                 b'S' => self.sync().await?,
                 b'X' => return Ok(()),
-                // What is left of a COPY that was refused.
+                // Remaining messages of a COPY that was refused.
                 b'd' | b'c' | b'f' => {}
                 other => {
                     let message = format!("a message of kind {:?} is not served", other as char);
@@ -181,46 +181,48 @@
         }
     }
 
-    /// Ends the connection with a reason.
+    /// Sends a fatal error and ends the connection.
     async fn fatal(&mut self, fault: &Fault) -> anyhow::Result<()> {
-        // Rolled back first: the caller may read on for as long as it likes.
+        // The transaction is rolled back first: sending waits for the caller to read.
         self.exchange = None;
         self.send(&fault.answer(Severity::Fatal)).await?;
         bail!("{}", fault.message)
     }
 
-    /// The next message. Between two requests a host that is being stopped says
-    /// goodbye instead; a request that crosses that on its way is still served.
+    /// Returns the next message, or `None` at the end of the stream.
+    ///
+    /// Outside a transaction, a draining host sends a refusal instead and returns it as the
+    /// error. A request that arrives within [`DRAIN_GRACE`] is still served.
     async fn next(&mut self) -> anyhow::Result<Option<Frame>> {
         if self.exchange.is_some() {
-            return self.reader.next_within(MESSAGE_WITHIN).await;
+            return self.reader.next_timeout(MESSAGE_TIMEOUT).await;
         }
         if let Some(frame) = self.reader.ready()? {
             return Ok(Some(frame));
         }
         monoio::select! {
-            frame = self.reader.next_within(MESSAGE_WITHIN) => return frame,
-            _ = self.seat.leaving() => {}
+            frame = self.reader.next_timeout(MESSAGE_TIMEOUT) => return frame,
+            _ = self.permit.drain_started() => {}
         }
-        // A caller without pauses would be served for ever, so this is done once.
-        let wait = if self.told { Duration::ZERO } else { CROSSING };
-        self.told = true;
-        let frame = monoio::time::timeout(wait, self.reader.next_within(MESSAGE_WITHIN)).await;
+        // Granted once: a caller that sends requests without a pause would never be refused.
+        let wait = if self.grace_used { Duration::ZERO } else { DRAIN_GRACE };
+        self.grace_used = true;
+        let frame = monoio::time::timeout(wait, self.reader.next_timeout(MESSAGE_TIMEOUT)).await;
         if let Ok(frame) = frame {
             return frame;
         }
-        let refusal = caller::stopping();
+        let refusal = caller::drain_refusal();
         self.send(&answer::refusal(Severity::Fatal, &refusal)).await?;
         Err(refusal.into())
     }
 
-    /// The stream, when the session is over.
+    /// Returns the stream once the session has ended.
     pub fn into_stream(self) -> (Reader, Writer) {
         (self.reader, self.writer)
     }
 
-    /// Takes the settings of the start-up message; gives notices for the caller.
-    fn start_up(&mut self) -> Result<BytesMut, Fault> {
+    /// Applies the settings of the start-up message and returns the notices for the caller.
+    fn apply_startup(&mut self) -> Result<BytesMut, Fault> {
         let given = std::mem::take(&mut self.caller.settings);
         let mut notices = BytesMut::new();
         for (name, value) in &given {
@@ -228,12 +230,12 @@
                 "user" | "database" => {}
                 "replication" => return Err(Fault::unsupported("replication")),
                 "options" => {
-                    for (name, value) in settings::options(value)? {
+                    for (name, value) in settings::parse_options(value)? {
                         self.set(&name, Some(&value))?;
                     }
                 }
-                // Drivers ask for the time zone of their own machine. They are
-                // told of the one in force, as of any other setting.
+                // Drivers request the time zone of their own machine. The refusal is only a
+                // notice, since the effective time zone is reported like any other setting.
                 "timezone" => {
                     if let Err(fault) = self.set("timezone", Some(value)) {
                         notices.extend_from_slice(&answer::notice(fault.code, &fault.message));
@@ -250,10 +252,10 @@
         self.settings.set(name, value, owner)
     }
 
-    async fn greet(&mut self, pid: i32, notices: &[u8]) -> anyhow::Result<()> {
+    async fn send_startup(&mut self, pid: i32, notices: &[u8]) -> anyhow::Result<()> {
         let mut out = BytesMut::new();
         frame::put(&mut out, &Authentication::Ok);
-        for (name, value) in self.settings.told() {
+        for (name, value) in self.settings.reported() {
             out.extend_from_slice(&answer::parameter(name, value));
         }
         out.extend_from_slice(notices);
@@ -268,50 +270,51 @@
 
     pub(crate) fn ready(&self) -> Bytes {
         answer::ready(match self.standing {
-            Standing::Idle => TransactionStatus::Idle,
-            Standing::Open => TransactionStatus::Transaction,
-            Standing::Failed => TransactionStatus::Error,
+            TransactionState::Idle => TransactionStatus::Idle,
+            TransactionState::Open => TransactionStatus::Transaction,
+            TransactionState::Failed => TransactionStatus::Error,
         })
     }
 
-    /// Whether a transaction has failed and is already rolled back.
+    /// Returns whether the transaction has failed and is already rolled back.
     pub(crate) fn is_aborted(&self) -> bool {
-        self.standing == Standing::Failed && self.exchange.is_none()
+        self.standing == TransactionState::Failed && self.exchange.is_none()
     }
 
-    /// Ends what a refused request leaves open.
+    /// Rolls back the transaction of a refused request and releases its server connection.
+    /// `ends` tells whether the request would have ended the transaction.
     ///
-    /// The transaction is over, and its server's connection given up. The caller
-    /// may already have sent its next statements: were the session idle, they
-    /// would run outside of the transaction they were meant for. So it counts as
-    /// failed until the caller asks for its end, as with any server.
+    /// The caller may already have sent its next statements. In an idle session they would run
+    /// outside the transaction they belong to, so the transaction counts as failed until the
+    /// caller ends it, as in PostgreSQL itself.
     pub(crate) fn abort(&mut self, ends: bool) {
-        let was_open = self.standing != Standing::Idle;
+        let was_open = self.standing != TransactionState::Idle;
         self.exchange = None;
         self.portals.clear();
-        self.standing = if was_open && !ends { Standing::Failed } else { Standing::Idle };
+        self.standing =
+            if was_open && !ends { TransactionState::Failed } else { TransactionState::Idle };
     }
 
     async fn query(&mut self, frame: &Frame) -> anyhow::Result<()> {
         let query = match frame.frontend() {
             Ok(PgWireFrontendMessage::Query(query)) => query,
-            Ok(_) => bail!("a query was expected"),
+            Ok(_) => bail!("received another message in place of a query"),
             Err(error) => return self.fatal(&Fault::new("08P01", format!("{error:#}"))).await,
         };
         self.batch = Batch::default();
-        let commands = sql::commands(&query.query);
+        let commands = sql::parse(&query.query);
         let ends = commands.iter().any(|c| matches!(c, Command::End(_)));
         let result = match self.check_query(&commands) {
             Ok(true) => self.run_locally(&commands),
             Ok(false) => {
                 let request = Request {
                     frames: frame.raw.clone(),
-                    work: commands.iter().map(Work::of).max().unwrap_or_default(),
+                    access: commands.iter().map(Access::of).max().unwrap_or_default(),
                     begins: commands.contains(&Command::Begin),
                     ends,
                     ..Request::default()
                 };
-                return self.finish(request).await;
+                return self.run_request(request).await;
             }
             Err(fault) => Err(fault),
         };
@@ -322,30 +325,30 @@
         self.send(&answer::join([&bytes, &self.ready()])).await
     }
 
-    /// Runs a request and ends its answer.
-    pub(crate) async fn finish(&mut self, request: Request) -> anyhow::Result<()> {
-        let unfinished = request.unfinished;
+    /// Runs a request and sends the end of its answer to the caller.
+    pub(crate) async fn run_request(&mut self, request: Request) -> anyhow::Result<()> {
+        let flushed = request.flushed;
         let (begins, ends) = (request.begins, request.ends);
         let began = self.entry.clock.now();
-        let result = self.request(request).await?;
-        self.measure(began, &result);
+        let result = self.relay_request(request).await?;
+        self.record_metrics(began, &result);
         match result {
             Ok(mut out) => {
-                if !unfinished {
+                if !flushed {
                     out.extend_from_slice(&self.ready());
                 }
                 self.send(&out).await
             }
             Err(refusal) => {
                 self.abort(ends);
-                // Statements that a caller has sent behind its BEGIN are for the
-                // transaction that was refused: run alone they would be half of it.
+                // Statements sent after a refused BEGIN belong to its transaction. Run without
+                // it, they would apply only a part of the transaction.
                 if begins && !ends && !self.reader.is_empty() {
-                    self.standing = Standing::Failed;
+                    self.standing = TransactionState::Failed;
                 }
-                self.skipping = unfinished;
+                self.skipping = flushed;
                 let mut out = BytesMut::from(&answer::refusal(Severity::Error, &refusal)[..]);
-                if !unfinished {
+                if !flushed {
                     out.extend_from_slice(&self.ready());
                 }
                 self.send(&out).await
@@ -353,7 +356,7 @@
         }
     }
 
-    fn measure(&self, began: Instant, result: &Result<BytesMut, Refusal>) {
+    fn record_metrics(&self, began: Instant, result: &Result<BytesMut, Refusal>) {
         let Caller { account, group, .. } = &self.caller;
         let total = self.entry.clock.now().saturating_duration_since(began);
         match result {
@@ -362,8 +365,12 @@
         }
     }
 
-    /// Runs a request; gives the end of its answer.
-    async fn request(&mut self, request: Request) -> anyhow::Result<Result<BytesMut, Refusal>> {
+    /// Sends a request to the group's home, passes the answer on to the caller and returns its
+    /// last part.
+    async fn relay_request(
+        &mut self,
+        request: Request,
+    ) -> anyhow::Result<Result<BytesMut, Refusal>> {
         let budget = match self.budget() {
             Ok(budget) => budget,
             Err(refusal) => return Ok(Err(refusal)),
@@ -378,8 +385,8 @@
             Ok(doc) => doc,
             Err(refusal) => return Ok(Err(refusal)),
         };
-        let config = doc.config.as_ref().context("a revision without a configuration")?;
-        let intent = self.intent(request.work);
+        let config = doc.config.as_ref().context("revision has no configuration")?;
+        let intent = self.intent(request.access);
         let frames = request.frames;
         match &self.exchange {
             Some(exchange) => {
@@ -394,9 +401,9 @@
                     group: self.caller.group.clone(),
                     account: self.caller.account.clone(),
                     intent: intent.clone(),
-                    // Kept for the next write: a read in between, such as a
-                    // driver's own, must not use it up.
-                    request: if request.work == Work::Write { id.take() } else { None },
+                    // Reserved for the next write: a read in between, such as one that a driver
+                    // sends itself, must not consume the id.
+                    request: if request.access == Access::Write { id.take() } else { None },
                     budget,
                     frames,
                 };
@@ -404,25 +411,25 @@
             }
         }
         let relay = Relay {
-            exchange: self.exchange.as_mut().context("an exchange was opened")?,
+            exchange: self.exchange.as_mut().context("no exchange is open")?,
             reader: &mut self.reader,
             writer: &mut self.writer,
             cancel: &self.cancel,
             intent: &intent,
             deadline,
-            steps: request.steps,
+            replies: request.replies,
             statements: &mut self.statements,
-            watch: request.unfinished,
-            taken: 0,
+            track_failure: request.flushed,
+            delivered: 0,
         };
-        let (answered, steps) = relay.run().await?;
-        if let Ok(answered) = &answered
-            && request.work == Work::Read
+        let (completion, replies) = relay.run().await?;
+        if let Ok(completion) = &completion
+            && request.access == Access::Read
         {
-            self.entry.metrics.read(&self.caller.group, answered.replica);
+            self.entry.metrics.read(&self.caller.group, completion.replica);
         }
-        self.skipping = request.unfinished && steps.failed();
-        Ok(answered.map(|answered| self.settle(answered)))
+        self.skipping = request.flushed && replies.failed();
+        Ok(completion.map(|completion| self.complete(completion)))
     }
 
     fn budget(&self) -> Result<Duration, Refusal> {
@@ -431,24 +438,26 @@
         Ok(self.settings.deadline.or(policy).unwrap_or_default())
     }
 
-    fn intent(&self, work: Work) -> Intent {
+    fn intent(&self, access: Access) -> Intent {
         let floor = self.settings.token.floor(&self.caller.group);
-        match work {
+        match access {
             _ if self.exchange.is_some() => Intent::Write,
-            Work::Describe => Intent::Read { floor, max_age: None },
-            Work::Read => Intent::Read { floor, max_age: self.settings.max_age },
-            Work::Write => Intent::Write,
+            Access::Describe => Intent::Read { required_position: floor, max_age: None },
+            Access::Read => {
+                Intent::Read { required_position: floor, max_age: self.settings.max_age }
+            }
+            Access::Write => Intent::Write,
         }
     }
 
-    fn settle(&mut self, answered: Answered) -> BytesMut {
-        self.standing = answered.standing;
-        if answered.standing == Standing::Idle {
+    fn complete(&mut self, completion: Completion) -> BytesMut {
+        self.standing = completion.standing;
+        if completion.standing == TransactionState::Idle {
             self.exchange = None;
             self.portals.clear();
         }
-        let mut out = BytesMut::from(&answered.frames[..]);
-        if let Some(point) = answered.point {
+        let mut out = BytesMut::from(&completion.frames[..]);
+        if let Some(point) = completion.point {
             self.settings.token.raise(&self.caller.group, point);
             let token = self.settings.token.seal(&self.caller.account, &self.entry.secret);
             out.extend_from_slice(&answer::parameter(settings::SESSION, &token));
--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -151,9 +151,9 @@
     /// Answers a question of a peer; `None` when it is not about the fleet.
     pub fn answer(&self, peer: &Hello, question: Question) -> Option<Answer> {
         Some(match question {
-            Question::Ping if self.leaving.get() => Answer::Leaving,
+            Question::Ping if self.leaving.get() => Answer::Draining,
             Question::Ping => Answer::Pong,
-            Question::Vouch => Answer::Vouch(self.vouch()),
+            Question::Freshness => Answer::Freshness(self.vouch()),
             Question::Revision => {
                 Answer::Revision(self.current.get().map(|doc| Box::new((*doc).clone())))
             }
@@ -163,14 +163,14 @@
             }
             Question::Lend(lend) => self.limits.lend(&peer.host, &lend),
             Question::Cancel { .. } | Question::Outcome(_) | Question::Report => return None,
-            Question::Act { .. }
+            Question::ApplyLeadership { .. }
             | Question::Heartbeat(_)
-            | Question::Newest(_)
+            | Question::Updates(_)
             | Question::Piece(_)
-            | Question::Relay(_)
-            | Question::Hang(_)
-            | Question::Silence(_)
-            | Question::Take { .. } => {
+            | Question::Forward(_)
+            | Question::CancelTransaction(_)
+            | Question::LastContact(_)
+            | Question::TakeToken { .. } => {
                 return None;
             }
         })
--- a/components/model/src/lib.rs
+++ b/components/model/src/lib.rs
@@ -1,5 +1,5 @@
-//! What callers ask, what backend servers answer and what operators describe,
-//! free of any protocol.
+//! Statements of callers, answers of backend servers and the operator's configuration, independent
+//! of any protocol.
 
 pub mod plan;
 pub mod server;
@@ -7,8 +7,8 @@
 pub mod settings;
 pub mod statement;
 
-pub use plan::{Account, Currency, Plan, Route};
-pub use server::{Listed, Role, Status};
+pub use plan::{Account, Consistency, Plan, Route};
+pub use server::{ListedServer, Role, Status};
 pub use session::Session;
 pub use settings::Settings;
 pub use statement::{Access, Failure, Outcome, Request, ServerAnswer, State, Statement};
--- a/components/proxy/src/backend.rs
+++ b/components/proxy/src/backend.rs
@@ -3,10 +3,10 @@
 use std::{collections::BTreeMap, io, time::Duration};
 
 use anyhow::Context;
-use bergamottrack_adapter::wire::{self, Answers};
+use bergamottrack_adapter::wire::{self, AnswerReader};
 use bergamottrack_coordination::{AccountId, ServerId};
 use bergamottrack_model::{
-    Failure, Listed, ServerAnswer, State, session::Carried, statement::Shape,
+    Failure, ListedServer, ServerAnswer, State, session::ConnectionState, statement::Shape,
 };
 use bytes::BytesMut;
 use futures_util::FutureExt;
@@ -47,7 +47,7 @@
 pub struct Backend {
     io: TcpStreamPoll,
     buf: BytesMut,
-    answers: Answers,
+    answers: AnswerReader,
     /// Bytes to write with the next exchange.
     pub out: BytesMut,
     /// Session steps whose answers precede that of the statement.
@@ -57,12 +57,12 @@
     /// The server's name.
     pub server: ServerId,
     /// Session values and named statements that the connection holds.
-    pub carried: Carried,
+    pub carried: ConnectionState,
 }
 
 impl Backend {
     /// Connects and starts a session of the account.
-    pub async fn open(listed: &Listed, account: &AccountId) -> Result<Self, OpenError> {
+    pub async fn open(listed: &ListedServer, account: &AccountId) -> Result<Self, OpenError> {
         let io = match monoio::time::timeout(CONNECT_TIMEOUT, connect(listed)).await {
             Ok(Ok(io)) => io,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
@@ -82,18 +82,18 @@
         let mut backend = Self {
             io,
             buf: BytesMut::new(),
-            answers: Answers::default(),
+            answers: AnswerReader::default(),
             out: BytesMut::new(),
             pending_steps: 0,
             account: account.clone(),
             server: listed.id.clone(),
-            carried: Carried::default(),
+            carried: ConnectionState::default(),
         };
         wire::put_start(&listed.group, account, &listed.id, &mut backend.out);
         let started = monoio::time::timeout(SESSION_START_TIMEOUT, backend.exchange()).await;
         match started {
             Ok(Ok(_)) => Ok(backend),
-            Ok(Err(error)) => match backend.answers.refused() {
+            Ok(Err(error)) => match backend.answers.refusal() {
                 Some(failure) => Err(OpenError::Rejected(failure)),
                 None => Err(OpenError::Silent(error)),
             },
@@ -111,7 +111,7 @@
         shape: Option<&Shape>,
         write: impl FnOnce(&mut BytesMut),
     ) {
-        let steps = self.carried.adopt(values, shape);
+        let steps = self.carried.reconcile(values, shape);
         for step in &steps {
             wire::put_step(step, &mut self.out);
         }
@@ -168,7 +168,7 @@
     }
 }
 
-async fn connect(listed: &Listed) -> io::Result<TcpStreamPoll> {
+async fn connect(listed: &ListedServer) -> io::Result<TcpStreamPoll> {
     let stream = TcpStream::connect(listed.address).await?;
     stream.set_nodelay(true)?;
     let (time, interval, tries) = KEEP_ALIVE;
--- a/components/proxy/src/conn.rs
+++ b/components/proxy/src/conn.rs
@@ -9,7 +9,9 @@
 
 use bergamottrack_coordination::AccountId;
 use bergamottrack_model::{Failure, ServerAnswer, Session, State, statement::Shape};
-use bergamottrack_peer::{Answer, Errand, Link, NotSent, Question, Relayed, WorkNo};
+use bergamottrack_peer::{
+    Answer, ForwardResult, ForwardedStatement, Link, NotSent, Question, TransactionId,
+};
 use bytes::{Bytes, BytesMut};
 use monoio::time::Instant;
 
@@ -66,7 +68,7 @@
     /// Whether the line is independent of the session's values.
     without_session: bool,
     /// Number of the transaction that runs, or is to be opened, on the connection.
-    transaction: Option<WorkNo>,
+    transaction: Option<TransactionId>,
     /// Whether the holder keeps the connection for the transaction.
     pinned: bool,
 }
@@ -221,22 +223,22 @@
         if !self.link.is_up() {
             return Err(ExchangeError::NotSent(NotSent::Unreachable));
         }
-        let errand = Errand {
+        let statement = ForwardedStatement {
             server: self.pool.listed.borrow().id.clone(),
             account: (!self.without_session).then(|| self.account.clone()),
             line: self.line.split().freeze(),
             values: std::mem::take(&mut self.values),
             shape: self.shape.take(),
-            work: self.transaction,
+            transaction: self.transaction,
             opens: self.transaction.is_some() && !self.pinned,
             priority: self.queue.priority,
-            patience_ms: self.queue.patience.as_millis() as u32,
-            within_ms: timeout.as_millis() as u32,
+            queue_timeout_ms: self.queue.patience.as_millis() as u32,
+            timeout_ms: timeout.as_millis() as u32,
         };
         // Until its answer arrives the holder may keep the connection.
         self.pinned = self.transaction.is_some();
         self.without_session = false;
-        let answer = forward(&self.link, errand).await?;
+        let answer = forward(&self.link, statement).await?;
         self.pinned = self.transaction.is_some() && answer.state != State::Idle;
         Ok(answer)
     }
@@ -248,18 +250,21 @@
         let link = self.link.clone();
         monoio::spawn(async move {
             // A holder out of reach closes the connection by itself.
-            let _ = link.ask(Question::Hang(transaction), CLOSE_TIMEOUT).await;
+            let _ = link.query(Question::CancelTransaction(transaction), CLOSE_TIMEOUT).await;
         });
     }
 }
 
 /// Forwards a statement to the host at the other end of the link.
-async fn forward(link: &Link, errand: Errand) -> Result<ServerAnswer, ExchangeError> {
-    let timeout = errand.within() + FORWARD_MARGIN;
-    match link.ask(Question::Relay(Box::new(errand)), timeout).await {
-        Ok(Answer::Relayed(Relayed::Answered(answer))) => Ok(answer),
-        Ok(Answer::Relayed(Relayed::NotSent(why))) => Err(ExchangeError::NotSent(why)),
-        Ok(Answer::Relayed(Relayed::Late)) => Err(ExchangeError::Late),
+async fn forward(
+    link: &Link,
+    statement: ForwardedStatement,
+) -> Result<ServerAnswer, ExchangeError> {
+    let timeout = statement.timeout() + FORWARD_MARGIN;
+    match link.query(Question::Forward(Box::new(statement)), timeout).await {
+        Ok(Answer::ForwardResult(ForwardResult::Answered(answer))) => Ok(answer),
+        Ok(Answer::ForwardResult(ForwardResult::NotSent(why))) => Err(ExchangeError::NotSent(why)),
+        Ok(Answer::ForwardResult(ForwardResult::TimedOut)) => Err(ExchangeError::Late),
         _ => Err(ExchangeError::Lost),
     }
 }
@@ -271,24 +276,24 @@
     line: Bytes,
     timeout: Duration,
 ) -> Result<ServerAnswer, ExchangeError> {
-    let errand = Errand {
+    let statement = ForwardedStatement {
         server: pool.listed.borrow().id.clone(),
         account: None,
         line,
         values: BTreeMap::new(),
         shape: None,
-        work: None,
+        transaction: None,
         opens: false,
         priority: 0,
-        patience_ms: timeout.as_millis() as u32,
-        within_ms: timeout.as_millis() as u32,
+        queue_timeout_ms: timeout.as_millis() as u32,
+        timeout_ms: timeout.as_millis() as u32,
     };
-    forward(link, errand).await
+    forward(link, statement).await
 }
 
 /// Returns the reason given while a server's queue is full; it may have room after `wait`.
 pub fn queue_full(wait: Duration) -> NotSent {
-    NotSent::Crowded(wait.as_millis() as u32)
+    NotSent::QueueFull(wait.as_millis() as u32)
 }
 
 /// Returns the reason given when no connection was leased.
--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -37,7 +37,7 @@
     let started = host.now();
     loop {
         let requested = host.now();
-        let answer = link.ask(Question::Piece(fetch.next_request()), pieces::PIECE_TIMEOUT).await;
+        let answer = link.query(Question::Piece(fetch.next_request()), pieces::PIECE_TIMEOUT).await;
         let piece = match answer {
             Ok(Answer::Piece(piece)) => piece,
             Ok(_) => None,
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -6,14 +6,14 @@
 };
 
 use anyhow::Context;
-use bergamottrack_adapter::store::{self, Change, Rows, Table, Verdict};
+use bergamottrack_adapter::store::{self, Change, Rows, Table, TxOutcome};
 use bergamottrack_contract as contract;
 use bergamottrack_coordination::{
     Clock, FailureDomain, GroupId, HostId, hubs,
     view::{self, Leadership, Member, Versioned, View},
 };
 use bergamottrack_model::Settings;
-use bergamottrack_peer::link::Pace;
+use bergamottrack_peer::link::Keepalive;
 use bergamottrack_platform::http::Client;
 use tracing::{info, warn};
 
@@ -59,8 +59,8 @@
 const RELEASE_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Ping interval and silence limit of links between hosts. Heartbeats are more frequent.
-pub const LINK_PACE: Pace =
-    Pace { every: Duration::from_millis(1000), silence: Duration::from_millis(2200) };
+pub const LINK_PACE: Keepalive =
+    Keepalive { interval: Duration::from_millis(1000), timeout: Duration::from_millis(2200) };
 
 const MEMBER_PREFIX: &str = "host/";
 
@@ -160,7 +160,7 @@
 
 /// Returns the hash of this host's peer address, failure domain and power.
 pub fn place(settings: &Settings) -> u64 {
-    view::place(settings.peers, &settings.domain, settings.power)
+    view::place(settings.peer_address, &settings.domain, settings.cpu_millicores)
 }
 
 /// Returns whether the view has a row of this host with its current place.
@@ -186,7 +186,7 @@
 }
 
 /// Writes a random secret unless there is one. The caller reads the view again in any case.
-async fn create_secret(client: &Client) -> anyhow::Result<Verdict> {
+async fn create_secret(client: &Client) -> anyhow::Result<TxOutcome> {
     let secret = format!("{:032x}", rand::random::<u128>());
     let change = Change {
         expect: vec![(SECRET_KEY.into(), 0)],
@@ -204,7 +204,7 @@
 
 /// Keeps the view current, in an endless loop.
 pub async fn follow(host: Rc<Host>) {
-    let client = Client::new(host.settings.store);
+    let client = Client::new(host.settings.store_address);
     let mut unreadable_version = false;
     let mut woken = false;
     loop {
@@ -256,19 +256,19 @@
 /// Writes this host's row into the view.
 async fn join(settings: &Settings, client: &Client) -> anyhow::Result<()> {
     let member = Member {
-        peer: settings.peers,
+        peer: settings.peer_address,
         domain: settings.domain.clone(),
         place: place(settings),
         left: None,
         released: 0,
-        power: settings.power,
+        power: settings.cpu_millicores,
     };
     let value = serde_json::to_vec(&member)?;
     let put = vec![(member_key(&settings.host), value)];
     let verdict =
         store::change(client, &Change { put, ..Change::default() }, STORE_TIMEOUT).await?;
     anyhow::ensure!(
-        matches!(verdict, Verdict::Applied(_)),
+        matches!(verdict, TxOutcome::Applied(_)),
         "joining the fleet: the store answered {verdict:?}"
     );
     info!(place = member.place, "fleet: joined");
@@ -277,7 +277,7 @@
 
 /// Removes this host from the view. Requires that it no longer uses any leader.
 pub async fn leave(settings: &Settings) -> anyhow::Result<()> {
-    let client = Client::new(settings.store);
+    let client = Client::new(settings.store_address);
     let remove = vec![member_key(&settings.host)];
     store::change(&client, &Change { remove, ..Change::default() }, STORE_TIMEOUT).await?;
     Ok(())
@@ -368,7 +368,7 @@
         put: vec![(key, serde_json::to_vec(&member)?)],
         remove: Vec::new(),
     };
-    let client = Client::new(host.settings.store);
+    let client = Client::new(host.settings.store_address);
     let verdict = store::change(&client, &change, STORE_TIMEOUT).await?;
     info!(%holder, version, ?verdict, "fleet: release written to the store");
     Ok(())
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -12,7 +12,7 @@
 use bergamottrack_peer::{
     Answer, Link, Question,
     accept::Replier,
-    message::{Heartbeat, Hello, Known, Newest, Seen, Stamp},
+    message::{ClockReading, Heartbeat, Hello, KnownVersions, LeaderPosition, Updates},
 };
 use tracing::info;
 
@@ -54,32 +54,34 @@
         Question::Heartbeat(beat) => {
             positions::apply_heartbeat(host, &beat);
             replier.reply(Answer::Heartbeat(Box::new(heartbeat_answer(host))));
-            if beat.asked.is_none() && peer.domain == host.settings.domain {
+            if beat.report.is_none() && peer.domain == host.settings.domain {
                 host.demand.borrow_mut().mark_idle(&peer.host);
             }
             apply_heartbeat(host, &peer.host, &peer.domain, *beat);
         }
-        Question::Take { account, rate, burst } => {
+        Question::TakeToken { account, rate, burst } => {
             replier.reply(Answer::Ruling(tokens::admit(host, &account, rate, burst)));
         }
-        Question::Silence(server) => {
+        Question::LastContact(server) => {
             let pool = host.server(&server);
             let last_answer = pool.and_then(|pool| pool.exchanges.borrow().answered(host.now()));
-            replier.reply(Answer::Silence(last_answer));
+            replier.reply(Answer::LastContact(last_answer));
         }
-        Question::Relay(errand) => {
-            monoio::spawn(forward::serve(host.clone(), peer.host.clone(), *errand, replier));
+        Question::Forward(statement) => {
+            monoio::spawn(forward::serve(host.clone(), peer.host.clone(), *statement, replier));
         }
-        Question::Hang(work) => {
+        Question::CancelTransaction(work) => {
             host.remote_transactions.cancel(&peer.host, work, host.now());
             replier.reply(Answer::Pong);
         }
-        Question::Act { group, row } => {
+        Question::ApplyLeadership { group, row } => {
             monoio::spawn(apply_leadership(host.clone(), group, row, replier));
         }
         Question::Piece(wanted) => replier.reply(Answer::Piece(fetch::piece(host, wanted))),
-        Question::Newest(known) => replier.reply(Answer::Newest(Box::new(newer_than(host, known)))),
-        _ if *host.phase.borrow() != Phase::Serving => replier.reply(Answer::Leaving),
+        Question::Updates(known) => {
+            replier.reply(Answer::Updates(Box::new(newer_than(host, known))))
+        }
+        _ if *host.phase.borrow() != Phase::Serving => replier.reply(Answer::Draining),
         _ => replier.reply(Answer::Pong),
     }
 }
@@ -99,18 +101,18 @@
         let newest = host.leased_view.borrow().leadership(&id).cloned().unwrap_or(row.clone());
         let moving = matches!(newest.value, Leadership::Moving { .. });
         if !moving || group.released.get() >= newest.version {
-            return replier.reply(Answer::Acting(newest.version));
+            return replier.reply(Answer::LeadershipApplied(newest.version));
         }
         monoio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 /// Returns the state that is newer here than the requester's versions.
-fn newer_than(host: &Host, requester: Known) -> Newest {
+fn newer_than(host: &Host, requester: KnownVersions) -> Updates {
     let known = host.versions();
     let view = || host.leased_view.borrow().changes(requester.view_version);
     let servers = known.servers.0 != requester.servers.0 && known.servers.1 > requester.servers.1;
-    Newest {
+    Updates {
         known,
         view: (known.view.0 != requester.view.0 && known.view.1 > requester.view.1).then(view),
         servers: servers.then(|| host.listed()),
@@ -124,36 +126,49 @@
 }
 
 fn own_heartbeat(host: &Host) -> Heartbeat {
-    let asked = tokens::is_reporter(host).then(|| host.demand.borrow().report(host.now()));
+    let report = tokens::is_reporter(host).then(|| host.demand.borrow().report(host.now()));
     let (known, majority) = (host.versions(), host.reaches_majority());
     let evacuations = evacuations(host);
-    Heartbeat { asked, known, majority, evacuations, seen: Vec::new(), clock: None, echo: None }
+    Heartbeat {
+        report,
+        known,
+        majority,
+        evacuations,
+        positions: Vec::new(),
+        clock: None,
+        echo: None,
+    }
 }
 
 /// Returns the answer to a heartbeat, without a demand report: this host's own heartbeats
 /// report the requests admitted here.
 fn heartbeat_answer(host: &Host) -> Heartbeat {
     let clock = host.now().saturating_duration_since(host.started);
-    let clock = Some(Stamp { run: host.run, clock });
-    let seen = if host.is_hub() { positions::newest(host) } else { Vec::new() };
-    Heartbeat { asked: None, seen, clock, ..own_heartbeat(host) }
+    let clock = Some(ClockReading { run: host.run, clock });
+    let positions = if host.is_hub() { positions::newest(host) } else { Vec::new() };
+    Heartbeat { report: None, positions, clock, ..own_heartbeat(host) }
 }
 
 /// Returns the heartbeat for the host at the other end of the link, with the leader
 /// positions that this host has read itself.
-fn heartbeat_for(host: &Host, link: &Link, beat: &Heartbeat, own: &[(Instant, Seen)]) -> Heartbeat {
+fn heartbeat_for(
+    host: &Host,
+    link: &Link,
+    beat: &Heartbeat,
+    own: &[(Instant, LeaderPosition)],
+) -> Heartbeat {
     let Some((clock, received)) = host.peer_clocks.borrow().get(&link.host).copied() else {
         return beat.clone();
     };
-    Heartbeat { seen: positions::since(own, received), echo: Some(clock), ..beat.clone() }
+    Heartbeat { positions: positions::since(own, received), echo: Some(clock), ..beat.clone() }
 }
 
 /// Applies another host's heartbeat and requests the state that is newer there.
 fn apply_heartbeat(host: &Rc<Host>, id: &HostId, domain: &FailureDomain, beat: Heartbeat) {
-    if let Some(asked) = beat.asked {
+    if let Some(report) = beat.report {
         let mesh = host.neighbours.borrow().mesh;
         let party = if mesh { id.clone() } else { fleet::domain_party(domain) };
-        host.demand.borrow_mut().receive_report(&party, id, &asked, host.now());
+        host.demand.borrow_mut().receive_report(&party, id, &report, host.now());
     }
     if beat.majority && *id == host.hub() {
         host.hub_majority.set(Some(host.now()));
@@ -195,7 +210,7 @@
 
 /// Records the configuration version that another host reports, and confirms state of this
 /// host of which the other host has the same version.
-fn confirm_versions(host: &Host, known: Known) {
+fn confirm_versions(host: &Host, known: KnownVersions) {
     host.newest.set(host.newest.get().max(known.plan.0));
     if known.plan.0 == host.version() {
         host.documents.borrow_mut().confirm(known.plan.1);
@@ -225,7 +240,7 @@
                 let sent = host.now();
                 // A host that does not answer is detected by its silence.
                 if let Ok(Answer::Heartbeat(answer)) =
-                    link.ask(Question::Heartbeat(beat), HEARTBEAT_TIMEOUT).await
+                    link.query(Question::Heartbeat(beat), HEARTBEAT_TIMEOUT).await
                 {
                     record_clock(&host, &link, &answer, sent);
                     let member = host.leased_view.borrow().view().members.get(&link.host).cloned();
@@ -252,7 +267,9 @@
 /// Polls other hosts for the newest view and configuration while this host's are too old,
 /// in an endless loop.
 pub async fn poll_peers(host: Rc<Host>) {
-    let pace = freshness::PollIntervals::for_bound(host.settings.apply.min(host.settings.evacuate));
+    let pace = freshness::PollIntervals::for_bound(
+        host.settings.apply_bound.min(host.settings.evacuation_bound),
+    );
     let mut turn = 0;
     loop {
         monoio::time::sleep(POLL_INTERVAL).await;
@@ -275,10 +292,10 @@
     let mut known = host.versions();
     loop {
         let requested = host.now();
-        let answer = link.ask(Question::Newest(known), UPDATE_TIMEOUT).await;
+        let answer = link.query(Question::Updates(known), UPDATE_TIMEOUT).await;
         let ms = (host.now() - requested).as_millis() as u64;
         let newest = match answer {
-            Ok(Answer::Newest(newest)) => newest,
+            Ok(Answer::Updates(newest)) => newest,
             Ok(_) => return,
             Err(error) => {
                 host.metrics.unanswered.inc();
@@ -296,13 +313,13 @@
             return;
         }
         info!(from = %link.host, "fleet: view changes do not apply, requesting the whole view");
-        known = Known { view_version: 0, ..host.versions() };
+        known = KnownVersions { view_version: 0, ..host.versions() };
     }
 }
 
 /// Applies newer state of another host. Returns false if its changes do not apply to this
 /// host's view.
-fn apply_updates(host: &Rc<Host>, newest: Newest) -> bool {
+fn apply_updates(host: &Rc<Host>, newest: Updates) -> bool {
     let changed = newest.view.map(|changes| changes.apply_to(host.leased_view.borrow().view()));
     let applied = !matches!(changed, Some(None));
     if let Some(view) = changed.flatten() {
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -20,10 +20,12 @@
     pieces::{Documents, Fetch},
     view::{Leadership, LocalView},
 };
-use bergamottrack_model::{Account, Listed, Plan, Role, Route, Settings, settings::Mechanism};
+use bergamottrack_model::{
+    Account, ListedServer, Plan, Role, Route, Settings, settings::Mechanism,
+};
 use bergamottrack_peer::{
     Link, Mesh,
-    message::{Known, Stamp},
+    message::{ClockReading, KnownVersions},
 };
 use bytes::Bytes;
 use tokio::sync::{Notify, watch};
@@ -76,7 +78,7 @@
     /// Start of the host; origin of the clock values sent to other hosts.
     pub started: Instant,
     /// Latest clock value received from each host, and the local time of its arrival.
-    pub peer_clocks: RefCell<HashMap<HostId, (Stamp, Instant)>>,
+    pub peer_clocks: RefCell<HashMap<HostId, (ClockReading, Instant)>>,
     /// Random id of this process; differs after every restart of the host.
     pub run: u64,
     /// Active configuration.
@@ -219,7 +221,7 @@
             outdated: self.newest.get() > self.version(),
             majority: self.reaches_majority(),
         };
-        let (apply, strict) = (self.settings.apply, self.settings.strict);
+        let (apply, strict) = (self.settings.apply_bound, self.settings.revocation_bound);
         self.evacuations.borrow().is_known() && standing.may_serve(Bounds { apply, strict })
     }
 
@@ -268,9 +270,9 @@
     }
 
     /// Returns the versions of the state that this host has, and when each was current.
-    pub fn versions(&self) -> Known {
+    pub fn versions(&self) -> KnownVersions {
         let leased_view = self.leased_view.borrow();
-        Known {
+        KnownVersions {
             plan: (self.version(), self.documents.borrow().confirmed()),
             view: (leased_view.stamp(), leased_view.view().clock),
             view_version: leased_view.view().version,
@@ -286,7 +288,7 @@
     }
 
     /// Returns the server list without servers whose entry is missing, sorted by id.
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<ListedServer> {
         let (pools, missing) = (self.pools.borrow(), self.missing.borrow());
         let present = pools.iter().filter(|(id, _)| !missing.contains_key(*id));
         let mut listed: Vec<_> = present.map(|(_, pool)| pool.listed.borrow().clone()).collect();
@@ -298,7 +300,7 @@
     pub fn update_servers_stamp(&self) {
         let mut hash = DefaultHasher::new();
         for listed in self.listed() {
-            (listed.id, listed.group, listed.address, listed.born).hash(&mut hash);
+            (listed.id, listed.group, listed.address, listed.started_ms).hash(&mut hash);
             (listed.leaving, listed.role == Role::Primary, listed.slots).hash(&mut hash);
             listed.cold.hash(&mut hash);
         }
@@ -357,7 +359,7 @@
         for pool in self.pools.borrow().values() {
             let group = pool.listed.borrow().group.clone();
             let limits = plan.as_ref().and_then(|plan| plan.groups.get(&group).copied());
-            let shared = self.settings.has(Mechanism::SharedConnections);
+            let shared = self.settings.is_enabled(Mechanism::SharedConnections);
             let rank = pool.holders.borrow().iter().position(|host| *host == self.settings.host);
             let role = match rank.filter(|_| shared) {
                 Some(0) => connections::Role::Holder,
@@ -366,7 +368,7 @@
             };
             pool.set_bounds(limits.map_or(1, |limits| limits.connections), hosts, role);
             let cold = limits.and_then(|limits| limits.cold);
-            pool.set_cold(cold, self.settings.cold);
+            pool.set_cold(cold, self.settings.cold_tolerance);
             self.group(&group);
         }
         let groups: Vec<_> = self.groups.borrow().values().cloned().collect();
@@ -422,13 +424,13 @@
     }
 
     /// Adds or updates a server from its own entry in the server list.
-    pub fn upsert_server(&self, mut listed: Listed) {
+    pub fn upsert_server(&self, mut listed: ListedServer) {
         self.missing.borrow_mut().remove(&listed.id);
         let mut pools = self.pools.borrow_mut();
         let now = self.now();
         let known = pools.get(&listed.id).map(|pool| pool.listed.borrow().clone());
         let is_moved =
-            |known: &Listed| (&known.group, &known.domain) != (&listed.group, &listed.domain);
+            |known: &ListedServer| (&known.group, &known.domain) != (&listed.group, &listed.domain);
         if known.as_ref().is_none_or(is_moved) {
             *self.by_group.borrow_mut() = None;
             self.holders_stamp.set(0);
@@ -448,10 +450,10 @@
                         role = ?listed.role, leaving = listed.leaving, "servers: entry changed"
                     );
                 }
-                if before.born != listed.born || before.address != listed.address {
+                if before.started_ms != listed.started_ms || before.address != listed.address {
                     pool.drop_idle();
                 }
-                let restarted = before.born != listed.born;
+                let restarted = before.started_ms != listed.started_ms;
                 pool.warmth.borrow_mut().report(self.cold_until(&listed), restarted);
             }
             None => {
@@ -468,7 +470,7 @@
 
     /// Returns the end of a server's cold phase by its entry; `None` if it is warm or the
     /// store's clock is unknown.
-    fn cold_until(&self, listed: &Listed) -> Option<Instant> {
+    fn cold_until(&self, listed: &ListedServer) -> Option<Instant> {
         let cold = Some(listed.cold).filter(|cold| !cold.is_zero())?;
         Some(self.store_clock.borrow().local(cold)? + COLD_MARGIN)
     }
@@ -497,7 +499,7 @@
                     pool.open_ahead(&accounts);
                 }
             }
-            let limit = self.plan().and_then(|plan| plan.idle_limit);
+            let limit = self.plan().and_then(|plan| plan.idle_timeout);
             self.remote_transactions
                 .sweep(limit, self.now(), |pool| placement::is_forbidden(&self, pool));
         }
@@ -506,7 +508,7 @@
     /// Returns the link to the host that holds a server's connections; `None` if this host
     /// is the holder or no other holder is reachable.
     pub fn holder(&self, pool: &Pool) -> Option<Rc<Link>> {
-        if !self.settings.has(Mechanism::SharedConnections) {
+        if !self.settings.is_enabled(Mechanism::SharedConnections) {
             return None;
         }
         for holder in pool.holders.borrow().iter() {
@@ -514,7 +516,8 @@
                 return None;
             }
             let link = self.reach(holder);
-            let is_usable = |link: &Rc<Link>| link.is_prompt(HOLDER_TIMEOUT) && !link.is_leaving();
+            let is_usable =
+                |link: &Rc<Link>| link.is_responsive(HOLDER_TIMEOUT) && !link.is_draining();
             if let Some(link) = link.filter(is_usable) {
                 return Some(link);
             }
@@ -527,11 +530,11 @@
     /// Without the attempt, the first statement to each server would open a connection of this
     /// host's own: in a large fleet most pairs of host and server see few statements.
     pub async fn connect_holder(&self, pool: &Pool) -> Option<Rc<Link>> {
-        if self.settings.has(Mechanism::SharedConnections) {
+        if self.settings.is_enabled(Mechanism::SharedConnections) {
             let holders = pool.holders.borrow().clone();
             for holder in holders.iter().take_while(|holder| **holder != self.settings.host) {
                 if let Some(link) = self.reach(holder) {
-                    link.settled(LINK_TIMEOUT).await;
+                    link.first_attempt(LINK_TIMEOUT).await;
                     if link.is_up() {
                         break;
                     }
