--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -8,7 +8,7 @@
     time::Instant,
 };
 
-use hosts::{PATIENCE, on_runtime, pause, system};
+use hosts::{WAIT_TIMEOUT, block_on, sleep_ms, start_system};
 use lab::soak::world::World;
 
 /// Leader and replicas of the first group, and a replica of the second.
@@ -32,8 +32,8 @@
     let served = world.borrow().served.clone();
     let (before, began) = (served.get(), Instant::now());
     while served.get() < before + more {
-        assert!(began.elapsed() < PATIENCE, "callers are not served");
-        pause(20).await;
+        assert!(began.elapsed() < WAIT_TIMEOUT, "callers are not served");
+        sleep_ms(20).await;
     }
 }
 
@@ -48,15 +48,15 @@
 /// that went on being sent there would be cut off when it ends.
 #[test]
 fn a_replica_that_leaves_gets_no_new_statements() {
-    on_runtime(async {
-        let world = system(2).await;
+    block_on(async {
+        let world = start_system(2).await;
         let stop = load(&world);
         while world.borrow().ran(REPLICA) < 20 {
             served(&world, 50).await;
         }
         world.borrow().leave(REPLICA);
         // What the hosts are told within this time, and what is open by then, may end there.
-        pause(3000).await;
+        sleep_ms(3000).await;
         let before = world.borrow().ran(REPLICA);
         served(&world, 400).await;
         stop.set(true);
@@ -69,17 +69,17 @@
 /// acknowledged before it leads, and the old one must get no statement any more.
 #[test]
 fn a_leader_that_leaves_hands_over_and_loses_nothing() {
-    on_runtime(async {
-        let world = system(2).await;
+    block_on(async {
+        let world = start_system(2).await;
         let stop = load(&world);
         served(&world, 200).await;
         world.borrow().leave(LEADER);
         let began = Instant::now();
         while world.borrow().groups.borrow().promotions == 0 {
-            assert!(began.elapsed() < PATIENCE, "nobody else leads");
-            pause(20).await;
+            assert!(began.elapsed() < WAIT_TIMEOUT, "nobody else leads");
+            sleep_ms(20).await;
         }
-        pause(3000).await;
+        sleep_ms(3000).await;
         let before = world.borrow().ran(LEADER);
         served(&world, 400).await;
         stop.set(true);
@@ -93,15 +93,15 @@
 /// that callers were told of were taken back when another server led in its place.
 #[test]
 fn a_leader_without_its_replicas_has_nothing_acknowledged_taken_back() {
-    on_runtime(async {
-        let world = system(2).await;
+    block_on(async {
+        let world = start_system(2).await;
         let stop = load(&world);
         served(&world, 200).await;
         world.borrow().groups.borrow_mut().servers[LEADER].cut = true;
         let began = Instant::now();
         while world.borrow().groups.borrow().promotions == 0 {
-            assert!(began.elapsed() < PATIENCE, "nobody else leads");
-            pause(20).await;
+            assert!(began.elapsed() < WAIT_TIMEOUT, "nobody else leads");
+            sleep_ms(20).await;
         }
         served(&world, 200).await;
         world.borrow().groups.borrow_mut().servers[LEADER].cut = false;
@@ -116,8 +116,8 @@
 /// names it for the old one. A read that ran there would show another database.
 #[test]
 fn an_address_that_another_server_has_taken_runs_nothing() {
-    on_runtime(async {
-        let world = system(2).await;
+    block_on(async {
+        let world = start_system(2).await;
         let stop = load(&world);
         served(&world, 200).await;
         world.borrow().keeps_entries.set(true);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use hosts::{Line, args, on_runtime, pause, serving};
+use hosts::{Connection, await_serving, block_on, sleep_ms, soak_args};
 use lab::{
     link::Fault,
     soak::{
@@ -55,9 +55,9 @@
 /// them, from the moment of the change on; fetched in pieces, it comes in the time of its bytes.
 #[test]
 fn a_large_configuration_comes_in_time_over_slow_links() {
-    on_runtime(async {
-        let world = serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
-        pause(SETTLED).await;
+    block_on(async {
+        let world = await_serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
+        sleep_ms(SETTLED).await;
         world.borrow().links.set("peer*", &at_most(SLOW));
         for store in ["store2", "store3"] {
             world.borrow().links.set(store, &at_most(LEFT));
@@ -68,7 +68,7 @@
         for address in callers {
             while !knows(address, &added).await {
                 assert!(began.elapsed() < APPLY, "{added} is not known at {address}");
-                pause(50).await;
+                sleep_ms(50).await;
             }
         }
     });
@@ -80,11 +80,11 @@
 /// in the version that statements were served by, 5.6 s after the next was acknowledged.
 #[test]
 fn a_host_that_cannot_fetch_what_is_newer_serves_nobody() {
-    on_runtime(async {
-        let world = serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
-        pause(SETTLED).await;
+    block_on(async {
+        let world = await_serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
+        sleep_ms(SETTLED).await;
         let small = world.borrow().callers[2];
-        let mut line = Line::start(small, "db0", "key-h").await.unwrap();
+        let mut line = Connection::start(small, "db0", "key-h").await.unwrap();
         world.borrow().links.set("peer*", &at_most(HOPELESS));
         for store in ["store2", "store3"] {
             world.borrow().links.set(store, &at_most(HOPELESS));
@@ -92,14 +92,14 @@
         world.borrow().add_databases(MANY);
         world.borrow().withdraw();
         let began = Instant::now();
-        assert_eq!(line.short("READ k1").await, "DONE I", "it serves as long as it may");
+        assert_eq!(line.query_outcome("READ k1").await, "DONE I", "it serves as long as it may");
         let until = APPLY + Duration::from_secs(5);
         while began.elapsed() < until {
             let asked = began.elapsed();
-            let told = line.short("READ k1").await;
+            let told = line.query_outcome("READ k1").await;
             let may = asked <= APPLY || told != "DONE I";
             assert!(may, "{told} for a withdrawn key, {asked:?} after its withdrawal");
-            pause(50).await;
+            sleep_ms(50).await;
         }
     });
 }
@@ -109,9 +109,9 @@
 /// it had ended: the list was asked for again each 0.4 s, while copies were under way.
 #[test]
 fn a_list_of_servers_comes_over_a_slow_link() {
-    on_runtime(async {
-        let world = serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
-        pause(SETTLED).await;
+    block_on(async {
+        let world = await_serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
+        sleep_ms(SETTLED).await;
         world.borrow().links.set("peer*", &at_most(CRAWLING));
         for store in ["store2", "store3"] {
             world.borrow().links.set(store, &Fault { cut_up: true, ..Fault::default() });
@@ -120,7 +120,7 @@
         let began = Instant::now();
         while !world.borrow().hosts[2].log().contains(r#""role":"Replica","leaving":true"#) {
             assert!(began.elapsed() < DRAIN, "the host does not know that the server leaves");
-            pause(50).await;
+            sleep_ms(50).await;
         }
     });
 }
@@ -130,12 +130,12 @@
 /// and took longer than that.
 #[test]
 fn a_host_reads_a_large_configuration_over_a_slow_link() {
-    on_runtime(async {
-        let world = serving(World::start(1).unwrap()).await;
+    block_on(async {
+        let world = await_serving(World::start(1).unwrap()).await;
         let added = world.borrow().add_databases(MANY);
         let address = world.borrow().callers[0];
         while !knows(address, &added).await {
-            pause(50).await;
+            sleep_ms(50).await;
         }
         world.borrow().links.set("store0", &at_most(SLOW));
         world.borrow_mut().hosts[0].kill();
@@ -143,7 +143,7 @@
         let began = Instant::now();
         while !knows(address, &added).await {
             assert!(began.elapsed() < RECOVERY, "the host does not serve");
-            pause(50).await;
+            sleep_ms(50).await;
         }
     });
 }
@@ -154,8 +154,8 @@
 #[test]
 fn versions_that_come_faster_than_they_travel_are_in_force_in_time() {
     for seed in [9407, 9410] {
-        let args = SoakArgs { grow: true, ..args(4, 8, 12) };
-        let outcome = on_runtime(soak::soak(seed, &args)).unwrap();
+        let soak_args = SoakArgs { grow: true, ..soak_args(4, 8, 12) };
+        let outcome = block_on(soak::soak(seed, &soak_args)).unwrap();
         assert!(outcome.broken.is_empty(), "seed {seed}: {:#?}", outcome.broken);
     }
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -8,7 +8,7 @@
 };
 
 use lab::system::{self, Plan, System};
-use ledger::{Ledger, Told};
+use ledger::{Ledger, Reported};
 use tokio_postgres::Client;
 
 fn linked() -> Plan {
@@ -117,7 +117,7 @@
         let error = client.simple_query("INSERT INTO booking VALUES ('x')").await.unwrap_err();
         let code = error.as_db_error().map(|e| e.code().code().to_owned());
         let at_once = began.elapsed() < Duration::from_secs(2);
-        ledger::told(&error) == Told::NotRun && code.as_deref() == Some("57P03") && at_once
+        ledger::reported(&error) == Reported::NotRun && code.as_deref() == Some("57P03") && at_once
     };
     ledger::until("writers are refused at once", refused).await;
     let status = ledger::status(&system, "g1s3").await.unwrap();
@@ -165,7 +165,7 @@
     system.servers["g1s1"].signal(libc::SIGSTOP).unwrap();
     let began = Instant::now();
     let error = client.simple_query("INSERT INTO booking VALUES ('b1')").await.unwrap_err();
-    assert_eq!(ledger::told(&error), Told::Unknown, "{error:?}");
+    assert_eq!(ledger::reported(&error), Reported::Unknown, "{error:?}");
     assert!(began.elapsed() < Duration::from_secs(15), "{:?}", began.elapsed());
 }
 
--- a/tests/hosts/mod.rs
+++ b/tests/hosts/mod.rs
@@ -18,9 +18,9 @@
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 
 /// The longest that any condition is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub fn on_runtime<T>(test: impl Future<Output = T>) -> T {
+pub fn block_on<T>(test: impl Future<Output = T>) -> T {
     monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_timer()
         .build()
@@ -28,22 +28,22 @@
         .block_on(test)
 }
 
-pub fn args(hosts: usize, callers: usize, secs: u64) -> SoakArgs {
+pub fn soak_args(hosts: usize, callers: usize, secs: u64) -> SoakArgs {
     let (dry, links, grow, calm, herd) = Default::default();
     SoakArgs { seed: 1, seeds: 1, secs, hosts, callers, dry, links, grow, calm, herd }
 }
 
-pub async fn pause(ms: u64) {
+pub async fn sleep_ms(ms: u64) {
     monoio::time::sleep(Duration::from_millis(ms)).await;
 }
 
 /// A system that serves, with `hosts` hosts and without load.
-pub async fn system(hosts: usize) -> Rc<RefCell<World>> {
-    serving(World::start(hosts).unwrap()).await
+pub async fn start_system(hosts: usize) -> Rc<RefCell<World>> {
+    await_serving(World::start(hosts).unwrap()).await
 }
 
 /// The system, once all its hosts serve.
-pub async fn serving(world: World) -> Rc<RefCell<World>> {
+pub async fn await_serving(world: World) -> Rc<RefCell<World>> {
     let hosts = world.hosts.len();
     let world = Rc::new(RefCell::new(world));
     monoio::spawn(World::keep(world.clone()));
@@ -51,25 +51,25 @@
     for host in 0..hosts {
         let address = world.borrow().callers[host];
         loop {
-            if let Ok(mut line) = Line::start(address, "db0", "key-b").await
-                && line.ask("READ k1").await.is_ok_and(|told| told[0].starts_with("DONE"))
+            if let Ok(mut line) = Connection::start(address, "db0", "key-b").await
+                && line.query("READ k1").await.is_ok_and(|told| told[0].starts_with("DONE"))
             {
                 break;
             }
-            assert!(began.elapsed() < PATIENCE, "host {host} does not serve");
-            pause(50).await;
+            assert!(began.elapsed() < WAIT_TIMEOUT, "host {host} does not serve");
+            sleep_ms(50).await;
         }
     }
     world
 }
 
 /// A caller's connection, line by line.
-pub struct Line {
+pub struct Connection {
     pub io: BufReader<TcpStreamPoll>,
     number: u64,
 }
 
-impl Line {
+impl Connection {
     pub async fn connect(address: SocketAddr) -> std::io::Result<Self> {
         let io = BufReader::new(TcpStream::connect(address).await?.into_poll_io()?);
         Ok(Self { io, number: rand::random::<u32>().into() })
@@ -90,7 +90,7 @@
 
     pub async fn next(&mut self) -> std::io::Result<String> {
         let mut line = String::new();
-        let read = monoio::time::timeout(PATIENCE, self.io.read_line(&mut line)).await?;
+        let read = monoio::time::timeout(WAIT_TIMEOUT, self.io.read_line(&mut line)).await?;
         if read? == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
@@ -110,7 +110,7 @@
         }
     }
 
-    pub async fn ask(&mut self, text: &str) -> std::io::Result<Vec<String>> {
+    pub async fn query(&mut self, text: &str) -> std::io::Result<Vec<String>> {
         self.number += 1;
         let id = self.number;
         self.send(&format!("QUERY {id:x} {text}\r\n")).await?;
@@ -118,8 +118,8 @@
     }
 
     /// How the answer ended and how the session stands, as `DONE I`.
-    pub async fn short(&mut self, text: &str) -> String {
-        let told = self.ask(text).await.unwrap();
+    pub async fn query_outcome(&mut self, text: &str) -> String {
+        let told = self.query(text).await.unwrap();
         let outcome = &told[told.len() - 2];
         let word = match outcome.split_once(' ') {
             Some(("ERROR", rest)) => rest.split(' ').next().unwrap(),
--- a/tests/hubs.rs
+++ b/tests/hubs.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use hosts::{Line, on_runtime, pause, serving};
+use hosts::{Connection, await_serving, block_on, sleep_ms};
 use lab::soak::world::{LARGE_HOSTS, World};
 
 /// More hosts than all speak to each other.
@@ -19,18 +19,18 @@
 /// Guards against refusals of a failure domain whose hub is frozen while other candidates run.
 #[test]
 fn hosts_of_a_frozen_hub_ask_the_next_candidate() {
-    on_runtime(async {
-        let world = serving(World::start_sized(HOSTS, LARGE_HOSTS).unwrap()).await;
+    block_on(async {
+        let world = await_serving(World::start_sized(HOSTS, LARGE_HOSTS).unwrap()).await;
         let of_hub: Vec<usize> = (2..HOSTS).step_by(2).collect();
         world.borrow().hosts[HUB].signal(libc::SIGSTOP).unwrap();
         let began = Instant::now();
         while began.elapsed() < FROZEN_FOR {
             for host in &of_hub {
                 let address = world.borrow().callers[*host];
-                let mut line = Line::start(address, "db0", "key-b").await.unwrap();
-                line.ask("READ k1").await.unwrap();
+                let mut line = Connection::start(address, "db0", "key-b").await.unwrap();
+                line.query("READ k1").await.unwrap();
             }
-            pause(20).await;
+            sleep_ms(20).await;
         }
         world.borrow().hosts[HUB].signal(libc::SIGCONT).unwrap();
         let logs: Vec<_> = of_hub.iter().map(|host| world.borrow().hosts[*host].log()).collect();
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use lab::system::{self, Plan, System};
-use ledger::{Ledger, Told};
+use ledger::{Ledger, Reported};
 
 /// Sets the platform's list of leaving machines.
 async fn list(system: &System, json: &str) {
@@ -30,7 +30,7 @@
     let system = System::start(Plan { server_args, ..Plan::default() }).await.unwrap();
     let ledger = Ledger::start(&system).await;
     ledger.until_done(50).await;
-    let before = ledger.count(Told::NotRun) + ledger.count(Told::Unknown);
+    let before = ledger.count(Reported::NotRun) + ledger.count(Reported::Unknown);
     list(&system, r#"[{"id": "g1s1", "leaving": true}]"#).await;
     until_led_by(&system, |name| name != "g1s1").await;
     ledger::until_follows(&system, "g1s1", 1).await;
@@ -39,7 +39,7 @@
     list(&system, others).await;
     until_led_by(&system, |name| name == "g1s1").await;
     ledger.until_done(50).await;
-    let after = ledger.count(Told::NotRun) + ledger.count(Told::Unknown);
+    let after = ledger.count(Reported::NotRun) + ledger.count(Reported::Unknown);
     assert_eq!(before, after, "callers noticed");
     ledger.check(&system).await;
 }
@@ -55,8 +55,9 @@
     system::until_runs(&client, "INSERT INTO booking VALUES ('b1')").await.unwrap();
     let leaving = "id = \"g1s2\"\nleaving = true";
     system.submit(&system.config().replace("id = \"g1s2\"", leaving)).await.unwrap();
-    let told = async || system.hosts.iter().any(|h| h.log().contains("g1s2 leaves: no new work"));
-    ledger::until("the home knows", told).await;
+    let reported =
+        async || system.hosts.iter().any(|h| h.log().contains("g1s2 leaves: no new work"));
+    ledger::until("the home knows", reported).await;
     // Whatever goes there from now on is slow.
     let direct = system.connect_server("g1s2").await.unwrap();
     direct.batch_execute("SET standin.service_ms = 10000").await.unwrap();
--- a/tests/ledger/mod.rs
+++ b/tests/ledger/mod.rs
@@ -20,7 +20,7 @@
 
 /// What a caller was told of its request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Told {
+pub enum Reported {
     /// It is done.
     Done,
     /// It did not run.
@@ -30,20 +30,20 @@
 }
 
 /// What an error tells its caller.
-pub fn told(error: &tokio_postgres::Error) -> Told {
-    let Some(error) = error.as_db_error() else { return Told::Unknown };
+pub fn reported(error: &tokio_postgres::Error) -> Reported {
+    let Some(error) = error.as_db_error() else { return Reported::Unknown };
     match (error.detail(), error.code().code()) {
-        (Some("done"), _) => Told::Done,
-        (Some("not run"), _) => Told::NotRun,
-        (Some("unknown"), _) => Told::Unknown,
+        (Some("done"), _) => Reported::Done,
+        (Some("not run"), _) => Reported::NotRun,
+        (Some("unknown"), _) => Reported::Unknown,
         // An error of the server itself: the statement failed there.
-        _ => Told::NotRun,
+        _ => Reported::NotRun,
     }
 }
 
 /// Writers through several hosts, and what they were told.
 pub struct Ledger {
-    told: Arc<Mutex<BTreeMap<String, Told>>>,
+    reported: Arc<Mutex<BTreeMap<String, Reported>>>,
     stop: Arc<AtomicBool>,
     writers: Vec<JoinHandle<()>>,
 }
@@ -53,24 +53,25 @@
     pub async fn start(system: &System) -> Self {
         let client = system.connect(0, "baobab", "g1").await.unwrap();
         system::until_runs(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
-        let mut ledger = Self { told: Arc::default(), stop: Arc::default(), writers: Vec::new() };
+        let mut ledger =
+            Self { reported: Arc::default(), stop: Arc::default(), writers: Vec::new() };
         for writer in 0..2 * system.plan.hosts {
             let config = system.caller(writer % system.plan.hosts, "baobab", "g1");
-            let work = write(writer, config, ledger.told.clone(), ledger.stop.clone());
+            let work = write(writer, config, ledger.reported.clone(), ledger.stop.clone());
             ledger.writers.push(tokio::spawn(work));
         }
         ledger
     }
 
     /// How many were told so.
-    pub fn count(&self, told: Told) -> usize {
-        self.told.lock().unwrap().values().filter(|t| **t == told).count()
+    pub fn count(&self, reported: Reported) -> usize {
+        self.reported.lock().unwrap().values().filter(|t| **t == reported).count()
     }
 
     /// Waits until so many more writes are done.
     pub async fn until_done(&self, more: usize) {
-        let wanted = self.count(Told::Done) + more;
-        until("writes are done", async || self.count(Told::Done) >= wanted).await;
+        let wanted = self.count(Reported::Done) + more;
+        until("writes are done", async || self.count(Reported::Done) >= wanted).await;
     }
 
     /// Ends the writers and compares what they were told with the primary's table.
@@ -85,23 +86,23 @@
         for id in system::rows(&client, "SELECT id FROM booking").await.unwrap() {
             *times.entry(id).or_default() += 1;
         }
-        for (id, told) in self.told.lock().unwrap().iter() {
+        for (id, reported) in self.reported.lock().unwrap().iter() {
             let times = times.get(id).copied().unwrap_or_default();
-            let fits = match told {
-                Told::Done => times == 1,
-                Told::NotRun => times == 0,
-                Told::Unknown => times <= 1,
+            let fits = match reported {
+                Reported::Done => times == 1,
+                Reported::NotRun => times == 0,
+                Reported::Unknown => times <= 1,
             };
-            assert!(fits, "{id} was told {told:?} and is there {times} times");
+            assert!(fits, "{id} was told {reported:?} and is there {times} times");
         }
-        assert!(self.count(Told::Done) > 0, "nothing was written");
+        assert!(self.count(Reported::Done) > 0, "nothing was written");
     }
 }
 
 async fn write(
     writer: usize,
     config: Config,
-    told_by: Arc<Mutex<BTreeMap<String, Told>>>,
+    told_by: Arc<Mutex<BTreeMap<String, Reported>>>,
     stop: Arc<AtomicBool>,
 ) {
     let mut client = None;
@@ -118,7 +119,7 @@
         };
         let id = format!("w{writer}-{number}");
         let answer = client.simple_query(&format!("INSERT INTO booking VALUES ('{id}')")).await;
-        let was = answer.map_or_else(|error| told(&error), |_| Told::Done);
+        let was = answer.map_or_else(|error| reported(&error), |_| Reported::Done);
         told_by.lock().unwrap().insert(id, was);
         tokio::time::sleep(PAUSE).await;
     }
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -13,7 +13,7 @@
     link::Fault,
     system::{self, PATIENCE, Plan, System},
 };
-use ledger::Told;
+use ledger::Reported;
 use tokio_postgres::Client;
 
 async fn start(plan: Plan) -> (System, Client) {
@@ -29,9 +29,9 @@
 }
 
 /// Runs a statement under a request id; what the caller is told.
-async fn send(client: &Client, id: &str, sql: &str) -> Told {
+async fn send(client: &Client, id: &str, sql: &str) -> Reported {
     client.batch_execute(&format!("SET bergamottrack.request = '{id}'")).await.unwrap();
-    client.simple_query(sql).await.map_or_else(|error| ledger::told(&error), |_| Told::Done)
+    client.simple_query(sql).await.map_or_else(|error| ledger::reported(&error), |_| Reported::Done)
 }
 
 /// What a host says became of a request.
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn a_request_sent_again_is_not_run_again() {
     let (system, client) = start(Plan::default()).await;
-    assert_eq!(send(&client, "r1", &booking("b1")).await, Told::Done);
+    assert_eq!(send(&client, "r1", &booking("b1")).await, Reported::Done);
     client.batch_execute("SET bergamottrack.request = 'r1'").await.unwrap();
     let error = client.simple_query(&booking("b1")).await.unwrap_err();
     let answer = error.as_db_error().unwrap();
@@ -87,14 +87,17 @@
     for id in ["b1", "b2"] {
         assert_eq!(times(&system, id).await, 1, "{id}");
     }
-    assert_eq!(send(&other, "r3", "BEGIN").await, Told::Done);
-    assert_eq!(send(&other, "r4", "BEGIN; INSERT INTO booking VALUES ('b4')").await, Told::Done);
+    assert_eq!(send(&other, "r3", "BEGIN").await, Reported::Done);
+    assert_eq!(
+        send(&other, "r4", "BEGIN; INSERT INTO booking VALUES ('b4')").await,
+        Reported::Done
+    );
     other.batch_execute("COMMIT").await.unwrap();
-    assert_eq!(send(&client, "r4", &booking("b4")).await, Told::Done);
+    assert_eq!(send(&client, "r4", &booking("b4")).await, Reported::Done);
     assert_eq!(times(&system, "b4").await, 1);
     // The id is the account's own: another account may use the same one.
     let hartwell = system.connect(0, "hartwell", "g1").await.unwrap();
-    assert_eq!(send(&hartwell, "r1", &booking("b5")).await, Told::Done);
+    assert_eq!(send(&hartwell, "r1", &booking("b5")).await, Reported::Done);
     assert_eq!(times(&system, "b5").await, 1);
 }
 
@@ -106,7 +109,7 @@
     client.batch_execute("SET bergamottrack.request = 'r1'").await.unwrap();
     let error = client.simple_query("INSERT INTO nowhere VALUES (1)").await.unwrap_err();
     assert_eq!(error.as_db_error().unwrap().detail(), None, "{error:?}");
-    assert_eq!(send(&client, "r1", &booking("b1")).await, Told::Done);
+    assert_eq!(send(&client, "r1", &booking("b1")).await, Reported::Done);
     assert_eq!(times(&system, "b1").await, 1);
 }
 
@@ -123,8 +126,8 @@
             let id = id.clone();
             sent.push(tokio::spawn(async move { send(&client, &id, &booking(&id)).await }));
         }
-        for told in sent {
-            assert_eq!(told.await.unwrap(), Told::Done);
+        for reported in sent {
+            assert_eq!(reported.await.unwrap(), Reported::Done);
         }
         assert_eq!(times(&system, &id).await, 1, "{id}");
     }
@@ -136,15 +139,15 @@
 #[tokio::test]
 async fn an_answer_lost_after_the_commit_is_found() {
     let (system, client) = start(Plan { links: true, ..Plan::default() }).await;
-    assert_eq!(send(&client, "r0", &booking("b0")).await, Told::Done);
-    assert_eq!(send(&client, "r1", "BEGIN").await, Told::Done);
+    assert_eq!(send(&client, "r0", &booking("b0")).await, Reported::Done);
+    assert_eq!(send(&client, "r1", "BEGIN").await, Reported::Done);
     client.batch_execute(&booking("b1")).await.unwrap();
     let fault = Fault { cut_down: true, ..Fault::default() };
     system.fault("h*>g1s1", fault).await.unwrap();
     let error = client.batch_execute("COMMIT").await.unwrap_err();
-    assert_eq!(ledger::told(&error), Told::Done, "{error:?}");
+    assert_eq!(ledger::reported(&error), Reported::Done, "{error:?}");
     system.mend("*").await.unwrap();
-    assert_eq!(send(&client, "r1", &booking("b1")).await, Told::Done);
+    assert_eq!(send(&client, "r1", &booking("b1")).await, Reported::Done);
     assert_eq!(times(&system, "b1").await, 1);
 }
 
@@ -152,7 +155,7 @@
 async fn until_done(client: &Client, id: &str) {
     let sql = booking(&id.replace('r', "b"));
     let deadline = Instant::now() + PATIENCE;
-    while send(client, id, &sql).await != Told::Done {
+    while send(client, id, &sql).await != Reported::Done {
         assert!(Instant::now() < deadline, "{id} is not done");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -164,15 +167,15 @@
 #[tokio::test]
 async fn an_attempt_that_wakes_does_not_run() {
     let (system, client) = start(Plan::default()).await;
-    assert_eq!(send(&client, "r0", &booking("b0")).await, Told::Done);
+    assert_eq!(send(&client, "r0", &booking("b0")).await, Reported::Done);
     system.servers["g1s1"].signal(libc::SIGSTOP).unwrap();
-    let told = send(&client, "r1", &booking("b1")).await;
-    assert_eq!(told, Told::NotRun);
+    let reported = send(&client, "r1", &booking("b1")).await;
+    assert_eq!(reported, Reported::NotRun);
     system.servers["g1s1"].signal(libc::SIGCONT).unwrap();
     ledger::until_follows(&system, "g1s1", 1).await;
     assert_eq!(times(&system, "b1").await, 0);
-    assert_eq!(send(&client, "r1", &booking("b1")).await, Told::Done);
-    assert_eq!(send(&client, "r1", &booking("b1")).await, Told::Done);
+    assert_eq!(send(&client, "r1", &booking("b1")).await, Reported::Done);
+    assert_eq!(send(&client, "r1", &booking("b1")).await, Reported::Done);
     assert_eq!(times(&system, "b1").await, 1);
 }
 
@@ -213,7 +216,7 @@
 async fn any_host_tells_outcomes_while_the_platform_is_down() {
     let (mut system, client) = start(Plan::default()).await;
     system.platform_faults(r#"{"down": true}"#).await.unwrap();
-    assert_eq!(send(&client, "r1", &booking("b1")).await, Told::Done);
+    assert_eq!(send(&client, "r1", &booking("b1")).await, Reported::Done);
     for host in 0..system.plan.hosts {
         assert_eq!(until_known(&system, host, "r1").await, Outcome::Done);
         assert_eq!(until_known(&system, host, &format!("never-{host}")).await, Outcome::NotRun);
@@ -223,7 +226,7 @@
         assert_eq!(until_known(&system, host, "r1").await, Outcome::Done);
         assert_eq!(until_known(&system, host, "never-1").await, Outcome::NotRun);
     }
-    assert_eq!(send(&client, "never-1", &booking("b2")).await, Told::Done);
+    assert_eq!(send(&client, "never-1", &booking("b2")).await, Reported::Done);
     assert_eq!(until_known(&system, 2, "never-1").await, Outcome::Done);
     assert_eq!((times(&system, "b1").await, times(&system, "b2").await), (1, 1));
 }
@@ -233,7 +236,7 @@
 #[tokio::test]
 async fn a_request_that_runs_is_not_told_as_not_run() {
     let (system, client) = start(Plan::default()).await;
-    assert_eq!(send(&client, "r1", "BEGIN").await, Told::Done);
+    assert_eq!(send(&client, "r1", "BEGIN").await, Reported::Done);
     client.batch_execute(&booking("b1")).await.unwrap();
     for host in 0..system.plan.hosts {
         let outcome = ask(&system, host, "r1").await;
@@ -251,7 +254,7 @@
     // Delays must not look like silence.
     let policy = "silence_ms = 5000\nrequest_ms = 20000".to_owned();
     let (system, client) = start(Plan { links: true, policy, ..Plan::default() }).await;
-    assert_eq!(send(&client, "r0", &booking("b0")).await, Told::Done);
+    assert_eq!(send(&client, "r0", &booking("b0")).await, Reported::Done);
     until_alone(&system, &client).await;
     // A void row, from which the attempt plans.
     assert_eq!(until_known(&system, 2, "r1").await, Outcome::NotRun);
@@ -260,18 +263,18 @@
     let sending = tokio::spawn(async move { send_within_rate(&client, "r1", "b1").await });
     until_log(&system, 0, "request r1 is planned").await;
     assert_eq!(until_known(&system, 2, "r1").await, Outcome::NotRun);
-    assert_ne!(sending.await.unwrap(), Told::Done);
+    assert_ne!(sending.await.unwrap(), Reported::Done);
     assert_eq!(times(&system, "b1").await, 0);
 }
 
 /// Sends a booking, again while it is over the account's rate: a host that
 /// stands alone may yet lack a part of it.
-async fn send_within_rate(client: &Client, id: &str, name: &str) -> Told {
+async fn send_within_rate(client: &Client, id: &str, name: &str) -> Reported {
     client.batch_execute(&format!("SET bergamottrack.request = '{id}'")).await.unwrap();
     for _ in 0..100 {
-        let Err(error) = client.simple_query(&booking(name)).await else { return Told::Done };
+        let Err(error) = client.simple_query(&booking(name)).await else { return Reported::Done };
         if error.code().map(|code| code.code()) != Some("53400") {
-            return ledger::told(&error);
+            return ledger::reported(&error);
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
@@ -308,9 +311,9 @@
     assert_eq!(until_known(&system, home, "r1").await, Outcome::NotRun);
     assert_eq!(times(&system, "b1").await, 0);
     system.hosts[entry].signal(libc::SIGCONT).unwrap();
-    assert_ne!(sending.await.unwrap(), Told::Done);
+    assert_ne!(sending.await.unwrap(), Reported::Done);
     let client = system.connect(home, "baobab", "g1").await.unwrap();
-    assert_eq!(send(&client, "r1", &booking("again")).await, Told::Done);
+    assert_eq!(send(&client, "r1", &booking("again")).await, Reported::Done);
     assert_eq!((times(&system, "b1").await, times(&system, "again").await), (0, 1));
 }
 
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use hosts::{Line, PATIENCE, on_runtime, pause, system};
+use hosts::{Connection, WAIT_TIMEOUT, block_on, sleep_ms, start_system};
 use lab::soak::world::World;
 
 /// The bound of the system's settings.
@@ -17,12 +17,16 @@
 /// Databases of all kinds of reads, one group after the other.
 const DATABASES: usize = 9;
 
-async fn start(world: &Rc<RefCell<World>>, host: usize, database: usize) -> std::io::Result<Line> {
+async fn start(
+    world: &Rc<RefCell<World>>,
+    host: usize,
+    database: usize,
+) -> std::io::Result<Connection> {
     let address = world.borrow().callers[host];
-    Line::start(address, &format!("db{database}"), "key-b").await
+    Connection::start(address, &format!("db{database}"), "key-b").await
 }
 
-async fn line(world: &Rc<RefCell<World>>, host: usize, database: usize) -> Line {
+async fn line(world: &Rc<RefCell<World>>, host: usize, database: usize) -> Connection {
     start(world, host, database).await.unwrap()
 }
 
@@ -33,7 +37,7 @@
         // A host that has just started serves nobody yet.
         let Ok(mut line) = start(world, host, database).await else { continue };
         for text in ["READ k1", "WRITE k2 x", "READ k2"] {
-            served += usize::from(line.short(text).await.starts_with("DONE"));
+            served += usize::from(line.query_outcome(text).await.starts_with("DONE"));
         }
     }
     served
@@ -44,8 +48,8 @@
     let began = Instant::now();
     for host in 0..hosts {
         while round(world, host).await < 3 * DATABASES {
-            assert!(began.elapsed() < PATIENCE, "host {host} does not serve all");
-            pause(100).await;
+            assert!(began.elapsed() < WAIT_TIMEOUT, "host {host} does not serve all");
+            sleep_ms(100).await;
         }
     }
 }
@@ -54,7 +58,7 @@
 async fn is_used(world: &Rc<RefCell<World>>, domain: usize) {
     let (began, before) = (Instant::now(), world.borrow().ran_in(domain));
     while world.borrow().ran_in(domain) == before {
-        assert!(began.elapsed() < PATIENCE, "nothing runs in failure domain {domain}");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "nothing runs in failure domain {domain}");
         // Its own hosts prefer servers that are near.
         round(world, domain).await;
     }
@@ -64,15 +68,15 @@
 /// and against one that stays out of use when the evacuation is taken back.
 #[test]
 fn an_evacuated_domain_runs_nothing_after_the_bound() {
-    on_runtime(async {
-        let world = system(3).await;
+    block_on(async {
+        let world = start_system(3).await;
         for domain in [0, 1] {
             serves_all(&world, 3).await;
             let mut open = Vec::new();
             for database in 0..DATABASES {
                 let mut line = line(&world, 0, database).await;
-                assert_eq!(line.short("BEGIN READ").await, "DONE T");
-                assert_eq!(line.short("READ k1").await, "DONE T");
+                assert_eq!(line.query_outcome("BEGIN READ").await, "DONE T");
+                assert_eq!(line.query_outcome("READ k1").await, "DONE T");
                 open.push(line);
             }
             world.borrow().evacuate(domain);
@@ -84,7 +88,7 @@
             let ran = world.borrow().ran_in(domain);
             for mut line in open {
                 // Ended as told, or at a server elsewhere.
-                let told = line.short("READ k1").await;
+                let told = line.query_outcome("READ k1").await;
                 assert!(told == "ABORTED E" || told == "DONE T", "{told}");
             }
             serves_all(&world, 3).await;
@@ -98,8 +102,8 @@
 /// Guards against statements that wait for a server that will not come.
 #[test]
 fn with_all_domains_evacuated_statements_are_refused_at_once() {
-    on_runtime(async {
-        let world = system(3).await;
+    block_on(async {
+        let world = start_system(3).await;
         serves_all(&world, 3).await;
         world.borrow().evacuate(0);
         world.borrow().evacuate(1);
@@ -110,7 +114,7 @@
         let ran = world.borrow().ran_in(0) + world.borrow().ran_in(1);
         for text in ["READ k1", "WRITE k1 x"] {
             let mut line = line(&world, 2, 0).await;
-            let told = line.ask(text).await.unwrap();
+            let told = line.query(text).await.unwrap();
             assert!(told[0].contains("evacuated"), "{told:?}");
         }
         assert_eq!(world.borrow().ran_in(0) + world.borrow().ran_in(1), ran);
@@ -124,8 +128,8 @@
 /// hosts that start during one and do not hear of it.
 #[test]
 fn an_evacuation_outlives_restarts_and_outages() {
-    on_runtime(async {
-        let world = system(3).await;
+    block_on(async {
+        let world = start_system(3).await;
         serves_all(&world, 3).await;
         world.borrow().evacuate(0);
         let evacuated = Instant::now();
@@ -135,7 +139,7 @@
         world.borrow_mut().hosts[1].kill();
         world.borrow_mut().hosts[1].start().unwrap();
         world.borrow().store.borrow_mut().faults.down = true;
-        pause(1500).await;
+        sleep_ms(1500).await;
         world.borrow().store.borrow_mut().faults.down = false;
         serves_all(&world, 1).await;
         let ran = world.borrow().ran_in(0);
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -4,14 +4,14 @@
 
 use std::{cell::RefCell, rc::Rc, time::Instant};
 
-use hosts::{Line, PATIENCE, on_runtime, pause, system};
+use hosts::{Connection, WAIT_TIMEOUT, block_on, sleep_ms, start_system};
 use lab::soak::world::World;
 
 const DATABASES: [&str; 3] = ["db0", "db1", "db2"];
 
-async fn line(world: &Rc<RefCell<World>>, host: usize, database: &str) -> Line {
+async fn line(world: &Rc<RefCell<World>>, host: usize, database: &str) -> Connection {
     let address = world.borrow().callers[host];
-    Line::start(address, database, "key-b").await.unwrap()
+    Connection::start(address, database, "key-b").await.unwrap()
 }
 
 /// Waits until a host serves a statement.
@@ -19,13 +19,13 @@
     let address = world.borrow().callers[host];
     let began = Instant::now();
     loop {
-        if let Ok(mut line) = Line::start(address, database, "key-b").await
-            && line.ask(text).await.is_ok_and(|told| told[told.len() - 2].starts_with("DONE"))
+        if let Ok(mut line) = Connection::start(address, database, "key-b").await
+            && line.query(text).await.is_ok_and(|told| told[told.len() - 2].starts_with("DONE"))
         {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "host {host} does not serve {text} on {database}");
-        pause(50).await;
+        assert!(began.elapsed() < WAIT_TIMEOUT, "host {host} does not serve {text} on {database}");
+        sleep_ms(50).await;
     }
 }
 
@@ -44,26 +44,29 @@
 /// connection from its start to its end and with the values of its own session.
 #[test]
 fn transactions_of_all_hosts_keep_to_their_connection_and_values() {
-    on_runtime(async {
-        let world = system(3).await;
+    block_on(async {
+        let world = start_system(3).await;
         for database in DATABASES {
             let mut open = Vec::new();
             for host in 0..3 {
                 let mut line = line(&world, host, database).await;
-                assert_eq!(line.short(&format!("SET zone z{host}")).await, "DONE I");
-                assert_eq!(line.short("PREPARE s1 WRITE q1").await, "DONE I");
-                assert_eq!(line.short("BEGIN").await, "DONE T");
-                assert_eq!(line.short(&format!("EXECUTE s1 r{host} v{host}")).await, "DONE T");
+                assert_eq!(line.query_outcome(&format!("SET zone z{host}")).await, "DONE I");
+                assert_eq!(line.query_outcome("PREPARE s1 WRITE q1").await, "DONE I");
+                assert_eq!(line.query_outcome("BEGIN").await, "DONE T");
+                assert_eq!(
+                    line.query_outcome(&format!("EXECUTE s1 r{host} v{host}")).await,
+                    "DONE T"
+                );
                 open.push(line);
             }
             for (host, line) in open.iter_mut().enumerate() {
                 assert_eq!(
-                    line.ask(&format!("READ r{host}")).await.unwrap()[0],
+                    line.query(&format!("READ r{host}")).await.unwrap()[0],
                     format!("ROW v{host}")
                 );
-                assert_eq!(line.short("COMMIT").await, "DONE I");
+                assert_eq!(line.query_outcome("COMMIT").await, "DONE I");
                 assert_eq!(
-                    line.ask(&format!("READ r{host}")).await.unwrap()[0],
+                    line.query(&format!("READ r{host}")).await.unwrap()[0],
                     format!("ROW v{host}")
                 );
             }
@@ -76,17 +79,17 @@
 /// which lives on. Nothing of it is kept, and the connection does not stay open for ever.
 #[test]
 fn a_transaction_whose_host_dies_keeps_nothing() {
-    on_runtime(async {
-        let world = system(3).await;
+    block_on(async {
+        let world = start_system(3).await;
         for host in 0..3 {
             let mut line = line(&world, host, "db0").await;
-            assert_eq!(line.short("BEGIN").await, "DONE T");
-            assert_eq!(line.short(&format!("WRITE lost{host} never")).await, "DONE T");
+            assert_eq!(line.query_outcome("BEGIN").await, "DONE T");
+            assert_eq!(line.query_outcome(&format!("WRITE lost{host} never")).await, "DONE T");
             world.borrow_mut().hosts[host].kill();
             let other = (host + 1) % 3;
             serves(&world, other, "db0", &format!("WRITE lost{host} kept")).await;
             let mut line = self::line(&world, other, "db0").await;
-            assert_eq!(line.ask(&format!("READ lost{host}")).await.unwrap()[0], "ROW kept");
+            assert_eq!(line.query(&format!("READ lost{host}")).await.unwrap()[0], "ROW kept");
             world.borrow_mut().hosts[host].start().unwrap();
             serves(&world, host, "db0", "READ k1").await;
         }
@@ -99,8 +102,8 @@
 /// the dead one is back.
 #[test]
 fn a_holder_that_dies_or_freezes_is_passed_over() {
-    on_runtime(async {
-        let world = system(3).await;
+    block_on(async {
+        let world = start_system(3).await;
         for host in 0..3 {
             for freezes in [false, true] {
                 if freezes {
