--- a/tests/hosts/mod.rs
+++ b/tests/hosts/mod.rs
@@ -1,4 +1,4 @@
-//! A small system of real hosts, and callers that speak to them line by line.
+//! A small system of real host processes, and callers that use the platform's line protocol.
 
 #![allow(dead_code)]
 
@@ -17,9 +17,10 @@
 };
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 
-/// The longest that any condition is waited for.
+/// Timeout for any awaited condition.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Runs a test on a new runtime of this thread.
 pub fn block_on<T>(test: impl Future<Output = T>) -> T {
     monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_timer()
@@ -28,66 +29,74 @@
         .block_on(test)
 }
 
+/// Arguments of a soak with seed 1; `secs` is the duration of its faults in seconds.
 pub fn soak_args(hosts: usize, callers: usize, secs: u64) -> SoakArgs {
     let (dry, links, grow, calm, herd) = Default::default();
     SoakArgs { seed: 1, seeds: 1, secs, hosts, callers, dry, links, grow, calm, herd }
 }
 
+/// Sleeps for `ms` milliseconds.
 pub async fn sleep_ms(ms: u64) {
     monoio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// A system that serves, with `hosts` hosts and without load.
+/// Starts a system of `hosts` hosts without load and waits until all of them serve.
 pub async fn start_system(hosts: usize) -> Rc<RefCell<World>> {
     await_serving(World::start(hosts).unwrap()).await
 }
 
-/// The system, once all its hosts serve.
+/// Waits until every host of the system answers a read. From then on `World::keep` runs in the
+/// background.
 pub async fn await_serving(world: World) -> Rc<RefCell<World>> {
     let hosts = world.hosts.len();
     let world = Rc::new(RefCell::new(world));
     monoio::spawn(World::keep(world.clone()));
-    let began = Instant::now();
+    let start = Instant::now();
     for host in 0..hosts {
         let address = world.borrow().callers[host];
         loop {
-            if let Ok(mut line) = Connection::start(address, "db0", "key-b").await
-                && line.query("READ k1").await.is_ok_and(|told| told[0].starts_with("DONE"))
+            if let Ok(mut conn) = Connection::start(address, "db0", "key-b").await
+                && conn.query("READ k1").await.is_ok_and(|response| response[0].starts_with("DONE"))
             {
                 break;
             }
-            assert!(began.elapsed() < WAIT_TIMEOUT, "host {host} does not serve");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "host {host} does not serve");
             sleep_ms(50).await;
         }
     }
     world
 }
 
-/// A caller's connection, line by line.
+/// A caller's connection, which sends and reads single lines of the protocol.
 pub struct Connection {
     pub io: BufReader<TcpStreamPoll>,
-    number: u64,
+    last_id: u64,
 }
 
 impl Connection {
+    /// Connects to a host and sends nothing.
     pub async fn connect(address: SocketAddr) -> std::io::Result<Self> {
         let io = BufReader::new(TcpStream::connect(address).await?.into_poll_io()?);
-        Ok(Self { io, number: rand::random::<u32>().into() })
+        Ok(Self { io, last_id: rand::random::<u32>().into() })
     }
 
+    /// Connects to a host and starts a session. Any answer other than `READY I` is returned as an
+    /// error with that answer as its text.
     pub async fn start(address: SocketAddr, database: &str, key: &str) -> std::io::Result<Self> {
-        let mut line = Self::connect(address).await?;
-        line.send(&format!("START {database} {key}\r\n")).await?;
-        match line.next().await? {
-            told if told.starts_with("READY I") => Ok(line),
-            told => Err(std::io::Error::other(told)),
+        let mut conn = Self::connect(address).await?;
+        conn.send(&format!("START {database} {key}\r\n")).await?;
+        match conn.next().await? {
+            line if line.starts_with("READY I") => Ok(conn),
+            line => Err(std::io::Error::other(line)),
         }
     }
 
+    /// Sends text as it is.
     pub async fn send(&mut self, text: &str) -> std::io::Result<()> {
         self.io.write_all(text.as_bytes()).await
     }
 
+    /// Reads the next line, without its line end.
     pub async fn next(&mut self) -> std::io::Result<String> {
         let mut line = String::new();
         let read = monoio::time::timeout(WAIT_TIMEOUT, self.io.read_line(&mut line)).await?;
@@ -97,7 +106,7 @@
         Ok(line.trim_end().to_owned())
     }
 
-    /// The lines of one answer, the state last.
+    /// Reads the lines of one answer; the last one is `READY` with the session state.
     pub async fn answer(&mut self) -> std::io::Result<Vec<String>> {
         let mut lines = Vec::new();
         loop {
@@ -110,21 +119,23 @@
         }
     }
 
+    /// Sends a statement with a new request id and reads its answer.
     pub async fn query(&mut self, text: &str) -> std::io::Result<Vec<String>> {
-        self.number += 1;
-        let id = self.number;
+        self.last_id += 1;
+        let id = self.last_id;
         self.send(&format!("QUERY {id:x} {text}\r\n")).await?;
         self.answer().await
     }
 
-    /// How the answer ended and how the session stands, as `DONE I`.
+    /// Sends a statement and returns its outcome and the session state, such as `DONE I`. The
+    /// outcome is `DONE` or the code of the error.
     pub async fn query_outcome(&mut self, text: &str) -> String {
-        let told = self.query(text).await.unwrap();
-        let outcome = &told[told.len() - 2];
-        let word = match outcome.split_once(' ') {
+        let response = self.query(text).await.unwrap();
+        let outcome = &response[response.len() - 2];
+        let code = match outcome.split_once(' ') {
             Some(("ERROR", rest)) => rest.split(' ').next().unwrap(),
             _ => "DONE",
         };
-        format!("{word} {}", told.last().unwrap().split(' ').nth(1).unwrap())
+        format!("{code} {}", response.last().unwrap().split(' ').nth(1).unwrap())
     }
 }
--- a/tests/ledger/mod.rs
+++ b/tests/ledger/mod.rs
@@ -1,4 +1,5 @@
-//! Writers that note what they were told, and the check from outside.
+//! Writers that record the reported outcome of each write, and a check of these outcomes against
+//! the table of the primary.
 
 #![allow(dead_code)]
 
@@ -16,32 +17,33 @@
 use tokio::task::JoinHandle;
 use tokio_postgres::Config;
 
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval between two writes of a writer, and between two polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a caller was told of its request.
+/// Outcome of a request as reported to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reported {
-    /// It is done.
+    /// The request was executed.
     Done,
-    /// It did not run.
+    /// The request was not executed.
     NotRun,
-    /// Nobody knows.
+    /// It is unknown whether the request was executed.
     Unknown,
 }
 
-/// What an error tells its caller.
+/// Returns the outcome that an error reports to its caller.
 pub fn reported(error: &tokio_postgres::Error) -> Reported {
     let Some(error) = error.as_db_error() else { return Reported::Unknown };
     match (error.detail(), error.code().code()) {
         (Some("done"), _) => Reported::Done,
         (Some("not run"), _) => Reported::NotRun,
         (Some("unknown"), _) => Reported::Unknown,
-        // An error of the server itself: the statement failed there.
+        // An error of the backend server itself: the statement failed there.
         _ => Reported::NotRun,
     }
 }
 
-/// Writers through several hosts, and what they were told.
+/// Writers through several hosts, and the reported outcomes of their writes.
 pub struct Ledger {
     reported: Arc<Mutex<BTreeMap<String, Reported>>>,
     stop: Arc<AtomicBool>,
@@ -63,18 +65,20 @@
         ledger
     }
 
-    /// How many were told so.
-    pub fn count(&self, reported: Reported) -> usize {
-        self.reported.lock().unwrap().values().filter(|t| **t == reported).count()
+    /// Returns the number of writes with this reported outcome.
+    pub fn count(&self, outcome: Reported) -> usize {
+        self.reported.lock().unwrap().values().filter(|r| **r == outcome).count()
     }
 
-    /// Waits until so many more writes are done.
+    /// Waits until `more` further writes are reported as done.
     pub async fn until_done(&self, more: usize) {
         let wanted = self.count(Reported::Done) + more;
         until("writes are done", async || self.count(Reported::Done) >= wanted).await;
     }
 
-    /// Ends the writers and compares what they were told with the primary's table.
+    /// Ends the writers and compares the reported outcomes with the primary's table: a write reported
+    /// as done is there once, one reported as not run is not there, and one with an unknown outcome
+    /// is there at most once.
     pub async fn check(mut self, system: &System) {
         self.stop.store(true, Ordering::Relaxed);
         for writer in self.writers.drain(..) {
@@ -82,27 +86,29 @@
         }
         let (primary, _) = primary(system).await;
         let client = system.connect_server(&primary).await.unwrap();
-        let mut times: BTreeMap<String, usize> = BTreeMap::new();
+        let mut rows: BTreeMap<String, usize> = BTreeMap::new();
         for id in system::rows(&client, "SELECT id FROM booking").await.unwrap() {
-            *times.entry(id).or_default() += 1;
+            *rows.entry(id).or_default() += 1;
         }
         for (id, reported) in self.reported.lock().unwrap().iter() {
-            let times = times.get(id).copied().unwrap_or_default();
-            let fits = match reported {
-                Reported::Done => times == 1,
-                Reported::NotRun => times == 0,
-                Reported::Unknown => times <= 1,
+            let count = rows.get(id).copied().unwrap_or_default();
+            let matches = match reported {
+                Reported::Done => count == 1,
+                Reported::NotRun => count == 0,
+                Reported::Unknown => count <= 1,
             };
-            assert!(fits, "{id} was told {reported:?} and is there {times} times");
+            assert!(matches, "{id} was reported as {reported:?} and is in the table {count} times");
         }
-        assert!(self.count(Reported::Done) > 0, "nothing was written");
+        assert!(self.count(Reported::Done) > 0, "no write was done");
     }
 }
 
+/// Inserts rows until `stop` is set and records the reported outcome of each. Reconnects when the
+/// connection is closed.
 async fn write(
     writer: usize,
     config: Config,
-    told_by: Arc<Mutex<BTreeMap<String, Reported>>>,
+    outcomes: Arc<Mutex<BTreeMap<String, Reported>>>,
     stop: Arc<AtomicBool>,
 ) {
     let mut client = None;
@@ -114,37 +120,37 @@
             client = system::connect(&config).await.ok();
         }
         let Some(client) = &client else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         };
         let id = format!("w{writer}-{number}");
         let answer = client.simple_query(&format!("INSERT INTO booking VALUES ('{id}')")).await;
-        let was = answer.map_or_else(|error| reported(&error), |_| Reported::Done);
-        told_by.lock().unwrap().insert(id, was);
-        tokio::time::sleep(PAUSE).await;
+        let outcome = answer.map_or_else(|error| reported(&error), |_| Reported::Done);
+        outcomes.lock().unwrap().insert(id, outcome);
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; `what` describes it for the message of the time-out.
 pub async fn until(what: &str, holds: impl AsyncFn() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !holds().await {
-        assert!(Instant::now() < deadline, "waited in vain until {what}");
-        tokio::time::sleep(PAUSE).await;
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// What a server says of itself, if it answers.
+/// Returns the status that a server reports, if it answers within a second.
 pub async fn status(system: &System, server: &str) -> Option<Status> {
-    let ask = async {
+    let query = async {
         let client = system.connect_server(server).await.ok()?;
         let rows = system::rows(&client, "SHOW group_status").await.ok()?;
         rows.first()?.parse().ok()
     };
-    tokio::time::timeout(Duration::from_secs(1), ask).await.ok().flatten()
+    tokio::time::timeout(Duration::from_secs(1), query).await.ok().flatten()
 }
 
-/// The server that leads the greatest term, and what it says.
+/// Returns the server that leads the greatest term, and its status.
 pub async fn primary(system: &System) -> (String, Status) {
     let deadline = Instant::now() + PATIENCE;
     loop {
@@ -157,8 +163,8 @@
         if let Some(found) = leading.into_iter().max_by_key(|(_, status)| status.term) {
             return found;
         }
-        assert!(Instant::now() < deadline, "no server leads");
-        tokio::time::sleep(PAUSE).await;
+        assert!(Instant::now() < deadline, "no server leads a term");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
