--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -1,4 +1,5 @@
-//! Backend servers that leave, and addresses that another server has taken.
+//! Backend servers that leave or lose contact with their group, and addresses reused by a server of
+//! another group.
 
 mod hosts;
 
@@ -11,14 +12,14 @@
 use hosts::{WAIT_TIMEOUT, block_on, sleep_ms, start_system};
 use lab::soak::world::World;
 
-/// Leader and replicas of the first group, and a replica of the second.
+/// Places of the first group's leader, one of its replicas, and a replica of the second group.
 const LEADER: usize = 0;
 const REPLICA: usize = 1;
-const STRANGER: usize = 4;
+const OTHER_REPLICA: usize = 4;
 
-/// Callers of a system, until `stop` is set.
-fn load(world: &Rc<RefCell<World>>) -> Rc<Cell<bool>> {
-    // The reads by which the system was waited for are no caller's.
+/// Starts callers of the system. They run until the returned flag is set.
+fn start_callers(world: &Rc<RefCell<World>>) -> Rc<Cell<bool>> {
+    // The reads of `await_serving` belong to no recorded caller and are reported as violations.
     world.borrow().groups.borrow_mut().broken.clear();
     let stop = Rc::new(Cell::new(false));
     for caller in world.borrow().make_callers(4) {
@@ -27,106 +28,108 @@
     stop
 }
 
-/// Waits until so many more statements are answered with success.
-async fn served(world: &Rc<RefCell<World>>, more: u64) {
+/// Waits until `more` further statements have succeeded.
+async fn await_served(world: &Rc<RefCell<World>>, more: u64) {
     let served = world.borrow().served.clone();
-    let (before, began) = (served.get(), Instant::now());
+    let (before, start) = (served.get(), Instant::now());
     while served.get() < before + more {
-        assert!(began.elapsed() < WAIT_TIMEOUT, "callers are not served");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "callers are not served");
         sleep_ms(20).await;
     }
 }
 
-fn assert_kept(world: &Rc<RefCell<World>>) {
+/// Checks that no guarantee was broken and no acknowledged commit was rolled back.
+fn assert_no_violations(world: &Rc<RefCell<World>>) {
     let world = world.borrow();
     let groups = world.groups.borrow();
     assert!(groups.broken.is_empty(), "{:#?}", groups.broken);
     assert_eq!(groups.rolled_back, 0);
 }
 
-/// An operator takes a replica out. It says so and serves a few seconds more; reads
-/// that went on being sent there would be cut off when it ends.
+/// Guards against reads that are cut off when a replica ends. An operator removes the replica: it
+/// reports that it leaves and serves a few seconds more, and reads still sent to it then would fail.
 #[test]
-fn a_replica_that_leaves_gets_no_new_statements() {
+fn leaving_replica_receives_no_new_statements() {
     block_on(async {
         let world = start_system(2).await;
-        let stop = load(&world);
+        let stop = start_callers(&world);
         while world.borrow().ran(REPLICA) < 20 {
-            served(&world, 50).await;
+            await_served(&world, 50).await;
         }
         world.borrow().leave(REPLICA);
-        // What the hosts are told within this time, and what is open by then, may end there.
+        // Hosts may still send statements there until they are notified, and what is open by then
+        // may finish there.
         sleep_ms(3000).await;
         let before = world.borrow().ran(REPLICA);
-        served(&world, 400).await;
+        await_served(&world, 400).await;
         stop.set(true);
         assert_eq!(world.borrow().ran(REPLICA), before);
-        assert_kept(&world);
+        assert_no_violations(&world);
     });
 }
 
-/// An operator takes a leader out. Its successor must have received all that was
-/// acknowledged before it leads, and the old one must get no statement any more.
+/// Guards against lost commits when an operator removes a leader: the successor must have received
+/// every acknowledged commit before it leads. The old leader must receive no further statements.
 #[test]
-fn a_leader_that_leaves_hands_over_and_loses_nothing() {
+fn leaving_leader_hands_over_without_losing_commits() {
     block_on(async {
         let world = start_system(2).await;
-        let stop = load(&world);
-        served(&world, 200).await;
+        let stop = start_callers(&world);
+        await_served(&world, 200).await;
         world.borrow().leave(LEADER);
-        let began = Instant::now();
+        let start = Instant::now();
         while world.borrow().groups.borrow().promotions == 0 {
-            assert!(began.elapsed() < WAIT_TIMEOUT, "nobody else leads");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "no other server was promoted");
             sleep_ms(20).await;
         }
         sleep_ms(3000).await;
         let before = world.borrow().ran(LEADER);
-        served(&world, 400).await;
+        await_served(&world, 400).await;
         stop.set(true);
         assert_eq!(world.borrow().ran(LEADER), before);
         assert_eq!(world.borrow().groups.borrow().promotions, 1);
-        assert_kept(&world);
+        assert_no_violations(&world);
     });
 }
 
-/// A leader is cut off from its replicas and answers its callers as before. Bookings
-/// that callers were told of were taken back when another server led in its place.
+/// Guards against acknowledged bookings that are rolled back. A leader is cut off from its replicas
+/// but still answers its callers; its commits were lost when another server led in its place.
 #[test]
-fn a_leader_without_its_replicas_has_nothing_acknowledged_taken_back() {
+fn failover_of_leader_cut_off_from_replicas_rolls_back_no_acknowledged_commit() {
     block_on(async {
         let world = start_system(2).await;
-        let stop = load(&world);
-        served(&world, 200).await;
+        let stop = start_callers(&world);
+        await_served(&world, 200).await;
         world.borrow().groups.borrow_mut().servers[LEADER].cut = true;
-        let began = Instant::now();
+        let start = Instant::now();
         while world.borrow().groups.borrow().promotions == 0 {
-            assert!(began.elapsed() < WAIT_TIMEOUT, "nobody else leads");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "no other server was promoted");
             sleep_ms(20).await;
         }
-        served(&world, 200).await;
+        await_served(&world, 200).await;
         world.borrow().groups.borrow_mut().servers[LEADER].cut = false;
-        served(&world, 200).await;
+        await_served(&world, 200).await;
         stop.set(true);
         assert_eq!(world.borrow().groups.borrow().promotions, 1);
-        assert_kept(&world);
+        assert_no_violations(&world);
     });
 }
 
-/// A replica's address is taken by a server of another group while the list still
-/// names it for the old one. A read that ran there would show another database.
+/// Guards against reads that return rows of another database. A server of another group takes over
+/// a replica's address while the server list still has the address under the old replica.
 #[test]
-fn an_address_that_another_server_has_taken_runs_nothing() {
+fn address_reused_by_another_group_receives_no_statements() {
     block_on(async {
         let world = start_system(2).await;
-        let stop = load(&world);
-        served(&world, 200).await;
+        let stop = start_callers(&world);
+        await_served(&world, 200).await;
         world.borrow().keeps_entries.set(true);
         world.borrow().standins[REPLICA].stop();
-        world.borrow().list_at(REPLICA, STRANGER);
+        world.borrow().list_at(REPLICA, OTHER_REPLICA);
         let before = world.borrow().ran(REPLICA);
-        served(&world, 400).await;
+        await_served(&world, 400).await;
         stop.set(true);
         assert_eq!(world.borrow().ran(REPLICA), before);
-        assert_kept(&world);
+        assert_no_violations(&world);
     });
 }
