--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels, in time and late; callers that leave in the middle.
+//! Cancel requests that arrive in time or late, and callers that disconnect within a transaction.
 
 use std::time::{Duration, Instant};
 
@@ -17,18 +17,19 @@
     (system, client)
 }
 
-/// Sets a knob of the stand-in that leads.
-async fn set(system: &System, name: &str, millis: u64) {
+/// Sets a delay of the stand-in primary, in milliseconds.
+async fn set_delay(system: &System, name: &str, ms: u64) {
     let server = system.connect_server("g1s1").await.unwrap();
-    server.batch_execute(&format!("SET standin.{name} = {millis}")).await.unwrap();
+    server.batch_execute(&format!("SET standin.{name} = {ms}")).await.unwrap();
 }
 
+/// Returns the SQLSTATE of an error, or `none`.
 fn code(error: &tokio_postgres::Error) -> &str {
     error.code().map_or("none", SqlState::code)
 }
 
-/// Cancels what the client runs, again and again until it has ended.
-async fn cancelled(client: &Client, sql: &str) -> Result<(), tokio_postgres::Error> {
+/// Runs a statement and sends cancel requests for it, every 20 ms, until it ends.
+async fn run_cancelled(client: &Client, sql: &str) -> Result<(), tokio_postgres::Error> {
     let token = client.cancel_token();
     let cancel = async {
         loop {
@@ -42,26 +43,29 @@
     }
 }
 
+/// Guards against cancel requests without effect: the statement would run for 3 s and insert its
+/// row.
 #[tokio::test]
-async fn a_running_statement_is_cancelled() {
+async fn cancel_request_ends_running_statement() {
     let (system, client) = start().await;
-    set(&system, "service_ms", 3_000).await;
-    let began = Instant::now();
-    let error = cancelled(&client, "INSERT INTO visit VALUES (1)").await.unwrap_err();
+    set_delay(&system, "service_ms", 3_000).await;
+    let start = Instant::now();
+    let error = run_cancelled(&client, "INSERT INTO visit VALUES (1)").await.unwrap_err();
     assert_eq!(code(&error), "57014");
-    assert!(began.elapsed() < Duration::from_secs(3), "the statement ran to its end");
-    set(&system, "service_ms", 0).await;
+    assert!(start.elapsed() < Duration::from_secs(3), "the statement ran to its end");
+    set_delay(&system, "service_ms", 0).await;
     client.batch_execute("INSERT INTO visit VALUES (2)").await.unwrap();
     assert_eq!(system::rows(&client, "SELECT id FROM visit").await.unwrap(), ["2"]);
 }
 
-/// The balancer sends a caller's cancel to another host than its connection.
+/// Guards against lost cancel requests: the load balancer may send a caller's cancel request to
+/// another host than the one that has its connection.
 #[tokio::test]
-async fn a_cancel_reaches_its_host_through_another_one() {
+async fn cancel_request_sent_to_another_host_ends_the_statement() {
     let (system, _client) = start().await;
     let mut caller = RawCaller::login(&system, 0, "baobab").await.unwrap();
     let (pid, secret) = caller.key.unwrap();
-    set(&system, "service_ms", 3_000).await;
+    set_delay(&system, "service_ms", 3_000).await;
     caller.send(&Query::new("INSERT INTO visit VALUES (1)".into())).await.unwrap();
     let cancel = async {
         loop {
@@ -71,62 +75,63 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    let answer = tokio::select! {
-        answer = caller.until_ready() => answer.unwrap(),
+    let response = tokio::select! {
+        response = caller.until_ready() => response.unwrap(),
         () = cancel => unreachable!(),
     };
-    let error = answer.iter().find(|frame| frame.tag == b'E').expect("it ran to its end");
+    let error =
+        response.iter().find(|frame| frame.tag == b'E').expect("the statement ran to its end");
     assert!(String::from_utf8_lossy(error.body()).contains("57014"));
 }
 
-/// A caller cancels a statement that is about to end. The cancel reaches the
-/// server late, when the connection already runs another caller's transaction,
-/// which is ended though nobody wanted that.
+/// Guards against the cancellation of another caller's transaction. A caller cancels a statement
+/// that is about to end; the cancel request reaches the server late, when the connection already
+/// runs a transaction of another caller.
 #[tokio::test]
-async fn a_late_cancel_hits_no_other_transaction() {
+async fn late_cancel_request_ends_no_other_transaction() {
     let (system, client) = start().await;
-    set(&system, "service_ms", 200).await;
-    set(&system, "cancel_ms", 600).await;
+    set_delay(&system, "service_ms", 200).await;
+    set_delay(&system, "cancel_ms", 600).await;
     let other = system.connect(1, "hartwell", "g1").await.unwrap();
-    // In time or late, the cancelled one may end either way.
-    let _ = cancelled(&client, "INSERT INTO visit VALUES (1)").await;
-    let until = Instant::now() + Duration::from_millis(1_200);
-    while Instant::now() < until {
+    // The cancel request may arrive in time or late, so either result is valid.
+    let _ = run_cancelled(&client, "INSERT INTO visit VALUES (1)").await;
+    let deadline = Instant::now() + Duration::from_millis(1_200);
+    while Instant::now() < deadline {
         other.batch_execute("INSERT INTO visit VALUES (7)").await.unwrap();
     }
 }
 
-/// A cancel comes when its caller's statement has just ended. It must not be
-/// kept for the next one.
+/// Guards against the cancellation of a caller's next statement: a cancel request that arrives when
+/// the statement has just ended must not be kept.
 #[tokio::test]
-async fn a_cancel_with_nothing_to_cancel_is_dropped() {
+async fn cancel_request_without_running_statement_is_dropped() {
     let (system, _client) = start().await;
     let mut caller = RawCaller::login(&system, 0, "baobab").await.unwrap();
     let (pid, secret) = caller.key.unwrap();
-    set(&system, "service_ms", 200).await;
+    set_delay(&system, "service_ms", 200).await;
     let mut cancel = RawCaller::open(&system, 0).await.unwrap();
     cancel.send(&CancelRequest::new(pid, SecretKey::I32(secret))).await.unwrap();
-    // It has been seen to when the host closes the connection.
+    // The host closes the connection once it has handled the cancel request.
     assert!(cancel.is_closed().await);
     caller.send(&Query::new("INSERT INTO visit VALUES (1)".into())).await.unwrap();
-    let answer = caller.until_ready().await.unwrap();
-    assert!(answer.iter().all(|frame| frame.tag != b'E'), "{answer:?}");
+    let response = caller.until_ready().await.unwrap();
+    assert!(response.iter().all(|frame| frame.tag != b'E'), "{response:?}");
 }
 
-/// A caller's process is killed in the middle of a transaction that has written.
-/// Its place and its locks must be free at once, not when the transaction has
-/// stood idle too long, and nothing of it may stay.
+/// Guards against slots and locks held by a caller that is gone. Its process is killed within a
+/// transaction that has written: slot and locks must be free at once, not only after the idle
+/// timeout of the transaction, and none of its writes may remain.
 #[tokio::test]
-async fn a_caller_that_leaves_within_a_transaction_holds_up_nobody() {
+async fn disconnect_within_transaction_blocks_no_other_caller() {
     let (system, client) = start().await;
-    let leaver = system.connect(1, "hartwell", "g1").await.unwrap();
-    leaver.batch_execute("BEGIN; INSERT INTO visit VALUES (1)").await.unwrap();
-    // Waits for the other's transaction, for a server runs one write at a time.
+    let disconnected = system.connect(1, "hartwell", "g1").await.unwrap();
+    disconnected.batch_execute("BEGIN; INSERT INTO visit VALUES (1)").await.unwrap();
+    // Waits for the open transaction, because a server runs one write at a time.
     let waiting = tokio::spawn(async move {
         client.batch_execute("INSERT INTO visit VALUES (2)").await.unwrap();
         client
     });
-    drop(leaver);
+    drop(disconnected);
     let client = waiting.await.unwrap();
     assert_eq!(system::rows(&client, "SELECT id FROM visit").await.unwrap(), ["2"]);
 }
