--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -1,4 +1,5 @@
-//! An ordinary driver with its defaults: what it prepares, pipelines and describes.
+//! An ordinary driver with its default settings: prepared statements, pipelines, transactions and
+//! portals.
 
 use lab::system::{self, Plan, System};
 use tokio_postgres::{Client, error::SqlState};
@@ -12,18 +13,21 @@
     (system, client)
 }
 
+/// Returns the SQLSTATE of an error, or `none`.
 fn code(error: &tokio_postgres::Error) -> &str {
     error.code().map_or("none", SqlState::code)
 }
 
+/// Guards against prepared statements and typed parameters that fail because each execution may use
+/// another connection to another server.
 #[tokio::test]
-async fn typed_queries_and_prepared_statements_work_with_the_defaults() {
+async fn typed_queries_and_prepared_statements_work_with_default_settings() {
     let (_system, client) = start().await;
     let insert = client.prepare("INSERT INTO visit (id, place) VALUES ($1, $2)").await.unwrap();
     for (id, place) in [(1, "chapel"), (2, "school"), (3, "farm")] {
         assert_eq!(client.execute(&insert, &[&id, &place]).await.unwrap(), 1);
     }
-    // Each run may get another connection to another server.
+    // Each execution may use another connection to another server.
     let find = client.prepare("SELECT id, place FROM visit WHERE id = $1").await.unwrap();
     for (id, place) in [(3, "farm"), (1, "chapel")] {
         let row = client.query_one(&find, &[&id]).await.unwrap();
@@ -40,8 +44,10 @@
     client.query_one("SELECT 1", &[]).await.unwrap();
 }
 
+/// Guards against transactions that commit or roll back other than the driver requests: by commit,
+/// by dropping the transaction, or by a rollback after a failed statement.
 #[tokio::test]
-async fn transactions_of_the_driver_commit_and_roll_back() {
+async fn driver_transactions_commit_and_roll_back() {
     let (_system, mut client) = start().await;
     let transaction = client.transaction().await.unwrap();
     transaction.execute("INSERT INTO visit VALUES ($1, $2)", &[&1, &"chapel"]).await.unwrap();
@@ -63,32 +69,34 @@
     assert_eq!(rows, ["chapel"]);
 }
 
-/// A driver sends its next statements before it has the answers of the first
-/// ones. Each gets its own answer, in order, also when one of them fails.
+/// Guards against mixed-up answers: a driver sends further statements before it has the answers to
+/// the first ones. Each gets its own answer, in order, also when one of them fails.
 #[tokio::test]
-async fn pipelined_statements_get_their_own_answers() {
+async fn pipelined_statements_get_their_own_answers_in_order() {
     let (_system, client) = start().await;
     let insert = client.prepare("INSERT INTO visit (id, place) VALUES ($1, $2)").await.unwrap();
     let rows = [(1, "a"), (2, "b"), (3, "c"), (4, "d")];
-    let runs = rows.iter().map(|(id, place)| async {
+    let inserts = rows.iter().map(|(id, place)| async {
         let params: [&(dyn tokio_postgres::types::ToSql + Sync); 2] = [id, place];
         client.execute(&insert, &params).await
     });
-    let results = futures_util::future::join_all(runs).await;
+    let results = futures_util::future::join_all(inserts).await;
     assert!(results.iter().all(|r| matches!(r, Ok(1))), "{results:?}");
-    let echo = client.prepare("SELECT place FROM visit WHERE id = $1").await.unwrap();
-    let (a, bad, d) = tokio::join!(
-        async { client.query_one(&echo, &[&1]).await },
+    let find = client.prepare("SELECT place FROM visit WHERE id = $1").await.unwrap();
+    let (first, failed, last) = tokio::join!(
+        async { client.query_one(&find, &[&1]).await },
         async { client.simple_query("SELECT nothing FROM visit").await },
-        async { client.query_one(&echo, &[&4]).await },
+        async { client.query_one(&find, &[&4]).await },
     );
-    assert_eq!(a.unwrap().get::<_, &str>(0), "a");
-    bad.unwrap_err();
-    assert_eq!(d.unwrap().get::<_, &str>(0), "d");
+    assert_eq!(first.unwrap().get::<_, &str>(0), "a");
+    failed.unwrap_err();
+    assert_eq!(last.unwrap().get::<_, &str>(0), "d");
 }
 
+/// Guards against lost or repeated rows when a driver fetches a portal in parts and runs other
+/// statements in between.
 #[tokio::test]
-async fn a_portal_gives_its_rows_in_parts() {
+async fn portal_fetched_in_parts_returns_every_row_once() {
     let (_system, mut client) = start().await;
     let values: Vec<String> = (0..10).map(|i| format!("({i}, 'p{i}')")).collect();
     let insert = format!("INSERT INTO visit VALUES {}", values.join(", "));
@@ -100,7 +108,7 @@
     loop {
         let rows = transaction.query_portal(&portal, 4).await.unwrap();
         seen.extend(rows.iter().map(|row| row.get::<_, i32>(0)));
-        // Other statements between two parts leave the portal as it is.
+        // Other statements between two fetches do not change the portal.
         transaction.query_one("SELECT count(*) FROM visit", &[]).await.unwrap();
         if rows.len() < 4 {
             break;
