--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -47,7 +47,7 @@
 }
 
 /// Guards against reads that are cut off when a replica ends. An operator removes the replica: it
-/// reports that it leaves and serves a few seconds more, and reads still sent to it then would fail.
+/// reports that it leaves and serves a few seconds more; reads still sent to it then would fail.
 #[test]
 fn leaving_replica_receives_no_new_statements() {
     block_on(async {
--- a/tests/ledger/mod.rs
+++ b/tests/ledger/mod.rs
@@ -76,9 +76,9 @@
         until("writes are done", async || self.count(Reported::Done) >= wanted).await;
     }
 
-    /// Ends the writers and compares the reported outcomes with the primary's table: a write reported
-    /// as done is there once, one reported as not run is not there, and one with an unknown outcome
-    /// is there at most once.
+    /// Ends the writers and compares the reported outcomes with the primary's table: a write
+    /// reported as done is there once, one reported as not run is not there, and one with an
+    /// unknown outcome is there at most once.
     pub async fn check(mut self, system: &System) {
         self.stop.store(true, Ordering::Relaxed);
         for writer in self.writers.drain(..) {
