--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Callers that send garbage, nothing, too much or too slowly. Each may lose
-//! its own connection; nobody else may notice.
+//! Callers that send garbage, nothing, too much or too slowly. Each may lose its own connection; no
+//! other caller may be affected.
 
 use bytes::{BufMut, BytesMut};
 use lab::{
@@ -16,6 +16,7 @@
     (system, client)
 }
 
+/// Returns a message of the protocol with this type byte and body.
 fn message(tag: u8, body: &[u8]) -> BytesMut {
     let mut out = BytesMut::new();
     out.put_u8(tag);
@@ -24,19 +25,19 @@
     out
 }
 
-/// What the host says until it closes the connection.
-async fn last_words(mut caller: RawCaller) -> String {
-    let mut words = String::new();
+/// Returns the text of all messages that the host sends until it closes the connection.
+async fn read_until_closed(mut caller: RawCaller) -> String {
+    let mut text = String::new();
     while let Ok(frame) = caller.next().await {
-        words += &String::from_utf8_lossy(frame.body());
+        text += &String::from_utf8_lossy(frame.body());
     }
-    words
+    text
 }
 
-/// A caller sends messages whose bodies are shorter than their own counts say.
-/// The codec panics on these, and the panic ended the host with all callers.
+/// Guards against a host that ends with all its callers: the codec panics on messages whose bodies
+/// are shorter than the counts inside them, and the panic ended the host.
 #[tokio::test]
-async fn damaged_messages_are_told_to_their_sender_only() {
+async fn truncated_message_bodies_affect_their_sender_only() {
     let (system, other) = start().await;
     for tag in [b'P', b'B', b'D', b'E', b'C'] {
         for body in [&b""[..], b"\0", b"a\0", b"a\0b\0\xff\xff", b"\0\0\0\x01\0\0"] {
@@ -49,28 +50,29 @@
     other.simple_query("SELECT id FROM visit").await.unwrap();
 }
 
-/// A caller announces a message of 1 GB, or sends what is no message at all.
-/// It is told so at once: the host would else hold whatever it sends.
+/// Guards against unbounded memory for one caller, which announces a message of 1 GB or sends an
+/// unknown message type or length. It gets an error at once; otherwise the host would hold whatever
+/// it sends.
 #[tokio::test]
-async fn messages_that_are_too_long_or_unknown_end_the_connection_with_a_reason() {
+async fn oversized_or_unknown_message_closes_the_connection_with_an_error() {
     let (system, other) = start().await;
     let mut caller = RawCaller::login(&system, 0, "baobab").await.unwrap();
     caller.writer.send(b"Q\x40\0\0\0SELECT").await.unwrap();
-    assert!(last_words(caller).await.contains("08P01"));
+    assert!(read_until_closed(caller).await.contains("08P01"));
     let mut caller = RawCaller::login(&system, 0, "baobab").await.unwrap();
     caller.writer.send(&message(b'?', b"what")).await.unwrap();
-    assert!(last_words(caller).await.contains("08P01"));
+    assert!(read_until_closed(caller).await.contains("08P01"));
     let mut caller = RawCaller::login(&system, 0, "baobab").await.unwrap();
-    // Its own length is below that of the length.
+    // The length field is smaller than its own size of 4 bytes.
     caller.writer.send(b"Q\0\0\0\x01").await.unwrap();
-    assert!(last_words(caller).await.contains("08P01"));
+    assert!(read_until_closed(caller).await.contains("08P01"));
     other.simple_query("SELECT id FROM visit").await.unwrap();
 }
 
-/// Before a key is proved nobody may make the host hold more than a little, and
-/// whatever is sent ends that one connection.
+/// Guards against memory held for callers that have not proven a key: any garbage in place of a
+/// startup message closes that one connection.
 #[tokio::test]
-async fn garbage_in_place_of_a_start_up_is_refused() {
+async fn garbage_in_place_of_startup_message_closes_the_connection() {
     let (system, other) = start().await;
     let garbage: [&[u8]; 6] = [
         b"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -89,17 +91,17 @@
     other.simple_query("SELECT id FROM visit").await.unwrap();
 }
 
-/// A caller mistypes its key, or names one that does not exist: it cannot tell
-/// which of the two it was.
+/// Guards against disclosure of which accounts and keys exist: a wrong key and an unknown one get
+/// the same answer.
 #[tokio::test]
-async fn a_wrong_key_and_an_unknown_one_get_the_same_answer() {
+async fn wrong_key_and_unknown_key_get_the_same_answer() {
     let (system, _other) = start().await;
     let mut answers = Vec::new();
     for (user, key) in [("baobab.k1", "wrong"), ("baobab.k9", "wrong"), ("nobody.k1", "wrong")] {
         let mut config = system.caller(0, "baobab", "g1");
         config.user(user).password(key);
         let Err(error) = config.connect(tokio_postgres::NoTls).await else {
-            panic!("{user} was let in")
+            panic!("{user} was accepted")
         };
         let error = error.as_db_error().unwrap();
         answers.push((error.code().code().to_owned(), error.message().to_owned()));
@@ -108,17 +110,17 @@
     assert!(answers.iter().all(|answer| *answer == answers[0]), "{answers:?}");
 }
 
-/// Two hundred connections are opened that say nothing, half of a start-up, or
-/// all of it. Those above the limit are told so; callers that are there go on,
-/// and when the flood is over new ones come in again.
+/// Guards against a flood of connections that stops other callers. 200 connections send nothing or
+/// part of a startup message. Connections above the limit are refused with "not run", connected
+/// callers are served, and when the flood is over new callers can connect again.
 #[tokio::test]
-async fn a_flood_of_connections_leaves_callers_alone() {
+async fn connection_flood_does_not_affect_connected_callers() {
     let (system, other) = start().await;
     let mut flood = Vec::new();
     for i in 0..200 {
         let mut caller = RawCaller::open(&system, 0).await.unwrap();
         let bytes = &b"\0\0\0\x30\0\x03\0\0user\0baobab.k1"[..];
-        // May be closed already: far above the limit nothing is answered.
+        // May be closed already: far above the limit connections are closed without an answer.
         let _ = caller.writer.send(&bytes[..(i % 3) * 11]).await;
         flood.push(caller);
     }
@@ -128,7 +130,7 @@
     let mut refused = 0;
     for _ in 0..5 {
         match system.caller(0, "baobab", "g1").connect(tokio_postgres::NoTls).await {
-            Ok(_) => panic!("a caller above the limit was let in"),
+            Ok(_) => panic!("a caller above the limit was accepted"),
             Err(error) => {
                 let detail = error.as_db_error().and_then(|e| e.detail()).unwrap_or_default();
                 refused += usize::from(detail == "not run");
@@ -136,15 +138,16 @@
         }
         tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     }
-    assert!(refused > 0, "nobody above the limit was told so");
+    assert!(refused > 0, "no caller above the limit was refused with \"not run\"");
     drop(flood);
     system.connect(0, "baobab", "g1").await.unwrap();
 }
 
-/// A tenant's thirty callers each announce a message of 15 MB and send all but
-/// its end. The host would hold 450 MB for them, and end with all its callers.
+/// Guards against a host that runs out of memory and ends with all its callers. A client account's
+/// 30 callers each announce a message of 15 MB and send all but its end; the host would hold 450 MB
+/// for them.
 #[tokio::test]
-async fn large_messages_share_a_limited_memory() {
+async fn incomplete_large_messages_share_a_memory_limit() {
     let (system, other) = start().await;
     let pid = system.hosts[0].pid().unwrap();
     let body = vec![b'x'; 15 << 20];
@@ -152,46 +155,46 @@
     for _ in 0..30 {
         callers.push(RawCaller::login(&system, 0, "baobab").await.unwrap());
     }
-    let senders = callers.into_iter().map(async |mut caller| {
+    let sends = callers.into_iter().map(async |mut caller| {
         // Fails when the host has closed the connection.
         let head = [0x51, 0x00, 0xF0, 0x00, 0x10];
         let sent =
             caller.writer.send(&head).await.is_ok() && caller.writer.send(&body).await.is_ok();
         (caller, sent)
     });
-    let mut there = Vec::new();
-    for (caller, sent) in futures_util::future::join_all(senders).await {
+    let mut accepted = Vec::new();
+    for (caller, sent) in futures_util::future::join_all(sends).await {
         other.simple_query("SELECT id FROM visit").await.unwrap();
         if sent {
-            there.push(caller);
+            accepted.push(caller);
         }
     }
-    assert!(there.len() < 30, "all were taken");
-    let most = lab::usage::resident(pid);
-    assert!(most < 200 << 20, "the host holds {most} bytes");
-    drop(there);
+    assert!(accepted.len() < 30, "all messages were accepted");
+    let memory = lab::usage::resident(pid);
+    assert!(memory < 200 << 20, "the host holds {memory} bytes");
+    drop(accepted);
     system::until_runs(&other, &format!("SELECT '{}'", "y".repeat(10 << 20))).await.unwrap();
 }
 
-/// A caller prepares statements without end. It is refused before the host's
-/// memory is, and its other statements still work.
+/// Guards against unbounded memory for prepared statements: a caller that prepares them without end
+/// is refused at a limit, and its other statements still work.
 #[tokio::test]
-async fn prepared_statements_are_bounded() {
+async fn prepared_statements_of_a_caller_are_limited() {
     let (system, _other) = start().await;
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    let mut kept = Vec::new();
+    let mut prepared = Vec::new();
     let error = loop {
-        let sql = format!("SHOW bergamottrack.session -- {}", kept.len());
+        let sql = format!("SHOW bergamottrack.session -- {}", prepared.len());
         match client.prepare(&sql).await {
-            Ok(statement) => kept.push(statement),
+            Ok(statement) => prepared.push(statement),
             Err(error) => break error,
         }
-        assert!(kept.len() <= 1_000, "there is no limit");
+        assert!(prepared.len() <= 1_000, "prepared statements are not limited");
     };
     assert_eq!(error.code().unwrap().code(), "54000");
     client.query("SHOW bergamottrack.session", &[]).await.unwrap_err();
     client.simple_query("SELECT id FROM visit").await.unwrap();
-    kept.clear();
+    prepared.clear();
     client.simple_query("SELECT id FROM visit").await.unwrap();
     client.query("SHOW bergamottrack.session", &[]).await.unwrap();
 }
