--- a/tests/large.rs
+++ b/tests/large.rs
@@ -1,4 +1,4 @@
-//! Answers of tens of megabytes over slow ways.
+//! Answers of tens of megabytes to slow callers.
 
 use std::time::{Duration, Instant};
 
@@ -8,10 +8,14 @@
 };
 use pgwire::messages::simplequery::Query;
 
+/// Number of rows of the large answer.
 const ROWS: usize = 2_000;
+
+/// Length of each row in bytes.
 const ROW_LEN: usize = 10_000;
 
-/// One of the two hosts is the home, so answers go both ways: with and without a hop.
+/// Starts a system with a table of `ROWS` rows. One of its two hosts is the home of the group, so
+/// answers are tested with and without a hop between hosts.
 async fn start() -> System {
     let plan = Plan { hosts: 2, policy: "request_ms = 1500".into(), ..Plan::default() };
     let system = System::start(plan).await.unwrap();
@@ -28,11 +32,11 @@
     system
 }
 
-/// A caller asks for 20 MB and takes them at about 8 MB a second. The hosts must
-/// not hold the whole answer meanwhile, other callers must not wait, and the
-/// caller gets all of it, though that takes longer than a request may.
+/// Guards against hosts that hold a whole large answer. A caller requests 20 MB and reads them at
+/// about 8 MB a second. Other callers must not wait, and the caller gets the whole answer although
+/// that takes longer than the timeout of a request.
 #[tokio::test]
-async fn a_large_answer_to_a_slow_caller_is_whole_and_held_by_no_host() {
+async fn large_answer_to_slow_caller_is_complete_and_not_buffered_by_hosts() {
     let system = start().await;
     let other = system.connect(1, "hartwell", "g1").await.unwrap();
     let pids: Vec<u32> = system.hosts.iter().map(|host| host.pid().unwrap()).collect();
@@ -40,8 +44,8 @@
     for host in 0..2 {
         let mut caller = RawCaller::login(&system, host, "baobab").await.unwrap();
         caller.send(&Query::new("SELECT page FROM portfolio".into())).await.unwrap();
-        let (mut rows, mut bytes, mut most) = (0, 0, 0);
-        let mut slowest = Duration::ZERO;
+        let (mut rows, mut bytes, mut max_growth) = (0, 0, 0);
+        let mut max_latency = Duration::ZERO;
         loop {
             let frame = caller.next().await.unwrap();
             bytes += frame.raw.len();
@@ -52,32 +56,32 @@
                 _ => {}
             }
             if rows % 200 == 0 && frame.tag == b'D' {
-                let now = pids
+                let growth = pids
                     .iter()
                     .zip(&before)
                     .map(|(pid, b)| lab::usage::resident(*pid).saturating_sub(*b));
-                most = most.max(now.max().unwrap());
-                let began = Instant::now();
+                max_growth = max_growth.max(growth.max().unwrap());
+                let start = Instant::now();
                 other.simple_query("SELECT 1").await.unwrap();
-                slowest = slowest.max(began.elapsed());
+                max_latency = max_latency.max(start.elapsed());
                 tokio::time::sleep(Duration::from_millis(250)).await;
             }
         }
         assert_eq!(rows, ROWS);
         assert!(bytes > ROWS * ROW_LEN);
-        assert!(most < 8 << 20, "a host grew by {most} bytes");
-        assert!(slowest < Duration::from_secs(2), "another caller waited {slowest:?}");
+        assert!(max_growth < 8 << 20, "a host grew by {max_growth} bytes");
+        assert!(max_latency < Duration::from_secs(2), "another caller waited {max_latency:?}");
     }
 }
 
-/// A caller asks for 20 MB and takes none of it. It is given up when its request's
-/// time is over, and the server's slot is free again.
+/// Guards against slots held by callers that do not read. Each caller requests 20 MB and reads none
+/// of it; its request ends at its timeout, and the server's slot is free again.
 #[tokio::test]
-async fn a_caller_that_takes_nothing_is_given_up() {
+async fn request_of_caller_that_does_not_read_ends_at_its_timeout() {
     let system = start().await;
     let other = system.connect(1, "hartwell", "g1").await.unwrap();
     let mut callers = Vec::new();
-    // As many as the server has slots.
+    // One caller for each slot of the server.
     for _ in 0..5 {
         let mut caller = RawCaller::login(&system, 0, "baobab").await.unwrap();
         let set = "SET bergamottrack.deadline = '1s'";
