--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! No account receives more than its rate and burst over all hosts, counted
-//! from outside: by what callers were served, and when.
+//! Rate limits: no account is served more than its rate and burst over all hosts, as counted from
+//! the requests of its callers and the times of their answers.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,76 +11,81 @@
 use tokio::task::LocalSet;
 use tokio_postgres::{Client, error::SqlState};
 
-const PAUSE: Duration = Duration::from_millis(5);
+/// Delay before a caller reconnects or retries a refused request.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// When a served request was sent and when it was answered.
+/// Times at which a served request was sent and answered.
 type Served = (Instant, Instant);
 
+/// Returns a plan with the account `baobab` limited to `rate` requests a second and `burst`.
 fn plan(rate: f64, burst: f64, hosts: usize) -> Plan {
     let accounts = vec![("baobab".into(), rate, burst), ("hartwell".into(), 1000.0, 1000.0)];
     Plan { accounts, hosts, ..Plan::default() }
 }
 
-/// Callers that ask without end, each through the host that it is told to use.
+/// Callers that send requests without pause until `stop`, each through the host assigned to it.
 struct Load {
     served: Rc<RefCell<Vec<Served>>>,
-    hosts: Vec<Rc<Cell<usize>>>,
+    assigned: Vec<Rc<Cell<usize>>>,
     stopped: Rc<Cell<bool>>,
 }
 
 impl Load {
+    /// Starts the callers, spread over all hosts.
     fn start(system: &System, callers: usize) -> Self {
         let load = Self {
             served: Rc::default(),
-            hosts: (0..callers).map(|i| Rc::new(Cell::new(i % system.plan.hosts))).collect(),
+            assigned: (0..callers).map(|i| Rc::new(Cell::new(i % system.plan.hosts))).collect(),
             stopped: Rc::default(),
         };
-        for host in &load.hosts {
+        for host in &load.assigned {
             let configs: Vec<_> =
                 (0..system.plan.hosts).map(|host| system.caller(host, "baobab", "g1")).collect();
             let (served, host, stopped) = (load.served.clone(), host.clone(), load.stopped.clone());
             tokio::task::spawn_local(async move {
                 while !stopped.get() {
-                    let at = host.get();
-                    if let Ok(client) = system::connect(&configs[at]).await {
-                        let here = || host.get() == at && !stopped.get();
-                        ask(&client, &served, here).await;
+                    let current = host.get();
+                    if let Ok(client) = system::connect(&configs[current]).await {
+                        let stays = || host.get() == current && !stopped.get();
+                        send_requests(&client, &served, stays).await;
                     }
-                    tokio::time::sleep(PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             });
         }
         load
     }
 
-    /// Sends all callers to one host.
-    fn send_to(&self, host: usize) {
-        self.hosts.iter().for_each(|caller| caller.set(host));
+    /// Assigns one host to all callers.
+    fn assign_to(&self, host: usize) {
+        self.assigned.iter().for_each(|caller| caller.set(host));
     }
 
-    /// Spreads the callers over so many hosts.
+    /// Spreads the callers over the first `hosts` hosts.
     fn spread(&self, hosts: usize) {
-        self.hosts.iter().enumerate().for_each(|(i, caller)| caller.set(i % hosts));
+        self.assigned.iter().enumerate().for_each(|(i, caller)| caller.set(i % hosts));
     }
 
+    /// Stops the callers and returns the requests that were served.
     fn stop(&self) -> Vec<Served> {
         self.stopped.set(true);
         self.served.borrow().clone()
     }
 }
 
-async fn ask(client: &Client, served: &RefCell<Vec<Served>>, here: impl Fn() -> bool) {
-    while here() && !client.is_closed() {
+/// Sends requests over one connection while `stays` holds, and records those that are served.
+async fn send_requests(client: &Client, served: &RefCell<Vec<Served>>, stays: impl Fn() -> bool) {
+    while stays() && !client.is_closed() {
         let sent = Instant::now();
         match client.simple_query("SELECT 1").await {
             Ok(_) => served.borrow_mut().push((sent, Instant::now())),
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(RETRY_DELAY).await,
         }
     }
 }
 
-/// No window holds more than the contract: of the requests that were sent and
-/// answered within it, each was surely admitted within it.
+/// Checks that no time window contains more served requests than rate and burst allow. A request
+/// counts if it was sent and answered within the window, because it was then admitted within it.
 fn check(served: &[Served], rate: f64, burst: f64) {
     let mut by_end: Vec<Served> = served.to_vec();
     by_end.sort_by_key(|(_, end)| *end);
@@ -89,116 +94,116 @@
         for (_, end) in by_end.iter().filter(|(sent, _)| sent >= from) {
             count += 1.0;
             let window = end.duration_since(*from);
-            let most = rate * window.as_secs_f64() + burst;
-            // Clocks of one machine differ by less than a thousandth of a token.
-            assert!(count <= most + 0.001, "{count} requests were served in {window:?}");
+            let max = rate * window.as_secs_f64() + burst;
+            // Clocks on one machine differ by less than a thousandth of a token.
+            assert!(count <= max + 0.001, "{count} requests were served in {window:?}");
         }
     }
 }
 
-async fn secs(secs: f64) {
+/// Sleeps for `secs` seconds.
+async fn sleep_secs(secs: f64) {
     tokio::time::sleep(Duration::from_secs_f64(secs)).await;
 }
 
-/// One account asks for many times its rate. Its callers move from host to host;
-/// hosts are killed, restarted, frozen and wake, their links are cut, mended and
-/// reset with loans under way, and the platform goes down. In no window is more
-/// served than its rate and burst, and it goes on being served.
+/// Guards against time windows in which more is served than rate and burst. An account requests many
+/// times its rate while its callers move between hosts, hosts are killed, restarted, frozen and
+/// resumed, links are cut, mended and reset during loans, and the platform is down. It stays served.
 #[tokio::test]
-async fn rate_and_burst_hold_whatever_becomes_of_the_hosts() {
+async fn rate_and_burst_are_not_exceeded_under_host_and_link_faults() {
     let (rate, burst) = (100.0, 40.0);
     let run = async {
         let plan = Plan { links: true, ..plan(rate, burst, 4) };
         let mut system = System::start(plan).await.unwrap();
         let load = Load::start(&system, 12);
-        secs(5.0).await;
-        load.send_to(3);
-        secs(2.0).await;
+        sleep_secs(5.0).await;
+        load.assign_to(3);
+        sleep_secs(2.0).await;
         load.spread(2);
         system.hosts[3].kill();
-        secs(2.0).await;
+        sleep_secs(2.0).await;
         system.hosts[3].start().unwrap();
         load.spread(4);
-        secs(2.0).await;
+        sleep_secs(2.0).await;
         system.hosts[2].signal(libc::SIGSTOP).unwrap();
-        load.send_to(1);
-        secs(4.0).await;
+        load.assign_to(1);
+        sleep_secs(4.0).await;
         system.hosts[2].signal(libc::SIGCONT).unwrap();
-        load.send_to(2);
-        secs(2.0).await;
+        load.assign_to(2);
+        sleep_secs(2.0).await;
         system.platform_faults(r#"{"down": true}"#).await.unwrap();
         load.spread(4);
-        secs(5.0).await;
-        load.send_to(0);
+        sleep_secs(5.0).await;
+        load.assign_to(0);
         for _ in 0..4 {
             system.cut("h1>h*").await.unwrap();
-            secs(0.3).await;
+            sleep_secs(0.3).await;
             system.mend("h1>h*").await.unwrap();
-            secs(0.3).await;
+            sleep_secs(0.3).await;
             system.reset("h*>h*").await.unwrap();
-            secs(0.4).await;
+            sleep_secs(0.4).await;
         }
         let served = load.stop();
         check(&served, rate, burst);
-        let least = rate * 26.0 * 0.5;
-        assert!(served.len() as f64 > least, "only {} were served", served.len());
+        let min = rate * 26.0 * 0.5;
+        assert!(served.len() as f64 > min, "only {} were served", served.len());
         println!("{} served in 26 s at {rate}/s, burst {burst}", served.len());
     };
     LocalSet::new().run_until(run).await;
 }
 
-/// The operator lowers a rate while its account asks for all it can get. Within
-/// seconds no window holds more than the new rate and burst; raised again, the
-/// account gets more again, and never more than that.
+/// Guards against rate changes that take effect late or not at all. The operator lowers the rate of
+/// an account under full load: within seconds no window exceeds the new rate and burst. After the
+/// rate is raised again, the account is served more, within the higher rate and burst.
 #[tokio::test]
-async fn a_rate_changed_under_load_is_in_force_within_seconds() {
+async fn rate_changed_under_load_takes_effect_within_seconds() {
     let (high, low) = ((200.0, 40.0), (50.0, 10.0));
     let run = async {
         let mut system = System::start(plan(high.0, high.1, 3)).await.unwrap();
         let load = Load::start(&system, 9);
         let count = || load.served.borrow().len();
-        secs(5.0).await;
-        let raised = system.config();
+        sleep_secs(5.0).await;
+        let original = system.config();
         system.plan.accounts[0] = ("baobab".into(), low.0, low.1);
         system.submit(&system.config()).await.unwrap();
-        secs(4.0).await;
-        let from = count();
-        secs(4.0).await;
-        let to = count();
-        system.submit(&raised).await.unwrap();
-        secs(8.0).await;
+        sleep_secs(4.0).await;
+        let start = count();
+        sleep_secs(4.0).await;
+        let end = count();
+        system.submit(&original).await.unwrap();
+        sleep_secs(8.0).await;
         let before = count();
-        secs(3.0).await;
+        sleep_secs(3.0).await;
         let served = load.stop();
         check(&served, high.0, high.1);
-        check(&served[from..to], low.0, low.1);
-        assert!(to - from > 80, "only {} were served at the low rate", to - from);
+        check(&served[start..end], low.0, low.1);
+        assert!(end - start > 80, "only {} were served at the low rate", end - start);
         let after = served.len() - before;
         assert!(after > 250, "only {after} were served at the high rate again");
     };
     LocalSet::new().run_until(run).await;
 }
 
-/// All callers of an account come by one of four hosts, and ask for less than
-/// its rate. They are served by what that host borrows.
+/// Guards against refusals within the rate when all callers of an account use one of four hosts and
+/// request less than the rate: that host must borrow the tokens of the others.
 #[tokio::test]
-async fn one_host_serves_the_whole_rate_by_borrowing() {
+async fn single_host_serves_the_rate_of_an_account_by_borrowing_tokens() {
     let system = System::start(plan(200.0, 40.0, 4)).await.unwrap();
     let client = system.connect(3, "baobab", "g1").await.unwrap();
-    secs(5.0).await;
+    sleep_secs(5.0).await;
     let mut refused = 0;
     for _ in 0..600 {
         refused += usize::from(client.simple_query("SELECT 1").await.is_err());
-        secs(0.01).await;
+        sleep_secs(0.01).await;
     }
     println!("{refused} of 600 requests refused, at half the rate by one host of four");
     assert!(refused <= 30, "{refused} of 600 requests within the rate were refused");
 }
 
-/// An account is over its rate. It is refused at once, told so by the code, and
-/// told that the statement did not run and when to come back.
+/// Guards against refusals that a caller cannot act on: an account over its rate is refused at once,
+/// with the code of an exceeded limit, "not run" and the delay before a retry.
 #[tokio::test]
-async fn a_refusal_over_the_rate_says_when_to_come_back() {
+async fn refusal_over_the_rate_states_the_retry_delay() {
     let system = System::start(plan(1.0, 4.0, 3)).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
     let error = loop {
@@ -209,7 +214,7 @@
                 if error.message().contains("over its rate") {
                     break error;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     };
