--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -12,7 +12,7 @@
 use hosts::{WAIT_TIMEOUT, block_on, sleep_ms, start_system};
 use lab::soak::world::World;
 
-/// Places of the first group's leader, one of its replicas, and a replica of the second group.
+/// Indexes of the first group's leader, one of its replicas, and a replica of the second group.
 const LEADER: usize = 0;
 const REPLICA: usize = 1;
 const OTHER_REPLICA: usize = 4;
--- a/tests/hubs.rs
+++ b/tests/hubs.rs
@@ -10,7 +10,7 @@
 /// Number of hosts, above the maximum size of a full mesh.
 const HOSTS: usize = 18;
 
-/// Hub of the failure domain of the hosts with even numbers, where it has the most processor power.
+/// Hub of the failure domain of the hosts with even numbers: its host with the most power.
 const HUB: usize = 0;
 
 /// Duration of the freeze, longer than a silent hub counts as reachable.
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -14,7 +14,7 @@
     assert_eq!(status, 200, "{text}");
 }
 
-/// Waits until the name of the primary fulfils a condition.
+/// Waits until `accepts` returns true for the name of the primary.
 async fn until_led_by(system: &System, accepts: impl Fn(&str) -> bool) {
     ledger::until("another server leads", async || accepts(&ledger::primary(system).await.0)).await;
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -106,9 +106,9 @@
     tokio::time::sleep(Duration::from_secs_f64(secs)).await;
 }
 
-/// Guards against time windows in which more is served than rate and burst. An account requests many
-/// times its rate while its callers move between hosts, hosts are killed, restarted, frozen and
-/// resumed, links are cut, mended and reset during loans, and the platform is down. It stays served.
+/// Guards against time windows that exceed rate and burst. An account requests many times its rate
+/// and is still served while its callers move between hosts, hosts are killed, restarted, frozen
+/// and resumed, links are cut, mended and reset during loans, and the platform is down.
 #[tokio::test]
 async fn rate_and_burst_are_not_exceeded_under_host_and_link_faults() {
     let (rate, burst) = (100.0, 40.0);
@@ -200,8 +200,8 @@
     assert!(refused <= 30, "{refused} of 600 requests within the rate were refused");
 }
 
-/// Guards against refusals that a caller cannot act on: an account over its rate is refused at once,
-/// with the code of an exceeded limit, "not run" and the delay before a retry.
+/// Guards against refusals that a caller cannot act on: an account over its rate is refused at
+/// once, with the code of an exceeded limit, "not run" and the delay before a retry.
 #[tokio::test]
 async fn refusal_over_the_rate_states_the_retry_delay() {
     let system = System::start(plan(1.0, 4.0, 3)).await.unwrap();
--- a/tests/mixing.rs
+++ b/tests/mixing.rs
@@ -73,8 +73,8 @@
     assert_eq!(parts, expected, "{owner} left a part, or other transactions were mixed");
 }
 
-/// Guards against statements and locks that pass to the next caller when a caller is killed within
-/// its transaction.
+/// Guards against statements and locks that pass to the next caller when a caller disconnects
+/// within its transaction.
 #[tokio::test]
 async fn transaction_of_disconnected_caller_is_rolled_back() {
     let system = start(false).await;
