--- a/lab/src/load/caller.rs
+++ b/lab/src/load/caller.rs
@@ -15,13 +15,13 @@
 use crate::system::key_of;
 
 /// The setting that carries the session token.
-const SESSION: &str = "bergamottrack.session";
+const TOKEN_SETTING: &str = "bergamottrack.session";
 
 /// The table that the load writes to.
-pub const TABLE: &str = "CREATE TABLE IF NOT EXISTS visit (id TEXT PRIMARY KEY, n INT8)";
+pub const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS visit (id TEXT PRIMARY KEY, n INT8)";
 
 /// Far more than any request may take.
-const GIVE_UP: Duration = Duration::from_secs(15);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// What became of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -39,16 +39,16 @@
 struct Connection {
     client: Client,
     /// The token that the host last told.
-    told: Rc<RefCell<Option<String>>>,
+    received_token: Rc<RefCell<Option<String>>>,
     /// The token that the host was last shown.
-    shown: RefCell<Option<String>>,
+    sent_token: RefCell<Option<String>>,
 }
 
 impl Connection {
     async fn open(config: &Config) -> Result<Self, tokio_postgres::Error> {
         let (client, mut connection) = config.connect(NoTls).await?;
-        let told = Rc::new(RefCell::new(None));
-        let noted = told.clone();
+        let received_token = Rc::new(RefCell::new(None));
+        let latest_token = received_token.clone();
         tokio::task::spawn_local(poll_fn(move |cx| {
             loop {
                 match connection.poll_message(cx) {
@@ -57,12 +57,12 @@
                     Poll::Pending => break,
                 }
             }
-            if noted.borrow().as_deref() != connection.parameter(SESSION) {
-                *noted.borrow_mut() = connection.parameter(SESSION).map(str::to_owned);
+            if latest_token.borrow().as_deref() != connection.parameter(TOKEN_SETTING) {
+                *latest_token.borrow_mut() = connection.parameter(TOKEN_SETTING).map(str::to_owned);
             }
             Poll::Pending
         }));
-        Ok(Self { client, told, shown: RefCell::default() })
+        Ok(Self { client, received_token, sent_token: RefCell::default() })
     }
 }
 
@@ -113,7 +113,7 @@
             }
             result
         };
-        match tokio::time::timeout(GIVE_UP, work).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, work).await {
             Ok(Ok(stale)) => Outcome::Served { stale },
             Ok(Err(error)) => {
                 let code = error.code().map_or("lost", |code| code.code());
@@ -156,7 +156,7 @@
             "INSERT INTO visit VALUES ('{row}', {n}) \
              ON CONFLICT (id) DO UPDATE SET n = max(n, excluded.n)"
         );
-        self.ask(connection, &sql).await?;
+        self.query(connection, &sql).await?;
         self.acknowledged.set(self.acknowledged.get().max(n));
         Ok(false)
     }
@@ -164,7 +164,7 @@
     async fn read(&self, connection: &Connection) -> Result<bool, tokio_postgres::Error> {
         let floor = self.acknowledged.get();
         let sql = format!("SELECT n FROM visit WHERE id = '{}'", self.row);
-        let messages = self.ask(connection, &sql).await?;
+        let messages = self.query(connection, &sql).await?;
         let read = messages.iter().find_map(|message| match message {
             SimpleQueryMessage::Row(row) => row.get(0)?.parse::<u64>().ok(),
             _ => None,
@@ -173,42 +173,42 @@
     }
 
     /// Shows the session's token first when this host has not seen it.
-    async fn ask(
+    async fn query(
         &self,
         connection: &Connection,
         sql: &str,
     ) -> Result<Vec<SimpleQueryMessage>, tokio_postgres::Error> {
         let token = self.token.borrow().clone();
         let known = token.is_none()
-            || *connection.shown.borrow() == token
-            || *connection.told.borrow() == token;
+            || *connection.sent_token.borrow() == token
+            || *connection.received_token.borrow() == token;
         let query = connection.client.simple_query(sql);
         let messages = if known {
             query.await?
         } else {
-            *connection.shown.borrow_mut() = token.clone();
-            let set = format!("SET {SESSION} = '{}'", token.unwrap_or_default());
-            let (shown, messages) = tokio::join!(connection.client.batch_execute(&set), query);
-            shown?;
+            *connection.sent_token.borrow_mut() = token.clone();
+            let set = format!("SET {TOKEN_SETTING} = '{}'", token.unwrap_or_default());
+            let (sent_token, messages) = tokio::join!(connection.client.batch_execute(&set), query);
+            sent_token?;
             messages?
         };
-        let told = connection.told.borrow().clone();
-        self.keep(told);
+        let received_token = connection.received_token.borrow().clone();
+        self.update_token(received_token);
         Ok(messages)
     }
 
     /// Keeps a token unless the session has a newer one: requests of one session
     /// may run side by side, and the answer that comes last may tell less.
-    fn keep(&self, told: Option<String>) {
+    fn update_token(&self, received_token: Option<String>) {
         let mut token = self.token.borrow_mut();
-        if told.as_deref().map(point) > token.as_deref().map(point) {
-            *token = told;
+        if received_token.as_deref().map(token_point) > token.as_deref().map(token_point) {
+            *token = received_token;
         }
     }
 }
 
 /// The point that a token of one group tells: `group=term/position.tag`.
-fn point(token: &str) -> Option<Point> {
+fn token_point(token: &str) -> Option<Point> {
     let (body, _) = token.rsplit_once('.')?;
     body.rsplit_once('=')?.1.parse().ok()
 }
--- a/lab/src/load/counters.rs
+++ b/lab/src/load/counters.rs
@@ -38,17 +38,17 @@
 impl Counters {
     /// Reads them all; servers that do not run are passed over.
     pub async fn read(system: &System) -> anyhow::Result<Self> {
-        let mut counters = Self::of_processes(system);
+        let mut counters = Self::read_processes(system);
         for (name, process) in &system.servers {
             if process.pid().is_none() {
                 continue;
             }
-            let Ok(Ok(line)) =
-                tokio::time::timeout(Duration::from_secs(1), line(system, name)).await
+            let Ok(Ok(counters_line)) =
+                tokio::time::timeout(Duration::from_secs(1), counters_line(system, name)).await
             else {
                 continue;
             };
-            let mut numbers = line.split(' ').filter_map(|n| n.parse::<u64>().ok());
+            let mut numbers = counters_line.split(' ').filter_map(|n| n.parse::<u64>().ok());
             let mut next = || numbers.next().unwrap_or_default();
             counters.primary_reads += next();
             counters.replica_reads += next();
@@ -63,7 +63,7 @@
     }
 
     /// Reads what the processes use, without asking the servers.
-    pub fn of_processes(system: &System) -> Self {
+    pub fn read_processes(system: &System) -> Self {
         let hosts = system.hosts.iter().filter_map(|host| host.pid());
         let servers = system.servers.values().filter_map(|server| server.pid());
         Self {
@@ -76,7 +76,7 @@
     }
 }
 
-async fn line(system: &System, name: &str) -> anyhow::Result<String> {
+async fn counters_line(system: &System, name: &str) -> anyhow::Result<String> {
     let client = system.connect_server(name).await?;
     let rows = system::rows(&client, "SHOW standin.counters").await?;
     rows.into_iter().next().context("a server without counters")
@@ -84,20 +84,20 @@
 
 /// What the hosts use while nothing is asked of them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Window {
+pub struct IdleUsage {
     /// Part of one core that a host uses.
     pub processor: f64,
     /// Bytes a second of the whole system.
     pub bytes: f64,
 }
 
-impl Window {
+impl IdleUsage {
     /// Watches the system for some time.
     pub async fn measure(system: &System, time: Duration) -> anyhow::Result<Self> {
         let began = Instant::now();
-        let before = Counters::of_processes(system);
+        let before = Counters::read_processes(system);
         tokio::time::sleep(time).await;
-        let after = Counters::of_processes(system);
+        let after = Counters::read_processes(system);
         let seconds = began.elapsed().as_secs_f64();
         let used = after.hosts.saturating_sub(before.hosts).as_secs_f64();
         Ok(Self {
--- a/lab/src/load/fault.rs
+++ b/lab/src/load/fault.rs
@@ -21,10 +21,10 @@
     #[serde(default)]
     pub every: f64,
     /// How many times it comes.
-    #[serde(default = "once")]
+    #[serde(default = "default_times")]
     pub times: u32,
     /// What happens.
-    pub act: Act,
+    pub act: Action,
     /// To whom: a process such as `h2` or `g1s1`, `g1.primary` for the server
     /// that leads, names with a `*` for settings, or links such as `h1>*`.
     #[serde(default)]
@@ -35,14 +35,14 @@
     pub with: Box<str>,
 }
 
-fn once() -> u32 {
+fn default_times() -> u32 {
     1
 }
 
 /// What happens.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Act {
+pub enum Action {
     /// The process is killed.
     Kill,
     /// It stands still.
@@ -61,44 +61,44 @@
 
 impl Fault {
     /// When it comes.
-    pub fn dates(&self) -> impl Iterator<Item = f64> {
+    pub fn schedule(&self) -> impl Iterator<Item = f64> {
         (0..self.times).map(|i| self.at + f64::from(i) * self.every)
     }
 
     /// The group whose primary it strikes.
     pub fn group(&self) -> Option<&str> {
-        let strikes = matches!(self.act, Act::Kill | Act::Freeze | Act::Cut);
+        let strikes = matches!(self.act, Action::Kill | Action::Freeze | Action::Cut);
         self.target.strip_suffix(".primary").filter(|_| strikes)
     }
 }
 
 /// What is broken at the moment, by the target that was named.
 #[derive(Debug, Default)]
-pub struct Broken(BTreeMap<Box<str>, (Act, String)>);
+pub struct ActiveFaults(BTreeMap<Box<str>, (Action, String)>);
 
-impl Broken {
+impl ActiveFaults {
     /// Causes a fault.
-    pub async fn cause(&mut self, fault: &Fault, system: &mut System) -> anyhow::Result<()> {
+    pub async fn inject(&mut self, fault: &Fault, system: &mut System) -> anyhow::Result<()> {
         match fault.act {
-            Act::Link => {
+            Action::Link => {
                 let what = match &*fault.with {
                     "" => link::Fault::default(),
                     json => serde_json::from_str(json).context("the fault of a link")?,
                 };
                 return system.fault(&fault.target, what).await;
             }
-            Act::Platform => return system.platform_faults(&fault.with).await,
-            Act::Server => return set_servers(fault, system).await,
-            Act::Heal => return self.heal(&fault.target, system).await,
-            Act::Kill | Act::Freeze | Act::Cut => {}
+            Action::Platform => return system.platform_faults(&fault.with).await,
+            Action::Server => return set_servers(fault, system).await,
+            Action::Heal => return self.heal(&fault.target, system).await,
+            Action::Kill | Action::Freeze | Action::Cut => {}
         }
         let name = match fault.target.strip_suffix(".primary") {
             Some(group) => primary(system, group).await?,
             None => fault.target.to_string(),
         };
         match fault.act {
-            Act::Kill => system.process(&name)?.kill(),
-            Act::Freeze => system.process(&name)?.signal(libc::SIGSTOP)?,
+            Action::Kill => system.process(&name)?.kill(),
+            Action::Freeze => system.process(&name)?.signal(libc::SIGSTOP)?,
             _ => {
                 system.cut(&format!("*>{name}")).await?;
                 system.cut(&format!("{name}>*")).await?;
@@ -111,8 +111,8 @@
     async fn heal(&mut self, target: &str, system: &mut System) -> anyhow::Result<()> {
         let Some((act, name)) = self.0.remove(target) else { return Ok(()) };
         match act {
-            Act::Kill => system.process(&name)?.start(),
-            Act::Freeze => system.process(&name)?.signal(libc::SIGCONT),
+            Action::Kill => system.process(&name)?.start(),
+            Action::Freeze => system.process(&name)?.signal(libc::SIGCONT),
             _ => {
                 system.mend(&format!("*>{name}")).await?;
                 system.mend(&format!("{name}>*")).await
--- a/lab/src/load/mod.rs
+++ b/lab/src/load/mod.rs
@@ -26,17 +26,17 @@
 pub mod report;
 pub mod tally;
 
-pub use fault::{Act, Fault, primary};
+pub use fault::{Action, Fault, primary};
 pub use report::Report;
 
 use caller::{Outcome, Session};
 use tally::Sample;
 
 /// How long the last answers are waited for.
-const DRAIN: Duration = Duration::from_secs(16);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(16);
 
 /// How often a moving balance changes its host.
-const MOVE_EVERY: f64 = 2.0;
+const MOVE_INTERVAL: f64 = 2.0;
 
 /// How requests are spread over the hosts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
@@ -152,7 +152,7 @@
     /// When writes were acknowledged, by group.
     acknowledged: RefCell<BTreeMap<Rc<str>, Vec<f64>>>,
     /// When a group's primary was struck.
-    strikes: RefCell<Vec<(Rc<str>, f64)>>,
+    primary_faults: RefCell<Vec<(Rc<str>, f64)>>,
     running: Cell<usize>,
     groups: Vec<Rc<str>>,
 }
@@ -173,7 +173,7 @@
         let favoured = match self.load.balance {
             Balance::Even => return rng.random_range(0..hosts),
             Balance::Skewed => 0,
-            Balance::Moving => (due / MOVE_EVERY) as usize % hosts,
+            Balance::Moving => (due / MOVE_INTERVAL) as usize % hosts,
         };
         if hosts == 1 || rng.random_bool(0.9) {
             return favoured;
@@ -189,14 +189,14 @@
     prepare(&system, &config).await?;
     let sessions = sessions(&config, &load);
     warm_up(&system, &sessions).await?;
-    let idle = counters::Window::measure(&system, Duration::from_secs_f64(load.idle)).await?;
+    let idle = counters::IdleUsage::measure(&system, Duration::from_secs_f64(load.idle)).await?;
     let before = counters::Counters::read(&system).await?;
     let run = Rc::new(Run {
         addresses: system.addresses.iter().map(|a| a.callers).collect(),
         began: Instant::now(),
         samples: RefCell::default(),
         acknowledged: RefCell::default(),
-        strikes: RefCell::default(),
+        primary_faults: RefCell::default(),
         running: Cell::default(),
         groups: config.groups.iter().map(|g| g.id.as_str().into()).collect(),
         load,
@@ -208,28 +208,28 @@
             tokio::task::spawn_local(arrivals(run.clone(), account, sessions, i as u64))
         })
         .collect();
-    cause_faults(&run, &mut system).await?;
+    inject_faults(&run, &mut system).await?;
     for task in arrivals {
         task.await?;
     }
     drain(&run).await;
     let after = counters::Counters::read(&system).await?;
-    Ok(report::make(&run, &config, &idle, &before, &after))
+    Ok(report::build(&run, &config, &idle, &before, &after))
 }
 
 /// Causes all faults in the order of their times.
-async fn cause_faults(run: &Run, system: &mut System) -> anyhow::Result<()> {
+async fn inject_faults(run: &Run, system: &mut System) -> anyhow::Result<()> {
     let faults = run.load.faults.iter();
-    let mut dates: Vec<(f64, &Fault)> =
-        faults.flat_map(|f| f.dates().map(move |t| (t, f))).collect();
-    dates.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut broken = fault::Broken::default();
-    for (at, fault) in dates {
+    let mut schedule: Vec<(f64, &Fault)> =
+        faults.flat_map(|f| f.schedule().map(move |t| (t, f))).collect();
+    schedule.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let mut broken = fault::ActiveFaults::default();
+    for (at, fault) in schedule {
         sleep_until(run, at).await;
         if let Some(group) = fault.group().and_then(|name| run.group(name)) {
-            run.strikes.borrow_mut().push((group, run.now()));
+            run.primary_faults.borrow_mut().push((group, run.now()));
         }
-        broken.cause(fault, system).await.with_context(|| format!("causing {fault:?}"))?;
+        broken.inject(fault, system).await.with_context(|| format!("causing {fault:?}"))?;
     }
     Ok(())
 }
@@ -239,7 +239,7 @@
 }
 
 async fn drain(run: &Run) {
-    let deadline = Instant::now() + DRAIN;
+    let deadline = Instant::now() + DRAIN_TIMEOUT;
     while run.running.get() > 0 && Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -250,7 +250,7 @@
     let account = config.accounts.first().context("a site without accounts")?;
     for group in &config.groups {
         let client = system.connect(0, account.id.as_str(), group.id.as_str()).await?;
-        system::until_runs(&client, caller::TABLE).await?;
+        system::until_runs(&client, caller::CREATE_TABLE).await?;
     }
     Ok(())
 }
--- a/lab/src/load/report.rs
+++ b/lab/src/load/report.rs
@@ -8,7 +8,7 @@
 use super::{
     Load, Run,
     caller::Outcome,
-    counters::{Counters, Window},
+    counters::{Counters, IdleUsage},
     tally::{self, Sample, Tally},
 };
 
@@ -39,7 +39,7 @@
     /// The longest that a caller waited for an answer of any kind, in milliseconds.
     pub longest_wait: f64,
     /// The account that got the least of what its contract entitled it to.
-    pub worst: Worst,
+    pub worst: WorstAccount,
     /// Refused for rate although within the rate.
     pub wrongful: u64,
     /// The most that an account got beyond its rate and burst.
@@ -72,7 +72,7 @@
 
 /// The account that got the least of what its contract entitled it to.
 #[derive(Clone, Debug, Serialize)]
-pub struct Worst {
+pub struct WorstAccount {
     /// The account.
     pub account: Box<str>,
     /// What it got of what it was entitled to.
@@ -133,10 +133,10 @@
     Latency { p50: millis(0.5), p99: millis(0.99), max: histogram.max() as f64 / 1000.0 }
 }
 
-pub(super) fn make(
+pub(super) fn build(
     run: &Run,
     config: &Config,
-    idle: &Window,
+    idle: &IdleUsage,
     before: &Counters,
     after: &Counters,
 ) -> Report {
@@ -227,10 +227,10 @@
 /// For each strike the longest time between two acknowledged writes of the
 /// group, from the last one before the strike up to the group's next strike.
 fn failover_gaps(run: &Run) -> Vec<f64> {
-    let strikes = run.strikes.borrow();
+    let primary_faults = run.primary_faults.borrow();
     let acknowledged = run.acknowledged.borrow();
     let gap = |(i, (group, at)): (usize, &(Rc<str>, f64))| {
-        let later = strikes[i + 1..].iter().find(|(other, _)| other == group);
+        let later = primary_faults[i + 1..].iter().find(|(other, _)| other == group);
         let until = later.map_or(run.load.seconds, |(_, next)| *next);
         let mut times = acknowledged.get(group)?.clone();
         times.sort_by(f64::total_cmp);
@@ -241,7 +241,7 @@
         let longest = all.windows(2).map(|pair| pair[1] - pair[0]).fold(0.0, f64::max);
         Some(longest * 1000.0)
     };
-    let mut gaps: Vec<f64> = strikes.iter().enumerate().filter_map(gap).collect();
+    let mut gaps: Vec<f64> = primary_faults.iter().enumerate().filter_map(gap).collect();
     gaps.sort_by(f64::total_cmp);
     gaps
 }
@@ -253,19 +253,25 @@
     sorted.get(rank.saturating_sub(1).min(last)).copied().unwrap_or_default()
 }
 
-fn worst(accounts: &[AccountReport]) -> Worst {
+fn worst(accounts: &[AccountReport]) -> WorstAccount {
     let share = |a: &AccountReport| match a.entitled {
         0 => 1.0,
         entitled => a.served as f64 / entitled as f64,
     };
     let worst = accounts.iter().min_by(|a, b| share(a).total_cmp(&share(b)));
-    Worst {
+    WorstAccount {
         account: worst.map(|a| a.account.clone()).unwrap_or_default(),
         share: worst.map_or(1.0, share),
     }
 }
 
-fn usage(run: &Run, idle: &Window, before: &Counters, after: &Counters, requests: usize) -> Usage {
+fn usage(
+    run: &Run,
+    idle: &IdleUsage,
+    before: &Counters,
+    after: &Counters,
+    requests: usize,
+) -> Usage {
     let seconds = run.now();
     let hosts = run.addresses.len() as f64;
     let requests = (requests as f64).max(1.0);
--- a/lab/src/load/tally.rs
+++ b/lab/src/load/tally.rs
@@ -8,14 +8,14 @@
 use super::caller::Outcome;
 
 /// The longest latency told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// The SQLSTATE of a refusal for rate.
 pub const OVER_RATE: &str = "53400";
 
 /// An empty histogram of microseconds.
 pub fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds that hdrhistogram accepts")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("bounds that hdrhistogram accepts")
 }
 
 /// A contract's rate and burst, as one bucket for all hosts would keep it.
--- a/lab/src/slopes.rs
+++ b/lab/src/slopes.rs
@@ -8,7 +8,7 @@
 use clap::{Args, ValueEnum};
 
 use crate::{
-    load::counters::{Counters, Window},
+    load::counters::{Counters, IdleUsage},
     system::{self, Plan, System},
 };
 
@@ -59,8 +59,8 @@
         let held = grow(&mut system, args.of, size).await?;
         let submit = began.elapsed().as_secs_f64() * 1000.0;
         tokio::time::sleep(SETTLED).await;
-        let idle = Window::measure(&system, WATCHED).await?;
-        let memory = Counters::of_processes(&system).memory as f64 / f64::from(1 << 20);
+        let idle = IdleUsage::measure(&system, WATCHED).await?;
+        let memory = Counters::read_processes(&system).memory as f64 / f64::from(1 << 20);
         println!(
             "{size:>8} {:>12.3} {:>14.0} {memory:>12.1} {submit:>12.1}",
             idle.processor * 100.0,
