--- a/lab/src/platform/mod.rs
+++ b/lab/src/platform/mod.rs
@@ -42,7 +42,7 @@
     }
     let write = request.method != Method::GET;
     let reply = serve(&mut store.borrow_mut(), &request);
-    if write && store.borrow_mut().lose_answer(&request.path) {
+    if write && store.borrow_mut().drops_answer(&request.path) {
         monoio::time::sleep(Duration::from_secs(3600)).await;
     }
     reply
@@ -67,8 +67,8 @@
     }
     if path == "/hosts" {
         return match request.method {
-            Method::PUT => store.set_listed(&request.body),
-            _ => Reply::json(StatusCode::OK, &store.listed()),
+            Method::PUT => store.set_machines(&request.body),
+            _ => Reply::json(StatusCode::OK, &store.machines()),
         };
     }
     Reply::text(StatusCode::NOT_FOUND, "no such service\n")
--- a/lab/src/platform/store.rs
+++ b/lab/src/platform/store.rs
@@ -36,10 +36,10 @@
     pub faults: Faults,
     rows: BTreeMap<Box<str>, (u64, Box<str>)>,
     /// Each row before its last change.
-    before: BTreeMap<Box<str>, (u64, Box<str>)>,
+    previous_rows: BTreeMap<Box<str>, (u64, Box<str>)>,
     commits: HashMap<Box<str>, Outcome>,
     objects: HashMap<Box<str>, Bytes>,
-    lists: Vec<(Instant, Vec<Machine>)>,
+    machine_lists: Vec<(Instant, Vec<Machine>)>,
 }
 
 impl Store {
@@ -49,15 +49,15 @@
                 self.faults = faults;
                 Reply::text(StatusCode::OK, "set\n")
             }
-            Err(error) => bad(&error),
+            Err(error) => bad_request(&error),
         }
     }
 
-    pub fn lose_answer(&mut self, path: &str) -> bool {
+    pub fn drops_answer(&mut self, path: &str) -> bool {
         let faults = &mut self.faults;
-        let mut lose = take(&mut faults.lose_answers);
+        let mut lose = consume(&mut faults.lose_answers);
         if path == "/table/commit" {
-            lose |= take(&mut faults.lose_commits);
+            lose |= consume(&mut faults.lose_commits);
         }
         lose
     }
@@ -67,7 +67,7 @@
         if !self.faults.old_rows {
             return self.row(key);
         }
-        let (version, value) = self.before.get(key).cloned().unwrap_or_default();
+        let (version, value) = self.previous_rows.get(key).cloned().unwrap_or_default();
         Row { key: key.into(), version, value }
     }
 
@@ -84,7 +84,7 @@
     pub fn commit(&mut self, body: &[u8]) -> Reply {
         let commit: Commit = match serde_json::from_slice(body) {
             Ok(commit) => commit,
-            Err(error) => return bad(&error),
+            Err(error) => return bad_request(&error),
         };
         if self.commits.get(&commit.id) == Some(&Outcome::Applied) {
             return Reply::json(StatusCode::OK, &Outcome::Applied);
@@ -94,7 +94,7 @@
         if holds {
             for put in commit.puts {
                 let row = self.rows.entry(put.key.clone()).or_default();
-                self.before.insert(put.key, row.clone());
+                self.previous_rows.insert(put.key, row.clone());
                 *row = (row.0 + 1, put.value);
             }
             self.commits.insert(commit.id, outcome);
@@ -121,31 +121,31 @@
         }
     }
 
-    pub fn set_listed(&mut self, body: &[u8]) -> Reply {
+    pub fn set_machines(&mut self, body: &[u8]) -> Reply {
         match serde_json::from_slice(body) {
             Ok(list) => {
-                self.lists.push((Instant::now(), list));
+                self.machine_lists.push((Instant::now(), list));
                 Reply::text(StatusCode::OK, "set\n")
             }
-            Err(error) => bad(&error),
+            Err(error) => bad_request(&error),
         }
     }
 
     /// The list as it stood some time ago.
-    pub fn listed(&self) -> Vec<Machine> {
+    pub fn machines(&self) -> Vec<Machine> {
         let lag = Duration::from_millis(self.faults.list_lag_ms);
-        let old = self.lists.iter().rev().find(|(at, _)| at.elapsed() >= lag);
+        let old = self.machine_lists.iter().rev().find(|(at, _)| at.elapsed() >= lag);
         old.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 }
 
 /// Counts one down; whether there was one.
-fn take(count: &mut u32) -> bool {
+fn consume(count: &mut u32) -> bool {
     let some = *count > 0;
     *count = count.saturating_sub(1);
     some
 }
 
-fn bad(error: &serde_json::Error) -> Reply {
+fn bad_request(error: &serde_json::Error) -> Reply {
     Reply::text(StatusCode::BAD_REQUEST, format!("{error}\n"))
 }
--- a/lab/src/server/engine.rs
+++ b/lab/src/server/engine.rs
@@ -37,7 +37,7 @@
 
 /// What a server keeps of its promises over a restart.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-struct Vows {
+struct ElectionState {
     primary: bool,
     term: Term,
     promised: Term,
@@ -45,16 +45,16 @@
 }
 
 /// What a person may change while the server runs.
-pub struct Knobs {
+pub struct Tunables {
     pub lag: Cell<Duration>,
-    pub service: Cell<Duration>,
+    pub service_time: Cell<Duration>,
     /// How long a cancel is on its way.
     pub cancel: Cell<Duration>,
 }
 
 /// What a server has served.
 #[derive(Default)]
-pub struct Served {
+pub struct Stats {
     pub primary_reads: Cell<u64>,
     pub replica_reads: Cell<u64>,
     pub writes: Cell<u64>,
@@ -64,7 +64,7 @@
     pub waiting: Cell<usize>,
 }
 
-impl Served {
+impl Stats {
     /// Primary reads, replica reads, writes, most connections, most waiting.
     pub fn line(&self) -> String {
         let Self { primary_reads, replica_reads, writes, connections, waiting } = self;
@@ -74,38 +74,38 @@
 }
 
 /// A statement that waits for a slot; it may be given up.
-struct Waiting<'a>(&'a Engine);
+struct WaitCounter<'a>(&'a Engine);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitCounter<'a> {
     fn new(engine: &'a Engine) -> Self {
         // One that finds a slot does not wait.
         let waiting = engine.waiting.get() + usize::from(engine.slots.available_permits() == 0);
         engine.waiting.set(engine.waiting.get() + 1);
-        raise(&engine.served.waiting, waiting);
+        set_max(&engine.stats.waiting, waiting);
         Self(engine)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitCounter<'_> {
     fn drop(&mut self) {
         self.0.waiting.set(self.0.waiting.get() - 1);
     }
 }
 
 /// Notes a value if it is the greatest so far.
-pub fn raise(greatest: &Cell<usize>, value: usize) {
+pub fn set_max(greatest: &Cell<usize>, value: usize) {
     greatest.set(greatest.get().max(value));
 }
 
 /// One server.
 pub struct Engine {
     pub args: ServerArgs,
-    pub knobs: Knobs,
-    pub served: Served,
+    pub tunables: Tunables,
+    pub stats: Stats,
     /// Statements that run at once.
     pub slots: Semaphore,
     /// Held by the one transaction that writes.
-    pub writing: Semaphore,
+    pub write_lock: Semaphore,
     /// Woken at every change of log, term or role.
     pub changed: Notify,
     /// Grows when records are taken back; sessions of an older one are closed.
@@ -114,13 +114,13 @@
     /// Statements that wait for a slot.
     pub waiting: Cell<usize>,
     /// The number of the last session, for cancels.
-    pub last_session: Cell<i32>,
+    pub last_pid: Cell<i32>,
     /// What each running session is cancelled by.
-    pub running: RefCell<HashMap<i32, Rc<Notify>>>,
-    vows: RefCell<Vows>,
+    pub cancel_signals: RefCell<HashMap<i32, Rc<Notify>>>,
+    election: RefCell<ElectionState>,
     log: RefCell<Vec<Record>>,
     /// When each record that is held but not applied was received.
-    received: RefCell<VecDeque<Instant>>,
+    received_at: RefCell<VecDeque<Instant>>,
     applied: Cell<usize>,
     db: RefCell<Connection>,
     file: RefCell<File>,
@@ -131,33 +131,38 @@
     pub fn open(args: &ServerArgs) -> anyhow::Result<Self> {
         fs::create_dir_all(&args.data).context("making the data directory")?;
         let vows_file = args.data.join("vows");
-        let vows = match fs::read(&vows_file) {
+        let election = match fs::read(&vows_file) {
             Ok(bytes) => ciborium::from_reader(&bytes[..]).context("reading the vows")?,
-            Err(_) if args.primary => {
-                Vows { primary: true, term: Term(1), promised: Term(1), holder: "first".into() }
+            Err(_) if args.primary => ElectionState {
+                primary: true,
+                term: Term(1),
+                promised: Term(1),
+                holder: "first".into(),
+            },
+            Err(_) => {
+                ElectionState { promised: Term(1), term: Term(1), ..ElectionState::default() }
             }
-            Err(_) => Vows { promised: Term(1), term: Term(1), ..Vows::default() },
         };
         let log = read_log(&args.data.join("log"))?;
         let engine = Self {
-            knobs: Knobs {
+            tunables: Tunables {
                 lag: Cell::new(Duration::from_millis(args.lag_ms)),
-                service: Cell::new(Duration::from_millis(args.service_ms)),
+                service_time: Cell::new(Duration::from_millis(args.service_ms)),
                 cancel: Cell::default(),
             },
-            served: Served::default(),
+            stats: Stats::default(),
             slots: Semaphore::new(args.slots),
-            writing: Semaphore::new(1),
+            write_lock: Semaphore::new(1),
             changed: Notify::new(),
             generation: Cell::new(0),
             sessions: Cell::new(0),
             waiting: Cell::new(0),
-            last_session: Cell::new(0),
-            running: RefCell::default(),
-            vows: RefCell::new(vows),
+            last_pid: Cell::new(0),
+            cancel_signals: RefCell::default(),
+            election: RefCell::new(election),
             applied: Cell::new(0),
-            received: RefCell::default(),
-            db: RefCell::new(fresh_db(&args.data, 0)?),
+            received_at: RefCell::default(),
+            db: RefCell::new(create_db(&args.data, 0)?),
             file: RefCell::new(log_file(&args.data)?),
             log: RefCell::new(log),
             args: args.clone(),
@@ -166,7 +171,7 @@
         if engine.leads() && engine.held().position == Position(0) {
             engine.append(Vec::new())?;
         }
-        engine.keep_vows()?;
+        engine.save_election()?;
         Ok(engine)
     }
 
@@ -177,7 +182,7 @@
 
     /// Counts a statement.
     pub fn count(&self, reads: bool) {
-        let Served { primary_reads, replica_reads, writes, .. } = &self.served;
+        let Stats { primary_reads, replica_reads, writes, .. } = &self.stats;
         let counter = match (reads, self.leads()) {
             (false, _) => writes,
             (true, true) => primary_reads,
@@ -187,8 +192,8 @@
     }
 
     /// Waits for a slot.
-    pub async fn slot(&self) -> anyhow::Result<SemaphorePermit<'_>> {
-        let waiting = Waiting::new(self);
+    pub async fn acquire_slot(&self) -> anyhow::Result<SemaphorePermit<'_>> {
+        let waiting = WaitCounter::new(self);
         let slot = self.slots.acquire().await?;
         drop(waiting);
         Ok(slot)
@@ -196,11 +201,11 @@
 
     /// What this server says of itself.
     pub fn status(&self) -> Status {
-        let vows = self.vows.borrow();
+        let election = self.election.borrow();
         Status {
-            role: if vows.primary { Role::Primary } else { Role::Replica },
-            term: vows.term,
-            promised: vows.promised,
+            role: if election.primary { Role::Primary } else { Role::Replica },
+            term: election.term,
+            promised: election.promised,
             held: self.held(),
             applied: self.point_at(self.applied.get()),
         }
@@ -208,8 +213,8 @@
 
     /// Whether it takes writes.
     pub fn leads(&self) -> bool {
-        let vows = self.vows.borrow();
-        vows.primary && vows.promised == vows.term
+        let election = self.election.borrow();
+        election.primary && election.promised == election.term
     }
 
     /// The last record in the log.
@@ -218,7 +223,7 @@
     }
 
     /// The last record that reads show.
-    pub fn shown(&self) -> Point {
+    pub fn applied_point(&self) -> Point {
         self.point_at(self.applied.get())
     }
 
@@ -249,26 +254,26 @@
     }
 
     /// How much of another server's log is the same as this one's.
-    pub fn common(&self, theirs: &[Point]) -> usize {
+    pub fn common_length(&self, theirs: &[Point]) -> usize {
         let mine = self.terms();
-        let mut common = 0;
+        let mut common_length = 0;
         for (a, b) in mine.iter().zip(theirs) {
             if a.term != b.term {
                 break;
             }
-            common = a.position.min(b.position).0 as usize;
+            common_length = a.position.min(b.position).0 as usize;
             if a.position != b.position {
                 break;
             }
         }
-        common
+        common_length
     }
 
     /// Writes a record of this primary's own transaction, already in its data.
     pub fn append(&self, changes: Vec<Change>) -> anyhow::Result<Point> {
-        let term = self.vows.borrow().term;
+        let term = self.election.borrow().term;
         let record = Record { term, changes };
-        self.keep(&record)?;
+        self.write_record(&record)?;
         self.log.borrow_mut().push(record);
         self.applied.set(self.log.borrow().len());
         self.changed.notify_waiters();
@@ -277,28 +282,28 @@
 
     /// Takes records of the primary of `term`; an error when a later term is promised.
     pub fn receive(&self, term: Term, records: Vec<Record>, now: Instant) -> anyhow::Result<()> {
-        self.accept(term)?;
+        self.follow_term(term)?;
         for record in records {
-            self.keep(&record)?;
+            self.write_record(&record)?;
             self.log.borrow_mut().push(record);
-            self.received.borrow_mut().push_back(now);
+            self.received_at.borrow_mut().push_back(now);
         }
         self.changed.notify_waiters();
         Ok(())
     }
 
     /// Follows the primary of `term`.
-    pub fn accept(&self, term: Term) -> anyhow::Result<()> {
-        let mut vows = self.vows.borrow_mut();
-        ensure!(term >= vows.promised, "term {} is promised", vows.promised);
-        ensure!(!(vows.primary && vows.term == term), "this server leads term {term}");
-        if vows.term != term || vows.primary || vows.promised != term {
-            if vows.promised != term {
-                vows.holder = "".into();
+    pub fn follow_term(&self, term: Term) -> anyhow::Result<()> {
+        let mut election = self.election.borrow_mut();
+        ensure!(term >= election.promised, "term {} is promised", election.promised);
+        ensure!(!(election.primary && election.term == term), "this server leads term {term}");
+        if election.term != term || election.primary || election.promised != term {
+            if election.promised != term {
+                election.holder = "".into();
             }
-            (vows.primary, vows.term, vows.promised) = (false, term, term);
-            drop(vows);
-            self.keep_vows()?;
+            (election.primary, election.term, election.promised) = (false, term, term);
+            drop(election);
+            self.save_election()?;
             self.changed.notify_waiters();
         }
         Ok(())
@@ -310,9 +315,9 @@
             return Ok(());
         }
         self.log.borrow_mut().truncate(length);
-        self.received.borrow_mut().clear();
+        self.received_at.borrow_mut().clear();
         self.generation.set(self.generation.get() + 1);
-        *self.db.borrow_mut() = fresh_db(&self.args.data, self.generation.get())?;
+        *self.db.borrow_mut() = create_db(&self.args.data, self.generation.get())?;
         self.applied.set(0);
         self.rewrite_log()?;
         self.apply_all()?;
@@ -322,9 +327,10 @@
 
     /// Applies the next record if it has been held for the lag.
     pub fn apply_due(&self, now: Instant) -> anyhow::Result<bool> {
-        let due = self.received.borrow().front().is_some_and(|t| now >= *t + self.knobs.lag.get());
+        let due =
+            self.received_at.borrow().front().is_some_and(|t| now >= *t + self.tunables.lag.get());
         if due {
-            self.received.borrow_mut().pop_front();
+            self.received_at.borrow_mut().pop_front();
             self.apply_next()?;
             self.changed.notify_waiters();
         }
@@ -332,7 +338,7 @@
     }
 
     fn apply_all(&self) -> anyhow::Result<()> {
-        self.received.borrow_mut().clear();
+        self.received_at.borrow_mut().clear();
         while self.applied.get() < self.log.borrow().len() {
             self.apply_next()?;
         }
@@ -357,13 +363,13 @@
 
     /// Promises `term` to `holder` and to no other.
     pub fn promise(&self, term: Term, holder: &str) -> anyhow::Result<Status> {
-        let mut vows = self.vows.borrow_mut();
-        let taken = vows.primary && vows.term == term;
-        let again = term == vows.promised && *vows.holder == *holder && !taken;
-        ensure!(term > vows.promised || again, "term {} is promised", vows.promised);
-        (vows.promised, vows.holder) = (term, holder.into());
-        drop(vows);
-        self.keep_vows()?;
+        let mut election = self.election.borrow_mut();
+        let taken = election.primary && election.term == term;
+        let again = term == election.promised && *election.holder == *holder && !taken;
+        ensure!(term > election.promised || again, "term {} is promised", election.promised);
+        (election.promised, election.holder) = (term, holder.into());
+        drop(election);
+        self.save_election()?;
         self.changed.notify_waiters();
         Ok(self.status())
     }
@@ -371,36 +377,36 @@
     /// Becomes the primary of a term promised to `holder`.
     pub fn promote(&self, term: Term, holder: &str) -> anyhow::Result<Status> {
         {
-            let vows = self.vows.borrow();
+            let election = self.election.borrow();
             ensure!(
-                vows.promised == term && *vows.holder == *holder,
+                election.promised == term && *election.holder == *holder,
                 "term {term} was not promised to {holder}"
             );
-            if vows.primary && vows.term == term {
-                drop(vows);
+            if election.primary && election.term == term {
+                drop(election);
                 return Ok(self.status());
             }
         }
         self.apply_all()?;
         {
-            let mut vows = self.vows.borrow_mut();
-            (vows.primary, vows.term) = (true, term);
+            let mut election = self.election.borrow_mut();
+            (election.primary, election.term) = (true, term);
         }
-        self.keep_vows()?;
+        self.save_election()?;
         self.append(Vec::new())?;
         Ok(self.status())
     }
 
-    fn keep_vows(&self) -> anyhow::Result<()> {
+    fn save_election(&self) -> anyhow::Result<()> {
         let mut bytes = Vec::new();
-        ciborium::into_writer(&*self.vows.borrow(), &mut bytes)?;
+        ciborium::into_writer(&*self.election.borrow(), &mut bytes)?;
         let path = self.args.data.join("vows");
         let next = self.args.data.join("vows.next");
         fs::write(&next, bytes).context("writing the vows")?;
         fs::rename(next, path).context("writing the vows")
     }
 
-    fn keep(&self, record: &Record) -> anyhow::Result<()> {
+    fn write_record(&self, record: &Record) -> anyhow::Result<()> {
         let mut bytes = Vec::new();
         ciborium::into_writer(record, &mut bytes)?;
         let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
@@ -411,7 +417,7 @@
     fn rewrite_log(&self) -> anyhow::Result<()> {
         fs::write(self.args.data.join("log"), b"").context("emptying the log")?;
         *self.file.borrow_mut() = log_file(&self.args.data)?;
-        self.log.borrow().iter().try_for_each(|record| self.keep(record))
+        self.log.borrow().iter().try_for_each(|record| self.write_record(record))
     }
 }
 
@@ -438,7 +444,7 @@
     data.join(format!("data-{}-{generation}.sqlite", std::process::id()))
 }
 
-fn fresh_db(data: &Path, generation: u64) -> anyhow::Result<Connection> {
+fn create_db(data: &Path, generation: u64) -> anyhow::Result<Connection> {
     let path = db_path(data, generation);
     let _ = fs::remove_file(&path);
     open_db(&path)
--- a/lab/src/server/extended.rs
+++ b/lab/src/server/extended.rs
@@ -34,7 +34,7 @@
     params: Vec<Value>,
     formats: Vec<i16>,
     /// Its rows, and the end of its answer, once it has run with a limit of rows.
-    rest: Option<VecDeque<Bytes>>,
+    pending: Option<VecDeque<Bytes>>,
 }
 
 impl Session<'_> {
@@ -53,7 +53,7 @@
                 b'X' => bail!("the caller left"),
                 _ if failed => {}
                 _ => {
-                    if let Err(error) = self.step(&frame).await {
+                    if let Err(error) = self.handle_message(&frame).await {
                         self.error(&error);
                         failed = true;
                     }
@@ -62,7 +62,7 @@
         }
     }
 
-    async fn step(&mut self, frame: &Frame) -> Result<(), SqlError> {
+    async fn handle_message(&mut self, frame: &Frame) -> Result<(), SqlError> {
         match frame.frontend()? {
             PgWireFrontendMessage::Parse(parse) => {
                 let oids = self.param_types(&parse.query, &parse.type_oids)?;
@@ -81,7 +81,7 @@
                         &bind.parameters,
                     )?,
                     formats: bind.result_column_format_codes,
-                    rest: None,
+                    pending: None,
                 };
                 self.portals.insert(bind.portal_name.unwrap_or_default().into(), portal);
                 frame::put(&mut self.out, &BindComplete::new());
@@ -92,8 +92,8 @@
             }
             PgWireFrontendMessage::Execute(execute) => {
                 let name = execute.name.unwrap_or_default();
-                let most = usize::try_from(execute.max_rows).unwrap_or(0);
-                self.execute_portal(&name, most).await?;
+                let max_rows = usize::try_from(execute.max_rows).unwrap_or(0);
+                self.execute_portal(&name, max_rows).await?;
             }
             PgWireFrontendMessage::Close(close) => {
                 let name = close.name.unwrap_or_default();
@@ -117,48 +117,48 @@
         if sql::command(sql) != Command::Sql {
             return Ok(Vec::new());
         }
-        Ok(types::of_params(&self.db, sql, given)?)
+        Ok(types::infer(&self.db, sql, given)?)
     }
 
-    /// Runs a portal; with `most` above 0 it stands still after so many rows.
-    async fn execute_portal(&mut self, name: &str, most: usize) -> Result<(), SqlError> {
+    /// Runs a portal; with `max_rows` above 0 it stands still after so many rows.
+    async fn execute_portal(&mut self, name: &str, max_rows: usize) -> Result<(), SqlError> {
         let portal = self.portals.get(name).cloned();
         let portal = portal.ok_or_else(|| SqlError::new("34000", "no such portal"))?;
         if sql::command(&portal.sql) == Command::Empty {
             frame::put(&mut self.out, &EmptyQueryResponse::new());
             return Ok(());
         }
-        let mut rest = match portal.rest {
-            Some(rest) => rest,
-            None if most == 0 => {
+        let mut pending = match portal.pending {
+            Some(pending) => pending,
+            None if max_rows == 0 => {
                 return self.execute(&portal.sql, &portal.params, &portal.formats, false).await;
             }
-            None => self.hold(&portal).await?,
+            None => self.buffer_answer(&portal).await?,
         };
         let mut rows = 0;
-        while let Some(frame) = rest.front() {
-            if frame.first() == Some(&b'D') && most > 0 && rows == most {
+        while let Some(frame) = pending.front() {
+            if frame.first() == Some(&b'D') && max_rows > 0 && rows == max_rows {
                 break;
             }
             rows += usize::from(frame.first() == Some(&b'D'));
             self.out.extend_from_slice(frame);
-            rest.pop_front();
+            pending.pop_front();
         }
-        if !rest.is_empty() {
+        if !pending.is_empty() {
             frame::put(&mut self.out, &PortalSuspended::new());
         }
         if let Some(portal) = self.portals.get_mut(name) {
-            portal.rest = Some(rest);
+            portal.pending = Some(pending);
         }
         Ok(())
     }
 
     /// Runs a portal and holds its answer.
-    async fn hold(&mut self, portal: &Portal) -> Result<VecDeque<Bytes>, SqlError> {
+    async fn buffer_answer(&mut self, portal: &Portal) -> Result<VecDeque<Bytes>, SqlError> {
         let before = self.out.split();
-        self.holds = true;
+        self.buffering = true;
         let result = self.execute(&portal.sql, &portal.params, &portal.formats, false).await;
-        self.holds = false;
+        self.buffering = false;
         let answer = std::mem::replace(&mut self.out, before);
         result?;
         let frames = frame::frames(answer.freeze())?;
--- a/lab/src/server/replication.rs
+++ b/lab/src/server/replication.rs
@@ -14,10 +14,10 @@
 
 use super::engine::{Engine, Record};
 
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
-const HEARTBEAT: Duration = Duration::from_millis(50);
-const SILENCE: Duration = Duration::from_millis(500);
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What servers say to each other.
 #[derive(Debug, Deserialize, Serialize)]
@@ -51,21 +51,21 @@
     while let Ok((stream, _)) = listener.accept().await {
         let engine = engine.clone();
         monoio::spawn(async move {
-            if let Err(error) = give(&engine, stream).await {
+            if let Err(error) = send_log(&engine, stream).await {
                 tracing::debug!("replication: a replica left: {error:#}.");
             }
         });
     }
 }
 
-async fn give(engine: &Engine, stream: TcpStream) -> anyhow::Result<()> {
+async fn send_log(engine: &Engine, stream: TcpStream) -> anyhow::Result<()> {
     stream.set_nodelay(true)?;
     let mut stream = stream.into_poll_io()?;
-    let first = monoio::time::timeout(SILENCE, receive(&mut stream)).await??;
+    let first = monoio::time::timeout(MESSAGE_TIMEOUT, receive(&mut stream)).await??;
     let Message::Follow { promised, terms } = first else { anyhow::bail!("not a replica") };
     let term = engine.status().term;
     ensure!(engine.leads() && promised <= term, "this server does not lead");
-    let mut sent = engine.common(&terms);
+    let mut sent = engine.common_length(&terms);
     send(&mut stream, &Message::Accept { term, common: sent }).await?;
     loop {
         ensure!(engine.leads() && engine.status().term == term, "the term is over");
@@ -76,7 +76,7 @@
             send(&mut stream, &Message::Records { term, records }).await?;
             continue;
         }
-        if monoio::time::timeout(HEARTBEAT, changed).await.is_err() {
+        if monoio::time::timeout(HEARTBEAT_INTERVAL, changed).await.is_err() {
             send(&mut stream, &Message::Records { term, records }).await?;
         }
     }
@@ -86,27 +86,27 @@
 pub async fn follow(engine: Rc<Engine>, peer: SocketAddr) {
     loop {
         if !engine.leads()
-            && let Err(error) = take(&engine, peer).await
+            && let Err(error) = receive_log(&engine, peer).await
         {
             tracing::trace!("replication: {peer}: {error:#}.");
         }
-        monoio::time::sleep(RETRY_PAUSE).await;
+        monoio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-async fn take(engine: &Engine, peer: SocketAddr) -> anyhow::Result<()> {
-    let stream = monoio::time::timeout(CONNECT_WITHIN, TcpStream::connect(peer)).await??;
+async fn receive_log(engine: &Engine, peer: SocketAddr) -> anyhow::Result<()> {
+    let stream = monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer)).await??;
     stream.set_nodelay(true)?;
     let mut stream = stream.into_poll_io()?;
     let follow = Message::Follow { promised: engine.status().promised, terms: engine.terms() };
     send(&mut stream, &follow).await?;
-    let first = monoio::time::timeout(SILENCE, receive(&mut stream)).await??;
+    let first = monoio::time::timeout(MESSAGE_TIMEOUT, receive(&mut stream)).await??;
     let Message::Accept { term, common } = first else { anyhow::bail!("not a primary") };
-    engine.accept(term)?;
+    engine.follow_term(term)?;
     engine.truncate(common)?;
     ensure!(engine.held().position.0 as usize == common, "the log moved meanwhile");
     loop {
-        let message = monoio::time::timeout(SILENCE, receive(&mut stream)).await??;
+        let message = monoio::time::timeout(MESSAGE_TIMEOUT, receive(&mut stream)).await??;
         let Message::Records { term, records } = message else { anyhow::bail!("not records") };
         engine.receive(term, records, std::time::Instant::now())?;
     }
--- a/lab/src/server/rows.rs
+++ b/lab/src/server/rows.rs
@@ -6,7 +6,7 @@
 use super::values;
 
 /// Whether a statement begins with `SELECT`.
-pub fn statement_reads(sql: &str) -> bool {
+pub fn is_select(sql: &str) -> bool {
     sql.trim_start().get(..6).is_some_and(|w| w.eq_ignore_ascii_case("select"))
 }
 
@@ -49,6 +49,6 @@
 }
 
 /// The same columns once more.
-pub fn fields_of(fields: &[FieldDescription]) -> Vec<FieldDescription> {
+pub fn copy_fields(fields: &[FieldDescription]) -> Vec<FieldDescription> {
     fields.iter().map(|f| field(&f.name, f.type_id, f.format_code)).collect()
 }
--- a/lab/src/server/session.rs
+++ b/lab/src/server/session.rs
@@ -29,13 +29,13 @@
 use super::{
     engine::{self, Change, Engine},
     extended::{Portal, Prepared},
-    rows::{field, fields, fields_of, put_row, statement_reads, tag},
+    rows::{copy_fields, field, fields, is_select, put_row, tag},
     sql::{self, Command},
     values::{self, Value, oid},
 };
 
 const MAX_MESSAGE: usize = 64 << 20;
-const SEND_AT: usize = 32 * 1024;
+const FLUSH_THRESHOLD: usize = 32 * 1024;
 
 /// An error with its SQLSTATE.
 #[derive(Debug)]
@@ -82,9 +82,9 @@
     match reader.startup(false).await? {
         PgWireFrontendMessage::Startup(_) => {}
         PgWireFrontendMessage::CancelRequest(request) => {
-            monoio::time::sleep(engine.knobs.cancel.get()).await;
-            let running = engine.running.borrow().get(&request.pid).cloned();
-            running.inspect(|running| running.notify_one());
+            monoio::time::sleep(engine.tunables.cancel.get()).await;
+            let signal = engine.cancel_signals.borrow().get(&request.pid).cloned();
+            signal.inspect(|signal| signal.notify_one());
             return Ok(());
         }
         _ => bail!("no start-up"),
@@ -95,7 +95,7 @@
         bail!(text);
     }
     engine.sessions.set(engine.sessions.get() + 1);
-    engine::raise(&engine.served.connections, engine.sessions.get());
+    engine::set_max(&engine.stats.connections, engine.sessions.get());
     let result = session(engine, reader, writer).await;
     engine.sessions.set(engine.sessions.get() - 1);
     result
@@ -107,8 +107,8 @@
     mut writer: PgWriter<WriteHalf<TcpStreamPoll>>,
 ) -> anyhow::Result<()> {
     monoio::time::sleep(Duration::from_millis(engine.args.connect_ms)).await;
-    let pid = engine.last_session.get() + 1;
-    engine.last_session.set(pid);
+    let pid = engine.last_pid.get() + 1;
+    engine.last_pid.set(pid);
     let mut out = BytesMut::new();
     frame::put(&mut out, &Authentication::Ok);
     frame::put(&mut out, &BackendKeyData::new(pid, SecretKey::I32(pid)));
@@ -125,10 +125,10 @@
         open: false,
         failed: false,
         changes: Vec::new(),
-        writing: None,
-        told: Point::default(),
-        listens: false,
-        holds: false,
+        write_lock: None,
+        last_point: Point::default(),
+        listening: false,
+        buffering: false,
         statements: HashMap::new(),
         portals: HashMap::new(),
     };
@@ -150,12 +150,12 @@
     failed: bool,
     changes: Vec<Change>,
     /// Held from the first write of a transaction to its end.
-    writing: Option<SemaphorePermit<'e>>,
+    write_lock: Option<SemaphorePermit<'e>>,
     /// The point that the caller was last told.
-    told: Point,
-    listens: bool,
+    last_point: Point,
+    listening: bool,
     /// Whether rows wait until their statement has ended.
-    pub(super) holds: bool,
+    pub(super) buffering: bool,
     pub(super) statements: HashMap<Box<str>, Prepared>,
     pub(super) portals: HashMap<Box<str>, Portal>,
 }
@@ -167,7 +167,7 @@
                 frame = self.reader.next() => frame?,
                 _ = self.engine.changed.notified() => {
                     self.check_generation()?;
-                    self.tell_status().await?;
+                    self.notify_status().await?;
                     continue;
                 }
             };
@@ -189,13 +189,13 @@
         Ok(())
     }
 
-    async fn tell_status(&mut self) -> anyhow::Result<()> {
-        if !self.listens {
+    async fn notify_status(&mut self) -> anyhow::Result<()> {
+        if !self.listening {
             return Ok(());
         }
         let payload = self.engine.status().to_string();
-        let told = NotificationResponse::new(0, "group_status".into(), payload);
-        self.writer.send(&frame::bytes(&told)).await
+        let notification = NotificationResponse::new(0, "group_status".into(), payload);
+        self.writer.send(&frame::bytes(&notification)).await
     }
 
     pub(super) async fn flush(&mut self) -> anyhow::Result<()> {
@@ -250,14 +250,14 @@
             if let Err(error) = self.execute(end, &[], &[], false).await {
                 self.error(&error);
             } else {
-                self.drop_tag(before);
+                self.drop_commit_tag(before);
             }
         }
         self.ready().await
     }
 
     /// Drops the end of the implicit `COMMIT`, which the caller did not send.
-    fn drop_tag(&mut self, from: usize) {
+    fn drop_commit_tag(&mut self, from: usize) {
         let mut tail = self.out.split_off(from);
         while let Ok(Some(frame)) = Frame::split_from(&mut tail, usize::MAX) {
             if frame.tag != b'C' {
@@ -286,7 +286,7 @@
             Command::Set { name, value } => self.set(&name, &value)?,
             Command::Show(name) => self.show(&name, formats, described),
             Command::Listen => {
-                self.listens = true;
+                self.listening = true;
                 "LISTEN".into()
             }
             Command::Promise { term, holder } => {
@@ -318,7 +318,7 @@
             return self.rollback();
         }
         if self.open {
-            if let Err(error) = self.check_leads() {
+            if let Err(error) = self.ensure_leads() {
                 self.rollback()?;
                 return Err(error);
             }
@@ -327,7 +327,7 @@
             let changes = std::mem::take(&mut self.changes);
             if let Err(error) = result {
                 let _ = self.db.execute_batch("ROLLBACK");
-                self.writing = None;
+                self.write_lock = None;
                 return Err(error.into());
             }
             self.log(changes)?;
@@ -339,13 +339,13 @@
     fn log(&mut self, changes: Vec<Change>) -> Result<(), SqlError> {
         if !changes.is_empty() {
             let point = self.engine.append(changes)?;
-            self.tell_point(point);
+            self.report_point(point);
         }
-        self.writing = None;
+        self.write_lock = None;
         Ok(())
     }
 
-    fn check_leads(&self) -> Result<(), SqlError> {
+    fn ensure_leads(&self) -> Result<(), SqlError> {
         if !self.changes.is_empty() && !self.engine.leads() {
             return Err(SqlError::new("25006", "this server does not lead"));
         }
@@ -356,7 +356,7 @@
         if self.open {
             let _ = self.db.execute_batch("ROLLBACK");
         }
-        (self.open, self.failed, self.writing) = (false, false, None);
+        (self.open, self.failed, self.write_lock) = (false, false, None);
         self.changes.clear();
         Ok("ROLLBACK".into())
     }
@@ -367,21 +367,21 @@
             n.map(Duration::from_millis)
         };
         match name {
-            "standin.lag_ms" => self.engine.knobs.lag.set(millis()?),
-            "standin.cancel_ms" => self.engine.knobs.cancel.set(millis()?),
-            "standin.service_ms" => self.engine.knobs.service.set(millis()?),
+            "standin.lag_ms" => self.engine.tunables.lag.set(millis()?),
+            "standin.cancel_ms" => self.engine.tunables.cancel.set(millis()?),
+            "standin.service_ms" => self.engine.tunables.service_time.set(millis()?),
             _ => {}
         }
         Ok("SET".into())
     }
 
     fn show(&mut self, name: &str, formats: &[i16], described: bool) -> String {
-        self.tell_point(self.engine.shown());
+        self.report_point(self.engine.applied_point());
         let value = match name {
             "group_status" => self.engine.status().to_string(),
             "transaction_isolation" | "transaction isolation level" => "read committed".into(),
             "server_version" => "16.0".into(),
-            "standin.counters" => self.engine.served.line(),
+            "standin.counters" => self.engine.stats.line(),
             _ => String::new(),
         };
         self.text_row(name, &value, formats, described);
@@ -400,9 +400,9 @@
         "SELECT 1".into()
     }
 
-    fn tell_point(&mut self, point: Point) {
-        if self.told != point {
-            self.told = point;
+    fn report_point(&mut self, point: Point) {
+        if self.last_point != point {
+            self.last_point = point;
             let setting = answer::parameter("group_point", &point.to_string());
             self.out.extend_from_slice(&setting);
         }
@@ -418,25 +418,25 @@
         let reads = self.db.prepare_cached(sql)?.readonly();
         self.engine.count(reads);
         let cancel = Rc::new(Notify::new());
-        self.engine.running.borrow_mut().insert(self.pid, cancel.clone());
-        let write = !reads && self.writing.is_none();
-        let turn = monoio::select! {
-            turn = turn(self.engine, write) => turn,
+        self.engine.cancel_signals.borrow_mut().insert(self.pid, cancel.clone());
+        let write = !reads && self.write_lock.is_none();
+        let permits = monoio::select! {
+            permits = acquire_permits(self.engine, write) => permits,
             _ = cancel.notified() => Err(SqlError::new("57014", "cancelled on request")),
         };
-        self.engine.running.borrow_mut().remove(&self.pid);
-        let (_slot, writing) = turn?;
+        self.engine.cancel_signals.borrow_mut().remove(&self.pid);
+        let (_slot, write_lock) = permits?;
         if !reads {
-            self.writing = self.writing.take().or(writing);
+            self.write_lock = self.write_lock.take().or(write_lock);
             if !self.engine.leads() {
-                self.writing = None;
+                self.write_lock = None;
                 return Err(SqlError::new("25006", "this server does not lead"));
             }
         } else if !self.open || self.changes.is_empty() {
             // Told before the rows, so that a reader can refuse a stale answer whole.
-            self.tell_point(self.engine.shown());
+            self.report_point(self.engine.applied_point());
         }
-        let result = self.step_sql(sql, params, formats, described).await;
+        let result = self.execute_sql(sql, params, formats, described).await;
         if !reads && result.is_ok() {
             self.changes.push(Change { sql: sql.into(), params: params.to_vec() });
         }
@@ -447,7 +447,7 @@
         result
     }
 
-    async fn step_sql(
+    async fn execute_sql(
         &mut self,
         sql: &str,
         params: &[Value],
@@ -458,7 +458,7 @@
         let fields = fields(&statement, formats);
         values::bind(&mut statement, params)?;
         if described && !fields.is_empty() {
-            frame::put(&mut self.out, &RowDescription::new(fields_of(&fields)));
+            frame::put(&mut self.out, &RowDescription::new(copy_fields(&fields)));
         }
         let mut count = 0;
         let mut row_bytes = BytesMut::new();
@@ -473,7 +473,7 @@
                 }
                 put_row(&mut self.out, &row_bytes);
                 count += 1;
-                if self.out.len() >= SEND_AT && !self.holds && statement_reads(sql) {
+                if self.out.len() >= FLUSH_THRESHOLD && !self.buffering && is_select(sql) {
                     let out = self.out.split();
                     self.writer.send(&out).await?;
                 }
@@ -486,14 +486,14 @@
 }
 
 /// Waits until a statement may run.
-async fn turn(
+async fn acquire_permits(
     engine: &Engine,
     write: bool,
 ) -> Result<(Option<SemaphorePermit<'_>>, Option<SemaphorePermit<'_>>), SqlError> {
-    let slot = engine.slot().await?;
-    let service = engine.knobs.service.get();
-    if !service.is_zero() {
-        monoio::time::sleep(service).await;
+    let slot = engine.acquire_slot().await?;
+    let service_time = engine.tunables.service_time.get();
+    if !service_time.is_zero() {
+        monoio::time::sleep(service_time).await;
     }
     if !write {
         return Ok((Some(slot), None));
@@ -501,6 +501,6 @@
     // A statement that waits for the lock has no slot: whoever holds the lock
     // needs one for its next statement.
     drop(slot);
-    let writing = engine.writing.acquire().await.map_err(anyhow::Error::from)?;
-    Ok((None, Some(writing)))
+    let write_lock = engine.write_lock.acquire().await.map_err(anyhow::Error::from)?;
+    Ok((None, Some(write_lock)))
 }
--- a/lab/src/server/types.rs
+++ b/lab/src/server/types.rs
@@ -7,11 +7,11 @@
 use super::values::{self, oid};
 
 /// The types of the parameters `$1`, `$2` and so on; `given` ones go first.
-pub fn of_params(db: &Connection, sql: &str, given: &[u32]) -> rusqlite::Result<Vec<u32>> {
+pub fn infer(db: &Connection, sql: &str, given: &[u32]) -> rusqlite::Result<Vec<u32>> {
     let statement = db.prepare(sql)?;
-    let words = words(sql);
-    let columns = columns(db, &words);
-    let inserted = inserted(db, &words);
+    let tokens = tokens(sql);
+    let columns = columns(db, &tokens);
+    let inserted_types = inserted_types(db, &tokens);
     let mut types = Vec::new();
     loop {
         let param = format!("${}", types.len() + 1);
@@ -19,30 +19,35 @@
             return Ok(types);
         }
         let stated = given.get(types.len()).copied().filter(|oid| *oid != 0);
-        let met = || inserted.get(&*param).or_else(|| compared(&words, &columns, &param)).copied();
-        types.push(stated.or_else(met).unwrap_or(oid::TEXT));
+        let inferred = || {
+            inserted_types
+                .get(&*param)
+                .or_else(|| compared_type(&tokens, &columns, &param))
+                .copied()
+        };
+        types.push(stated.or_else(inferred).unwrap_or(oid::TEXT));
     }
 }
 
 /// Names, numbers, parameters and operators, in small letters.
-fn words(sql: &str) -> Vec<String> {
-    let mut words: Vec<String> = Vec::new();
+fn tokens(sql: &str) -> Vec<String> {
+    let mut tokens: Vec<String> = Vec::new();
     let in_word = |c: char| c.is_alphanumeric() || matches!(c, '_' | '$');
     let in_operator = |c: char| matches!(c, '<' | '>' | '=' | '!');
     let mut last = ' ';
     for c in sql.chars().filter(|c| *c != '"') {
         let joins = (in_word(c) && in_word(last)) || (in_operator(c) && in_operator(last));
-        match words.last_mut() {
-            Some(word) if joins => word.extend(c.to_lowercase()),
+        match tokens.last_mut() {
+            Some(token) if joins => token.extend(c.to_lowercase()),
             _ if c.is_whitespace() => {}
-            _ => words.push(c.to_lowercase().collect()),
+            _ => tokens.push(c.to_lowercase().collect()),
         }
         last = c;
     }
-    words
+    tokens
 }
 
-fn table(db: &Connection, name: &str) -> Vec<(String, u32)> {
+fn table_columns(db: &Connection, name: &str) -> Vec<(String, u32)> {
     let read = |row: &rusqlite::Row<'_>| {
         let (column, declared): (String, String) = (row.get(0)?, row.get(1)?);
         let type_id = values::column_type(Some(&declared), &column);
@@ -54,18 +59,18 @@
     columns.unwrap_or_default()
 }
 
-fn columns(db: &Connection, words: &[String]) -> HashMap<String, u32> {
-    words.iter().flat_map(|word| table(db, word)).collect()
+fn columns(db: &Connection, tokens: &[String]) -> HashMap<String, u32> {
+    tokens.iter().flat_map(|token| table_columns(db, token)).collect()
 }
 
 /// The types of parameters in `INSERT INTO t (a, b) VALUES ($1, $2), ($3, $4)`.
-fn inserted<'w>(db: &Connection, words: &'w [String]) -> HashMap<&'w str, u32> {
+fn inserted_types<'w>(db: &Connection, tokens: &'w [String]) -> HashMap<&'w str, u32> {
     let mut types = HashMap::new();
-    let Some(at) = words.iter().position(|w| w == "into") else { return types };
-    let Some(values) = words.iter().position(|w| w == "values") else { return types };
-    let Some(name) = words.get(at + 1) else { return types };
-    let all = table(db, name);
-    let listed: Vec<&String> = words[(at + 2).min(values)..values]
+    let Some(at) = tokens.iter().position(|w| w == "into") else { return types };
+    let Some(values) = tokens.iter().position(|w| w == "values") else { return types };
+    let Some(name) = tokens.get(at + 1) else { return types };
+    let all = table_columns(db, name);
+    let listed: Vec<&String> = tokens[(at + 2).min(values)..values]
         .iter()
         .filter(|w| !matches!(w.as_str(), "(" | ")" | ","))
         .collect();
@@ -75,8 +80,8 @@
         None => None,
     };
     let (mut place, mut depth) = (0, 0);
-    for word in &words[values + 1..] {
-        match word.as_str() {
+    for token in &tokens[values + 1..] {
+        match token.as_str() {
             "(" => (place, depth) = (if depth == 0 { 0 } else { place }, depth + 1),
             ")" => depth -= 1,
             "," if depth == 1 => place += 1,
@@ -93,14 +98,14 @@
 }
 
 /// The type of the column that a parameter is compared with or set to.
-fn compared<'c>(
-    words: &[String],
+fn compared_type<'c>(
+    tokens: &[String],
     columns: &'c HashMap<String, u32>,
     param: &str,
 ) -> Option<&'c u32> {
     const INT8: &u32 = &oid::INT8;
-    let at = words.iter().position(|w| w == param)?;
-    let before = |n: usize| at.checked_sub(n).and_then(|i| words.get(i)).map(String::as_str);
+    let at = tokens.iter().position(|w| w == param)?;
+    let before = |n: usize| at.checked_sub(n).and_then(|i| tokens.get(i)).map(String::as_str);
     if matches!(before(1), Some("limit" | "offset")) {
         return Some(INT8);
     }
@@ -112,11 +117,11 @@
     if matches!(before(1), Some("+" | "-" | "*" | "/")) {
         return columns.get(before(2)?);
     }
-    if words.get(at + 1).is_some_and(|w| is_operator(w)) {
-        return columns.get(words.get(at + 2)?);
+    if tokens.get(at + 1).is_some_and(|w| is_operator(w)) {
+        return columns.get(tokens.get(at + 2)?);
     }
     // `col IN ($1, $2)`
-    let open = words[..at].iter().rposition(|w| w == "(")?;
-    let is_in = open >= 2 && words[open - 1] == "in";
-    if is_in { columns.get(&words[open - 2]) } else { None }
+    let open = tokens[..at].iter().rposition(|w| w == "(")?;
+    let is_in = open >= 2 && tokens[open - 1] == "in";
+    if is_in { columns.get(&tokens[open - 2]) } else { None }
 }
