--- a/lab/src/load/caller.rs
+++ b/lab/src/load/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: sessions that roam between hosts over lasting connections.
+//! Callers of the load: sessions that send each request to any host over persistent
+//! connections.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,33 +15,33 @@
 
 use crate::system::key_of;
 
-/// The setting that carries the session token.
+/// Name of the setting that carries the session token.
 const TOKEN_SETTING: &str = "bergamottrack.session";
 
-/// The table that the load writes to.
+/// Statement that creates the table written by the load.
 pub const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS visit (id TEXT PRIMARY KEY, n INT8)";
 
-/// Far more than any request may take.
+/// Maximum wait for an answer; far above the timeout of any request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It was served; whether its read was older than the session's own writes.
+    /// The request was served.
     Served {
-        /// A read that lacks a write that this session was told of.
+        /// Whether a read lacks a write that was acknowledged to this session.
         stale: bool,
     },
-    /// It was refused with this SQLSTATE, or the connection was lost.
+    /// The request was refused with this SQLSTATE, or the connection failed.
     Refused(Box<str>),
 }
 
-/// A connection of a session to one host.
+/// Connection of a session to one host.
 struct Connection {
     client: Client,
-    /// The token that the host last told.
+    /// Token last received from the host.
     received_token: Rc<RefCell<Option<String>>>,
-    /// The token that the host was last shown.
+    /// Token last sent to the host.
     sent_token: RefCell<Option<String>>,
 }
 
@@ -66,27 +67,27 @@
     }
 }
 
-/// A session of a client account; it writes and reads a row of its own.
+/// Session of a client account that writes and reads one row of its own.
 pub struct Session {
-    /// Its account.
+    /// Client account of the session.
     pub account: Rc<str>,
-    /// Its group.
+    /// Database group of the session.
     pub group: Rc<str>,
     row: String,
     token: RefCell<Option<String>>,
-    /// Connections that wait for a request, by host. A request that finds none
-    /// opens one, so that none waits behind another on the caller's side.
+    /// Idle connections by host. A request opens a new connection if there is none,
+    /// so that no request queues behind another on the caller's side.
     idle: RefCell<HashMap<usize, Vec<Connection>>>,
-    /// The last number written.
+    /// Last number sent in a write.
     written: Cell<u64>,
-    /// The last number that was acknowledged.
+    /// Greatest number whose write was acknowledged.
     acknowledged: Cell<u64>,
-    /// The age that its reads accept, in milliseconds.
+    /// Maximum age of the data that reads accept, in milliseconds.
     max_age: Option<u64>,
 }
 
 impl Session {
-    /// A session without a connection.
+    /// Creates a session without connections.
     pub fn new(account: Rc<str>, group: Rc<str>, no: usize, max_age: Option<u64>) -> Self {
         Self {
             row: format!("{account}-{no}"),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Runs one request through a host.
+    /// Sends one request to a host and waits for its outcome.
     pub async fn run(&self, host: usize, address: std::net::SocketAddr, write: bool) -> Outcome {
         let work = async {
             let connection = self.connection(host, address).await?;
@@ -162,34 +163,34 @@
     }
 
     async fn read(&self, connection: &Connection) -> Result<bool, tokio_postgres::Error> {
-        let floor = self.acknowledged.get();
+        let expected = self.acknowledged.get();
         let sql = format!("SELECT n FROM visit WHERE id = '{}'", self.row);
         let messages = self.query(connection, &sql).await?;
         let read = messages.iter().find_map(|message| match message {
             SimpleQueryMessage::Row(row) => row.get(0)?.parse::<u64>().ok(),
             _ => None,
         });
-        Ok(self.max_age.is_none() && read.unwrap_or_default() < floor)
+        Ok(self.max_age.is_none() && read.unwrap_or_default() < expected)
     }
 
-    /// Shows the session's token first when this host has not seen it.
+    /// Runs a statement; sends the session's token first if the host does not have it.
     async fn query(
         &self,
         connection: &Connection,
         sql: &str,
     ) -> Result<Vec<SimpleQueryMessage>, tokio_postgres::Error> {
         let token = self.token.borrow().clone();
-        let known = token.is_none()
+        let up_to_date = token.is_none()
             || *connection.sent_token.borrow() == token
             || *connection.received_token.borrow() == token;
         let query = connection.client.simple_query(sql);
-        let messages = if known {
+        let messages = if up_to_date {
             query.await?
         } else {
             *connection.sent_token.borrow_mut() = token.clone();
             let set = format!("SET {TOKEN_SETTING} = '{}'", token.unwrap_or_default());
-            let (sent_token, messages) = tokio::join!(connection.client.batch_execute(&set), query);
-            sent_token?;
+            let (set, messages) = tokio::join!(connection.client.batch_execute(&set), query);
+            set?;
             messages?
         };
         let received_token = connection.received_token.borrow().clone();
@@ -197,8 +198,8 @@
         Ok(messages)
     }
 
-    /// Keeps a token unless the session has a newer one: requests of one session
-    /// may run side by side, and the answer that comes last may tell less.
+    /// Replaces the session's token if the received one is newer. Requests of one session
+    /// may run concurrently, so the last answer may carry an older token.
     fn update_token(&self, received_token: Option<String>) {
         let mut token = self.token.borrow_mut();
         if received_token.as_deref().map(token_point) > token.as_deref().map(token_point) {
@@ -207,7 +208,7 @@
     }
 }
 
-/// The point that a token of one group tells: `group=term/position.tag`.
+/// Returns the point in a token of one group, which has the form `group=term/position.tag`.
 fn token_point(token: &str) -> Option<Point> {
     let (body, _) = token.rsplit_once('.')?;
     body.rsplit_once('=')?.1.parse().ok()
