--- a/lab/src/load/counters.rs
+++ b/lab/src/load/counters.rs
@@ -1,4 +1,4 @@
-//! What the processes have used and served, before and after a load.
+//! Resource usage and request counters of the processes, read before and after a load.
 
 use std::time::{Duration, Instant};
 
@@ -10,45 +10,45 @@
     usage,
 };
 
-/// What has been used and served up to now.
+/// Cumulative usage and counters of all processes.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    /// Processor time of the hosts.
-    pub hosts: Duration,
-    /// Processor time of the servers.
-    pub servers: Duration,
-    /// Bytes over the loopback device.
+    /// CPU time of all hosts.
+    pub host_cpu: Duration,
+    /// CPU time of all backend servers.
+    pub server_cpu: Duration,
+    /// Bytes sent over the loopback device.
     pub bytes: u64,
-    /// Memory of the host that has most.
+    /// Memory of the host that uses most, in bytes.
     pub memory: u64,
-    /// Reads that primaries served.
+    /// Reads served by primaries.
     pub primary_reads: u64,
-    /// Reads that replicas served.
+    /// Reads served by replicas.
     pub replica_reads: u64,
-    /// Writes that servers ran.
+    /// Writes run by servers.
     pub writes: u64,
-    /// The most connections at once to one server.
+    /// Maximum number of concurrent connections to one server.
     pub connections: u64,
-    /// The most statements at once that waited for a slot of one server.
+    /// Maximum number of statements that waited for a slot of one server at once.
     pub waiting: u64,
-    /// The newest terms of all groups, added up.
+    /// Sum of the newest terms of all groups.
     pub terms: u64,
 }
 
 impl Counters {
-    /// Reads them all; servers that do not run are passed over.
+    /// Reads all counters; skips servers that are not running or do not answer within 1 s.
     pub async fn read(system: &System) -> anyhow::Result<Self> {
         let mut counters = Self::read_processes(system);
         for (name, process) in &system.servers {
             if process.pid().is_none() {
                 continue;
             }
-            let Ok(Ok(counters_line)) =
+            let Ok(Ok(line)) =
                 tokio::time::timeout(Duration::from_secs(1), counters_line(system, name)).await
             else {
                 continue;
             };
-            let mut numbers = counters_line.split(' ').filter_map(|n| n.parse::<u64>().ok());
+            let mut numbers = line.split(' ').filter_map(|n| n.parse::<u64>().ok());
             let mut next = || numbers.next().unwrap_or_default();
             counters.primary_reads += next();
             counters.replica_reads += next();
@@ -62,13 +62,13 @@
         Ok(counters)
     }
 
-    /// Reads what the processes use, without asking the servers.
+    /// Reads the usage of the processes only; sends no request to the servers.
     pub fn read_processes(system: &System) -> Self {
         let hosts = system.hosts.iter().filter_map(|host| host.pid());
         let servers = system.servers.values().filter_map(|server| server.pid());
         Self {
-            hosts: hosts.clone().map(usage::processor).sum(),
-            servers: servers.map(usage::processor).sum(),
+            host_cpu: hosts.clone().map(usage::processor).sum(),
+            server_cpu: servers.map(usage::processor).sum(),
             bytes: usage::loopback(),
             memory: hosts.map(usage::memory).max().unwrap_or_default(),
             ..Self::default()
@@ -79,27 +79,27 @@
 async fn counters_line(system: &System, name: &str) -> anyhow::Result<String> {
     let client = system.connect_server(name).await?;
     let rows = system::rows(&client, "SHOW standin.counters").await?;
-    rows.into_iter().next().context("a server without counters")
+    rows.into_iter().next().context("server returned no counters")
 }
 
-/// What the hosts use while nothing is asked of them.
+/// Resource usage of the system without load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IdleUsage {
-    /// Part of one core that a host uses.
+    /// Share of one core used by a host, averaged over the hosts (1.0 is a whole core).
     pub processor: f64,
-    /// Bytes a second of the whole system.
+    /// Bytes per second sent by the whole system.
     pub bytes: f64,
 }
 
 impl IdleUsage {
-    /// Watches the system for some time.
-    pub async fn measure(system: &System, time: Duration) -> anyhow::Result<Self> {
-        let began = Instant::now();
+    /// Measures the idle system for the given duration.
+    pub async fn measure(system: &System, duration: Duration) -> anyhow::Result<Self> {
+        let start = Instant::now();
         let before = Counters::read_processes(system);
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         let after = Counters::read_processes(system);
-        let seconds = began.elapsed().as_secs_f64();
-        let used = after.hosts.saturating_sub(before.hosts).as_secs_f64();
+        let seconds = start.elapsed().as_secs_f64();
+        let used = after.host_cpu.saturating_sub(before.host_cpu).as_secs_f64();
         Ok(Self {
             processor: used / seconds / system.hosts.len() as f64,
             bytes: after.bytes.saturating_sub(before.bytes) as f64 / seconds,
--- a/lab/src/load/report.rs
+++ b/lab/src/load/report.rs
@@ -275,8 +275,8 @@
     let seconds = run.now();
     let hosts = run.addresses.len() as f64;
     let requests = (requests as f64).max(1.0);
-    let host_time = after.hosts.saturating_sub(before.hosts).as_secs_f64();
-    let server_time = after.servers.saturating_sub(before.servers).as_secs_f64();
+    let host_time = after.host_cpu.saturating_sub(before.host_cpu).as_secs_f64();
+    let server_time = after.server_cpu.saturating_sub(before.server_cpu).as_secs_f64();
     let bytes = after.bytes.saturating_sub(before.bytes) as f64;
     Usage {
         hosts_us: (host_time - idle.processor * hosts * seconds).max(0.0) * 1e6 / requests,
