--- a/lab/src/load/fault.rs
+++ b/lab/src/load/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a run causes at set times.
+//! Faults that are injected at scheduled times of a run.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -11,26 +11,27 @@
     system::{self, System},
 };
 
-/// A fault and its time.
+/// Scheduled fault.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// Seconds after the load began.
+    /// Time of the first injection, in seconds after the start of the load.
     pub at: f64,
-    /// Seconds from one time to the next.
+    /// Interval between injections, in seconds.
     #[serde(default)]
     pub every: f64,
-    /// How many times it comes.
+    /// Number of injections.
     #[serde(default = "default_times")]
     pub times: u32,
-    /// What happens.
+    /// Action of the fault.
     pub act: Action,
-    /// To whom: a process such as `h2` or `g1s1`, `g1.primary` for the server
-    /// that leads, names with a `*` for settings, or links such as `h1>*`.
+    /// Target of the action: a process such as `h2` or `g1s1`, `g1.primary` for the
+    /// current primary of a group, a pattern with `*` for server settings, or links
+    /// such as `h1>*`.
     #[serde(default)]
     pub target: Box<str>,
-    /// Its parameter: JSON of the platform's faults, the fault of a link as
-    /// JSON, or a setting of the stand-in such as `standin.lag_ms = 100`.
+    /// Parameter of the action: platform faults as JSON, a link fault as JSON, or a
+    /// setting of the stand-in server such as `standin.lag_ms = 100`.
     #[serde(default)]
     pub with: Box<str>,
 }
@@ -39,53 +40,53 @@
     1
 }
 
-/// What happens.
+/// Action of a fault.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Action {
-    /// The process is killed.
+    /// Kills the process.
     Kill,
-    /// It stands still.
+    /// Suspends the process with `SIGSTOP`.
     Freeze,
-    /// No byte reaches or leaves it; needs links.
+    /// Blocks all traffic to and from the process; requires links.
     Cut,
-    /// What was last done to the target is undone.
+    /// Reverts the last action on the same target.
     Heal,
-    /// Links get a fault; none mends them.
+    /// Sets a fault on links; without a parameter, repairs them.
     Link,
-    /// Every server that `target` matches gets a setting.
+    /// Changes a setting on every server that matches `target`.
     Server,
-    /// The platform gets faults.
+    /// Sets faults on the platform.
     Platform,
 }
 
 impl Fault {
-    /// When it comes.
+    /// Returns the injection times, in seconds after the start of the load.
     pub fn schedule(&self) -> impl Iterator<Item = f64> {
         (0..self.times).map(|i| self.at + f64::from(i) * self.every)
     }
 
-    /// The group whose primary it strikes.
+    /// Returns the group whose primary is killed, suspended or cut off, if any.
     pub fn group(&self) -> Option<&str> {
-        let strikes = matches!(self.act, Action::Kill | Action::Freeze | Action::Cut);
-        self.target.strip_suffix(".primary").filter(|_| strikes)
+        let stops_target = matches!(self.act, Action::Kill | Action::Freeze | Action::Cut);
+        self.target.strip_suffix(".primary").filter(|_| stops_target)
     }
 }
 
-/// What is broken at the moment, by the target that was named.
+/// Active faults by target as written in the load: action and resolved process name.
 #[derive(Debug, Default)]
 pub struct ActiveFaults(BTreeMap<Box<str>, (Action, String)>);
 
 impl ActiveFaults {
-    /// Causes a fault.
+    /// Injects a fault.
     pub async fn inject(&mut self, fault: &Fault, system: &mut System) -> anyhow::Result<()> {
         match fault.act {
             Action::Link => {
-                let what = match &*fault.with {
+                let link_fault = match &*fault.with {
                     "" => link::Fault::default(),
-                    json => serde_json::from_str(json).context("the fault of a link")?,
+                    json => serde_json::from_str(json).context("parsing the link fault")?,
                 };
-                return system.fault(&fault.target, what).await;
+                return system.fault(&fault.target, link_fault).await;
             }
             Action::Platform => return system.platform_faults(&fault.with).await,
             Action::Server => return set_servers(fault, system).await,
@@ -130,34 +131,35 @@
     Ok(())
 }
 
-/// The server that leads a group, asked of the servers themselves.
+/// Returns the primary of a group with the newest term, from the statuses that its servers
+/// report.
 pub async fn primary(system: &System, group: &str) -> anyhow::Result<String> {
     let statuses = statuses(system, group).await.into_iter();
-    let leading = statuses.filter(|(_, status)| status.leads());
-    let newest = leading.max_by_key(|(_, status)| status.term);
+    let primaries = statuses.filter(|(_, status)| status.leads());
+    let newest = primaries.max_by_key(|(_, status)| status.term);
     newest.map(|(name, _)| name).with_context(|| format!("{group} has no primary"))
 }
 
-/// The newest term that a server of the group is in; 0 when none answers.
+/// Returns the newest term that a server of the group reports, or 0 if none answers.
 pub async fn newest_term(system: &System, group: &str) -> u64 {
     let statuses = statuses(system, group).await;
     statuses.into_iter().map(|(_, status)| status.term.0).max().unwrap_or_default()
 }
 
-/// What the servers of a group that answer say of themselves.
+/// Returns the statuses of the servers of a group that answer within 500 ms.
 async fn statuses(system: &System, group: &str) -> Vec<(String, Status)> {
-    let mut found = Vec::new();
+    let mut answered = Vec::new();
     for name in system.servers.keys().filter(|name| name.starts_with(&format!("{group}s"))) {
         let status = tokio::time::timeout(Duration::from_millis(500), status(system, name)).await;
         if let Ok(Ok(status)) = status {
-            found.push((name.clone(), status));
+            answered.push((name.clone(), status));
         }
     }
-    found
+    answered
 }
 
 async fn status(system: &System, name: &str) -> anyhow::Result<Status> {
     let client = system.connect_server(name).await?;
     let rows = system::rows(&client, "SHOW group_status").await?;
-    Ok(rows.first().context("a server without a status")?.parse()?)
+    Ok(rows.first().context("server returned no status")?.parse()?)
 }
