--- a/lab/src/load/mod.rs
+++ b/lab/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! The load generator: arrivals that do not wait for answers, from a set seed.
+//! Open-loop load generator: requests arrive independently of answers, from random numbers
+//! with a fixed seed.
 
 use std::{
     cell::{Cell, RefCell},
@@ -32,61 +33,61 @@
 use caller::{Outcome, Session};
 use tally::Sample;
 
-/// How long the last answers are waited for.
+/// Maximum wait for outstanding answers after the last arrival.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(16);
 
-/// How often a moving balance changes its host.
+/// Interval at which [`Balance::Moving`] changes its host, in seconds.
 const MOVE_INTERVAL: f64 = 2.0;
 
-/// How requests are spread over the hosts.
+/// Distribution of requests over the hosts.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Balance {
-    /// To all alike.
+    /// Uniform.
     #[default]
     Even,
-    /// Nine of ten to the first host.
+    /// Nine out of ten requests to the first host.
     Skewed,
-    /// Nine of ten to one host, another one every two seconds.
+    /// Nine out of ten requests to one host, which changes every two seconds.
     Moving,
 }
 
-/// What is offered, to what.
+/// Settings of a load and of the system that it runs against.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// The site whose groups, accounts and rates are taken.
+    /// Site that defines the groups, accounts and rates.
     pub site: Site,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// What the random numbers start from.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// How long the system is watched before the load begins, in seconds; longer
-    /// than any burst of the sites takes to fill again.
+    /// Duration of the idle measurement before the load starts, in seconds; longer than any
+    /// burst of the sites takes to refill.
     pub idle: f64,
-    /// How long requests arrive.
+    /// Duration of the arrivals, in seconds.
     pub seconds: f64,
-    /// The part of its rate that each account offers.
+    /// Offered requests as a share of each account's rate.
     pub offered: f64,
-    /// Accounts that offer another part of their rate.
+    /// Overrides of `offered` by account.
     pub factors: BTreeMap<Box<str>, f64>,
-    /// The part of the requests that write.
+    /// Share of requests that are writes, from 0 to 1.
     pub writes: f64,
-    /// Sessions of each account.
+    /// Number of sessions of each account.
     pub sessions: usize,
-    /// How requests are spread over the hosts.
+    /// Distribution of requests over the hosts.
     pub balance: Balance,
-    /// The age that reads accept, in milliseconds.
+    /// Maximum age of the data that reads accept, in milliseconds.
     pub max_age_ms: Option<u64>,
-    /// Milliseconds that each statement takes at a server.
+    /// Minimum time that a statement takes at a server, in milliseconds.
     pub service_ms: u64,
-    /// Milliseconds after which a replica shows what it received.
+    /// Delay before a replica applies received records, in milliseconds.
     pub lag_ms: u64,
-    /// Whether all connections between processes go through links.
+    /// Whether all connections between processes go through fault-injecting links.
     pub links: bool,
-    /// Changes of the site's policy, as `name = value`.
+    /// Overrides of the site's policy, as `name = value`.
     pub policy: BTreeMap<Box<str>, toml::Value>,
-    /// What goes wrong, and when.
+    /// Faults injected during the load.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -115,9 +116,9 @@
 }
 
 impl Load {
-    /// Reads settings such as `seconds=20`, each a line of TOML.
+    /// Parses settings such as `seconds=20`, each a line of TOML.
     pub fn parse(settings: &[String]) -> anyhow::Result<Self> {
-        toml::from_str(&settings.join("\n")).context("reading the settings of the load")
+        toml::from_str(&settings.join("\n")).context("parsing the load settings")
     }
 
     fn plan(&self) -> anyhow::Result<Plan> {
@@ -127,62 +128,67 @@
         plan.links = self.links;
         plan.log = "warn".into();
         if let Some(config) = &mut plan.site {
-            *config = self.amend(config)?;
+            *config = self.override_policy(config)?;
         }
         Ok(plan)
     }
 
-    fn amend(&self, config: &Config) -> anyhow::Result<Config> {
+    fn override_policy(&self, config: &Config) -> anyhow::Result<Config> {
         let mut table = toml::Table::try_from(config)?;
         let policy = table.get_mut("policy").and_then(toml::Value::as_table_mut);
-        let policy = policy.context("a configuration without a policy")?;
+        let policy = policy.context("configuration has no policy")?;
         for (name, value) in &self.policy {
             policy.insert(name.to_string(), value.clone());
         }
-        table.try_into().context("the policy of the load")
+        table.try_into().context("applying the policy overrides of the load")
     }
 }
 
-/// What all tasks of a run share.
+/// State shared by all tasks of a run.
 struct Run {
     load: Load,
     addresses: Vec<SocketAddr>,
-    began: Instant,
+    start: Instant,
     samples: RefCell<BTreeMap<Rc<str>, Vec<Sample>>>,
-    /// When writes were acknowledged, by group.
+    /// Times of acknowledged writes by group, in seconds after the start.
     acknowledged: RefCell<BTreeMap<Rc<str>, Vec<f64>>>,
-    /// When a group's primary was struck.
+    /// Times at which the primary of a group was killed, suspended or cut off, in seconds
+    /// after the start.
     primary_faults: RefCell<Vec<(Rc<str>, f64)>>,
-    running: Cell<usize>,
+    /// Number of requests without an outcome yet.
+    outstanding: Cell<usize>,
     groups: Vec<Rc<str>>,
 }
 
 impl Run {
+    /// Returns the time since the start of the load, in seconds.
     fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.start.elapsed().as_secs_f64()
     }
 
-    /// The group whose servers are called `g2s1` and so on when given `g2`.
+    /// Returns the id of the group with this process prefix: for `g2` the group whose servers
+    /// are called `g2s1` and so on.
     fn group(&self, name: &str) -> Option<Rc<str>> {
         let number: usize = name.strip_prefix('g')?.parse().ok()?;
         self.groups.get(number.checked_sub(1)?).cloned()
     }
 
+    /// Selects the host for a request that is due at `due`.
     fn host(&self, due: f64, rng: &mut StdRng) -> usize {
         let hosts = self.addresses.len();
-        let favoured = match self.load.balance {
+        let preferred = match self.load.balance {
             Balance::Even => return rng.random_range(0..hosts),
             Balance::Skewed => 0,
             Balance::Moving => (due / MOVE_INTERVAL) as usize % hosts,
         };
         if hosts == 1 || rng.random_bool(0.9) {
-            return favoured;
+            return preferred;
         }
-        (favoured + rng.random_range(1..hosts)) % hosts
+        (preferred + rng.random_range(1..hosts)) % hosts
     }
 }
 
-/// Runs a load against a system of its own; must run within a `LocalSet`.
+/// Starts a system and runs a load against it; must run within a `LocalSet`.
 pub async fn run(load: Load) -> anyhow::Result<Report> {
     let mut system = System::start(load.plan()?).await?;
     let config = Config::parse(&system.config())?;
@@ -193,11 +199,11 @@
     let before = counters::Counters::read(&system).await?;
     let run = Rc::new(Run {
         addresses: system.addresses.iter().map(|a| a.callers).collect(),
-        began: Instant::now(),
+        start: Instant::now(),
         samples: RefCell::default(),
         acknowledged: RefCell::default(),
         primary_faults: RefCell::default(),
-        running: Cell::default(),
+        outstanding: Cell::default(),
         groups: config.groups.iter().map(|g| g.id.as_str().into()).collect(),
         load,
     });
@@ -217,37 +223,38 @@
     Ok(report::build(&run, &config, &idle, &before, &after))
 }
 
-/// Causes all faults in the order of their times.
+/// Injects all faults in the order of their times.
 async fn inject_faults(run: &Run, system: &mut System) -> anyhow::Result<()> {
     let faults = run.load.faults.iter();
     let mut schedule: Vec<(f64, &Fault)> =
         faults.flat_map(|f| f.schedule().map(move |t| (t, f))).collect();
     schedule.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let mut broken = fault::ActiveFaults::default();
+    let mut active = fault::ActiveFaults::default();
     for (at, fault) in schedule {
         sleep_until(run, at).await;
         if let Some(group) = fault.group().and_then(|name| run.group(name)) {
             run.primary_faults.borrow_mut().push((group, run.now()));
         }
-        broken.inject(fault, system).await.with_context(|| format!("causing {fault:?}"))?;
+        active.inject(fault, system).await.with_context(|| format!("injecting {fault:?}"))?;
     }
     Ok(())
 }
 
 async fn sleep_until(run: &Run, at: f64) {
-    tokio::time::sleep_until((run.began + Duration::from_secs_f64(at)).into()).await;
+    tokio::time::sleep_until((run.start + Duration::from_secs_f64(at)).into()).await;
 }
 
+/// Waits until all requests have an outcome, at most [`DRAIN_TIMEOUT`].
 async fn drain(run: &Run) {
     let deadline = Instant::now() + DRAIN_TIMEOUT;
-    while run.running.get() > 0 && Instant::now() < deadline {
+    while run.outstanding.get() > 0 && Instant::now() < deadline {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Makes the table of the load in every group.
+/// Creates the table of the load in every group.
 async fn prepare(system: &System, config: &Config) -> anyhow::Result<()> {
-    let account = config.accounts.first().context("a site without accounts")?;
+    let account = config.accounts.first().context("site has no accounts")?;
     for group in &config.groups {
         let client = system.connect(0, account.id.as_str(), group.id.as_str()).await?;
         system::until_runs(&client, caller::CREATE_TABLE).await?;
@@ -255,6 +262,7 @@
     Ok(())
 }
 
+/// Sessions by client account.
 type Sessions = Vec<(ClientAccount, Vec<Rc<Session>>)>;
 
 fn sessions(config: &Config, load: &Load) -> Sessions {
@@ -269,14 +277,19 @@
     config.accounts.iter().map(sessions).collect()
 }
 
-/// Connects every session to every host, and lets the buckets fill again.
+/// Sends one request of every session to every host, which opens the connections. The buckets
+/// refill during the idle measurement that follows.
 async fn warm_up(system: &System, sessions: &Sessions) -> anyhow::Result<()> {
     for (account, sessions) in sessions {
         for session in sessions {
             for (host, addresses) in system.addresses.iter().enumerate() {
                 let outcome = session.run(host, addresses.callers, host == 0).await;
                 if !matches!(outcome, Outcome::Served { .. }) {
-                    tracing::warn!("load: {} at h{}: {outcome:?}.", account.id, host + 1);
+                    tracing::warn!(
+                        "load: warm-up request of {} to h{} failed: {outcome:?}.",
+                        account.id,
+                        host + 1
+                    );
                 }
             }
         }
@@ -284,11 +297,11 @@
     Ok(())
 }
 
-/// The arrivals of one account: a Poisson process of its own random numbers.
+/// Generates the arrivals of one account: a Poisson process with random numbers of its own.
 async fn arrivals(run: Rc<Run>, account: ClientAccount, sessions: Vec<Rc<Session>>, no: u64) {
     let mut rng = StdRng::seed_from_u64(run.load.seed.wrapping_mul(1009).wrapping_add(no));
-    let factor = run.load.factors.get(account.id.as_str()).copied();
-    let rate = account.rate.0 * factor.unwrap_or(run.load.offered);
+    let share = run.load.factors.get(account.id.as_str()).copied();
+    let rate = account.rate.0 * share.unwrap_or(run.load.offered);
     if rate <= 0.0 || sessions.is_empty() {
         return;
     }
@@ -303,11 +316,12 @@
         let write = rng.random_bool(run.load.writes);
         let session = sessions[rng.random_range(0..sessions.len())].clone();
         sleep_until(&run, due).await;
-        run.running.set(run.running.get() + 1);
+        run.outstanding.set(run.outstanding.get() + 1);
         tokio::task::spawn_local(request(run.clone(), session, host, write, due));
     }
 }
 
+/// Runs one request and records its sample.
 async fn request(run: Rc<Run>, session: Rc<Session>, host: usize, write: bool, due: f64) {
     let outcome = session.run(host, run.addresses[host], write).await;
     let done = run.now();
@@ -316,5 +330,5 @@
     }
     let sample = Sample { due, done, outcome };
     run.samples.borrow_mut().entry(session.account.clone()).or_default().push(sample);
-    run.running.set(run.running.get() - 1);
+    run.outstanding.set(run.outstanding.get() - 1);
 }
