--- a/lab/src/load/report.rs
+++ b/lab/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What a load has shown.
+//! Report of a load.
 
 use std::{collections::BTreeMap, fmt, rc::Rc};
 
@@ -12,119 +12,120 @@
     tally::{self, Sample, Tally},
 };
 
-/// What a load has shown.
+/// Results of a load.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// What was offered.
+    /// Settings of the load.
     pub load: Load,
-    /// Requests offered and served.
+    /// Requests offered.
     pub offered: u64,
     /// Requests served.
     pub served: u64,
-    /// Served requests a second.
+    /// Served requests per second.
     pub goodput: f64,
-    /// Latencies of what was served.
+    /// Latencies of served requests.
     pub latency: Latency,
-    /// Share of the reads that replicas served.
+    /// Share of reads that were served by replicas, from 0 to 1.
     pub replica_share: f64,
-    /// Reads that lacked a write that their session was told of; must be 0.
+    /// Reads that lack a write acknowledged to their session; must be 0.
     pub stale_reads: u64,
-    /// The longest time without an acknowledged write, by group, in milliseconds.
+    /// Longest time without an acknowledged write by group, in milliseconds.
     pub write_gaps: BTreeMap<Box<str>, f64>,
-    /// For each time that a primary was struck: the longest time between two
-    /// acknowledged writes of its group, in milliseconds, in order of length.
+    /// Longest time between two acknowledged writes of the group after each fault of its
+    /// primary, in milliseconds, in ascending order.
     pub failover_gaps: Vec<f64>,
-    /// Changes of term, over all groups.
+    /// Number of term changes over all groups.
     pub promotions: u64,
-    /// The longest that a caller waited for an answer of any kind, in milliseconds.
+    /// Longest wait of a caller for an answer of any kind, in milliseconds.
     pub longest_wait: f64,
-    /// The account that got the least of what its contract entitled it to.
+    /// Account that received the smallest share of its entitlement.
     pub worst: WorstAccount,
-    /// Refused for rate although within the rate.
+    /// Requests refused for rate although they were within the rate.
     pub wrongful: u64,
-    /// The most that an account got beyond its rate and burst.
+    /// Greatest number of requests served to an account beyond its rate and burst.
     pub overshoot: f64,
-    /// Each account.
+    /// Results by account.
     pub accounts: Vec<AccountReport>,
-    /// Statements that servers ran for each request that was not refused for rate.
+    /// Statements run by servers per request that was not refused for rate.
     pub amplification: f64,
-    /// The most connections at once to one server.
+    /// Maximum number of concurrent connections to one server.
     pub connections: u64,
-    /// The most statements at once that waited for a slot of one server.
+    /// Maximum number of statements that waited for a slot of one server at once.
     pub waiting: u64,
-    /// What the system used.
+    /// Resource usage of the system.
     pub usage: Usage,
-    /// For plots: when each request was due, its milliseconds, and whether it was served.
+    /// For plots: due time of each request in seconds, its latency in milliseconds, and
+    /// whether it was served.
     #[serde(skip)]
     pub points: Vec<(f64, f64, bool)>,
 }
 
-/// Latencies in milliseconds, from the time a request was due.
+/// Latencies in milliseconds, measured from the time at which a request was due.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Latency {
-    /// The median.
+    /// Median.
     pub p50: f64,
-    /// The 99th of a hundred.
+    /// 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// Maximum.
     pub max: f64,
 }
 
-/// The account that got the least of what its contract entitled it to.
+/// Account that received the smallest share of its entitlement.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorstAccount {
-    /// The account.
+    /// Id of the client account.
     pub account: Box<str>,
-    /// What it got of what it was entitled to.
+    /// Served requests divided by entitled requests.
     pub share: f64,
 }
 
-/// What one account got.
+/// Results of one client account.
 #[derive(Clone, Debug, Serialize)]
 pub struct AccountReport {
-    /// The account.
+    /// Id of the client account.
     pub account: Box<str>,
     /// Requests offered.
     pub offered: u64,
-    /// Requests that one bucket for all hosts would have admitted.
+    /// Requests that a single token bucket shared by all hosts would have admitted.
     pub entitled: u64,
     /// Requests served.
     pub served: u64,
     /// Requests refused, by SQLSTATE.
     pub refused: BTreeMap<Box<str>, u64>,
-    /// Refused for rate although within the rate.
+    /// Requests refused for rate although they were within the rate.
     pub wrongful: u64,
-    /// What it got beyond its rate and burst.
+    /// Greatest number of requests served beyond rate and burst.
     pub overshoot: f64,
-    /// Latencies of what was served.
+    /// Latencies of served requests.
     pub latency: Latency,
 }
 
-/// What the system used.
+/// Resource usage of the system.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Usage {
-    /// Processor time of all hosts, in microseconds a statement, idle use taken off.
+    /// CPU time of all hosts in microseconds per statement, less idle usage.
     pub hosts_us: f64,
-    /// Processor time of all servers, in microseconds a statement.
+    /// CPU time of all servers in microseconds per statement.
     pub servers_us: f64,
-    /// Bytes a statement over all connections, idle use taken off.
+    /// Bytes per statement over all connections, less idle usage.
     pub bytes: f64,
-    /// Part of one core that an idle host uses, in percent.
+    /// Share of one core used by an idle host, in percent.
     pub idle_percent: f64,
-    /// Bytes a second that the idle system sends, by host.
+    /// Bytes per second sent by the idle system, per host.
     pub idle_bytes: f64,
-    /// Memory of the host that has most, in MiB.
+    /// Memory of the host that uses most, in MiB.
     pub memory_mib: f64,
 }
 
 impl Report {
-    /// All refusals, by SQLSTATE.
+    /// Returns the number of refusals of all accounts by SQLSTATE.
     pub fn refused(&self) -> BTreeMap<&str, u64> {
-        let mut all = BTreeMap::new();
+        let mut refused = BTreeMap::new();
         for (code, count) in self.accounts.iter().flat_map(|a| &a.refused) {
-            *all.entry(&**code).or_default() += count;
+            *refused.entry(&**code).or_default() += count;
         }
-        all
+        refused
     }
 }
 
@@ -133,6 +134,7 @@
     Latency { p50: millis(0.5), p99: millis(0.99), max: histogram.max() as f64 / 1000.0 }
 }
 
+/// Builds the report of a run from its samples and the counters before and after it.
 pub(super) fn build(
     run: &Run,
     config: &Config,
@@ -142,12 +144,12 @@
 ) -> Report {
     let mut samples = run.samples.take();
     samples.values_mut().for_each(|all| all.sort_by(|a, b| a.due.total_cmp(&b.due)));
-    let mut all = tally::histogram();
+    let mut histogram = tally::histogram();
     let mut accounts = Vec::new();
     let mut stale_reads = 0;
     for account in &config.accounts {
         let tally = count(account, samples.get(account.id.as_str()).map_or(&[], Vec::as_slice));
-        all += &tally.latency;
+        histogram += &tally.latency;
         stale_reads += tally.stale;
         accounts.push(account_report(account, &tally));
     }
@@ -157,7 +159,7 @@
         offered: accounts.iter().map(|a| a.offered).sum(),
         served,
         goodput: served as f64 / run.load.seconds,
-        latency: latency(&all),
+        latency: latency(&histogram),
         replica_share: replica_share(before, after),
         stale_reads,
         write_gaps: write_gaps(run),
@@ -208,10 +210,11 @@
 }
 
 fn amplification(accounts: &[AccountReport], before: &Counters, after: &Counters) -> f64 {
-    let ran = |c: &Counters| c.primary_reads + c.replica_reads + c.writes;
+    let statements = |c: &Counters| c.primary_reads + c.replica_reads + c.writes;
     let over_rate = |a: &AccountReport| a.refused.get(tally::OVER_RATE).copied();
-    let due = accounts.iter().map(|a| a.offered - over_rate(a).unwrap_or_default()).sum::<u64>();
-    ran(after).saturating_sub(ran(before)) as f64 / due.max(1) as f64
+    let admissible =
+        accounts.iter().map(|a| a.offered - over_rate(a).unwrap_or_default()).sum::<u64>();
+    statements(after).saturating_sub(statements(before)) as f64 / admissible.max(1) as f64
 }
 
 fn write_gaps(run: &Run) -> BTreeMap<Box<str>, f64> {
@@ -224,21 +227,22 @@
     acknowledged.iter().map(|(group, times)| (Box::from(&**group), gap(times))).collect()
 }
 
-/// For each strike the longest time between two acknowledged writes of the
-/// group, from the last one before the strike up to the group's next strike.
+/// Returns, for each fault of a primary, the longest time between two acknowledged writes of
+/// its group, from the last one before the fault up to the group's next fault; in
+/// milliseconds, in ascending order.
 fn failover_gaps(run: &Run) -> Vec<f64> {
     let primary_faults = run.primary_faults.borrow();
     let acknowledged = run.acknowledged.borrow();
     let gap = |(i, (group, at)): (usize, &(Rc<str>, f64))| {
-        let later = primary_faults[i + 1..].iter().find(|(other, _)| other == group);
-        let until = later.map_or(run.load.seconds, |(_, next)| *next);
+        let next = primary_faults[i + 1..].iter().find(|(other, _)| other == group);
+        let end = next.map_or(run.load.seconds, |(_, at)| *at);
         let mut times = acknowledged.get(group)?.clone();
         times.sort_by(f64::total_cmp);
         let before = times.iter().copied().rfind(|t| t <= at)?;
-        let within = times.iter().copied().filter(|t| t > at && *t < until);
-        // A group that took no write again was away up to the end.
-        let all: Vec<f64> = [before].into_iter().chain(within).chain([until]).collect();
-        let longest = all.windows(2).map(|pair| pair[1] - pair[0]).fold(0.0, f64::max);
+        let within = times.iter().copied().filter(|t| t > at && *t < end);
+        // A group that never acknowledges a write again counts as unavailable up to the end.
+        let times: Vec<f64> = [before].into_iter().chain(within).chain([end]).collect();
+        let longest = times.windows(2).map(|pair| pair[1] - pair[0]).fold(0.0, f64::max);
         Some(longest * 1000.0)
     };
     let mut gaps: Vec<f64> = primary_faults.iter().enumerate().filter_map(gap).collect();
@@ -246,10 +250,11 @@
     gaps
 }
 
-/// The value below which a part of the sorted values lies.
-pub fn quantile(sorted: &[f64], part: f64) -> f64 {
+/// Returns the nearest-rank quantile of sorted values for `q` from 0 to 1; 0 if there are
+/// no values.
+pub fn quantile(sorted: &[f64], q: f64) -> f64 {
     let last = sorted.len().saturating_sub(1);
-    let rank = (sorted.len() as f64 * part).ceil() as usize;
+    let rank = (sorted.len() as f64 * q).ceil() as usize;
     sorted.get(rank.saturating_sub(1).min(last)).copied().unwrap_or_default()
 }
 
@@ -313,15 +318,15 @@
             writeln!(f, "longest time without an acknowledged write, {group}: {gap:.0} ms")?;
         }
         if !self.failover_gaps.is_empty() {
-            let at = |part| quantile(&self.failover_gaps, part);
+            let gap = |q| quantile(&self.failover_gaps, q);
             writeln!(
                 f,
                 "failover gap over {} strikes ({} promotions): p50 {:.0} ms, p90 {:.0} ms, max {:.0} ms",
                 self.failover_gaps.len(),
                 self.promotions,
-                at(0.5),
-                at(0.9),
-                at(1.0)
+                gap(0.5),
+                gap(0.9),
+                gap(1.0)
             )?;
         }
         writeln!(f, "longest wait of a caller: {:.0} ms", self.longest_wait)?;
