--- a/lab/src/load/tally.rs
+++ b/lab/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! What is counted while a load runs.
+//! Counts of requests by client account.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +7,18 @@
 
 use super::caller::Outcome;
 
-/// The longest latency told apart, in microseconds.
+/// Maximum latency that the histogram records, in microseconds; longer ones are clamped.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// The SQLSTATE of a refusal for rate.
+/// SQLSTATE of a refusal for rate.
 pub const OVER_RATE: &str = "53400";
 
-/// An empty histogram of microseconds.
+/// Creates an empty histogram of latencies in microseconds.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("bounds that hdrhistogram accepts")
 }
 
-/// A contract's rate and burst, as one bucket for all hosts would keep it.
+/// Token bucket with the rate and burst of a contract, shared by all hosts.
 #[derive(Clone, Debug)]
 struct Bucket {
     rate: f64,
@@ -39,42 +39,43 @@
     }
 }
 
-/// What is counted of one client account.
+/// Counts of one client account.
 #[derive(Clone, Debug)]
 pub struct Tally {
     /// Requests offered.
     pub offered: u64,
-    /// Requests that one bucket for all hosts would have admitted.
+    /// Requests that a single token bucket shared by all hosts would have admitted.
     pub entitled: u64,
     /// Requests served.
     pub served: u64,
     /// Requests refused, by SQLSTATE.
     pub refused: BTreeMap<Box<str>, u64>,
-    /// Refused for rate although one bucket for all hosts would have admitted them.
+    /// Requests refused for rate although a single token bucket shared by all hosts would
+    /// have admitted them.
     pub wrongful: u64,
-    /// The most that was served beyond rate and burst, at any time.
+    /// Greatest number of requests served beyond rate and burst at any time.
     pub overshoot: f64,
-    /// Reads that lacked a write that their session was told of.
+    /// Reads that lack a write acknowledged to their session.
     pub stale: u64,
-    /// Latencies of what was served, in microseconds from the planned time.
+    /// Latencies of served requests in microseconds, from the time they were due.
     pub latency: Histogram<u64>,
     entitlement: Bucket,
     consumption: Bucket,
 }
 
-/// One request.
+/// Times and outcome of one request.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// When it was due, in seconds since the load began.
+    /// Time at which it was due, in seconds since the start of the load.
     pub due: f64,
-    /// When its answer came.
+    /// Time of its answer, in seconds since the start of the load.
     pub done: f64,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
 impl Tally {
-    /// Nothing counted yet.
+    /// Creates an empty tally.
     pub fn new(account: &ClientAccount) -> Self {
         Self {
             offered: 0,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Counts a request; they come in the order in which they were due.
+    /// Counts a request; requests must be passed in the order in which they were due.
     pub fn count(&mut self, sample: &Sample) {
         self.offered += 1;
         self.entitlement.advance(sample.due);
@@ -103,8 +104,8 @@
             Outcome::Served { stale } => {
                 self.served += 1;
                 self.stale += u64::from(*stale);
-                // It was admitted between the two: counted with what is due by its
-                // answer, an overshoot that is seen is one for sure.
+                // The request was admitted at some time from `due` to `done`. Refilling the
+                // bucket up to `done` ensures that any overshoot found is a real one.
                 self.consumption.advance(sample.done);
                 self.consumption.level -= 1.0;
                 self.overshoot = self.overshoot.max(-self.consumption.level);
