--- a/lab/src/server/engine.rs
+++ b/lab/src/server/engine.rs
@@ -1,4 +1,4 @@
-//! The log, the term and the promises of one server.
+//! State of one server: its log, its database, its term and its promises.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,21 +21,21 @@
 
 use super::{ServerArgs, values::Value};
 
-/// A statement that changed something.
+/// Statement that changed data, with its parameters.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Change {
     pub sql: Box<str>,
     pub params: Vec<Value>,
 }
 
-/// A committed transaction.
+/// Log record of a committed transaction.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Record {
     pub term: Term,
     pub changes: Vec<Change>,
 }
 
-/// What a server keeps of its promises over a restart.
+/// Election state of a server, persisted in the file `vows` over a restart.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 struct ElectionState {
     primary: bool,
@@ -44,28 +44,31 @@
     holder: Box<str>,
 }
 
-/// What a person may change while the server runs.
+/// Settings that can be changed while the server runs.
 pub struct Tunables {
+    /// Delay before a replica applies received records.
     pub lag: Cell<Duration>,
+    /// Minimum time that a statement takes.
     pub service_time: Cell<Duration>,
-    /// How long a cancel is on its way.
-    pub cancel: Cell<Duration>,
+    /// Delay before a cancel request takes effect.
+    pub cancel_delay: Cell<Duration>,
 }
 
-/// What a server has served.
+/// Counters of a server since its start.
 #[derive(Default)]
 pub struct Stats {
     pub primary_reads: Cell<u64>,
     pub replica_reads: Cell<u64>,
     pub writes: Cell<u64>,
-    /// The most connections at once.
+    /// Maximum number of concurrent connections.
     pub connections: Cell<usize>,
-    /// The most statements at once that waited for a slot.
+    /// Maximum number of statements that waited for a slot at once.
     pub waiting: Cell<usize>,
 }
 
 impl Stats {
-    /// Primary reads, replica reads, writes, most connections, most waiting.
+    /// Returns primary reads, replica reads, writes, maximum connections and maximum waiting
+    /// statements, separated by spaces.
     pub fn line(&self) -> String {
         let Self { primary_reads, replica_reads, writes, connections, waiting } = self;
         let [primary, replica, writes] = [primary_reads, replica_reads, writes].map(Cell::get);
@@ -73,12 +76,12 @@
     }
 }
 
-/// A statement that waits for a slot; it may be given up.
+/// Guard that counts a statement that waits for a slot, also when the wait is cancelled.
 struct WaitCounter<'a>(&'a Engine);
 
 impl<'a> WaitCounter<'a> {
     fn new(engine: &'a Engine) -> Self {
-        // One that finds a slot does not wait.
+        // A statement that finds a free slot does not wait.
         let waiting = engine.waiting.get() + usize::from(engine.slots.available_permits() == 0);
         engine.waiting.set(engine.waiting.get() + 1);
         set_max(&engine.stats.waiting, waiting);
@@ -92,47 +95,49 @@
     }
 }
 
-/// Notes a value if it is the greatest so far.
-pub fn set_max(greatest: &Cell<usize>, value: usize) {
-    greatest.set(greatest.get().max(value));
+/// Raises a running maximum to `value` if that is greater.
+pub fn set_max(max: &Cell<usize>, value: usize) {
+    max.set(max.get().max(value));
 }
 
-/// One server.
+/// State of one server, shared by all its tasks.
 pub struct Engine {
     pub args: ServerArgs,
     pub tunables: Tunables,
     pub stats: Stats,
-    /// Statements that run at once.
+    /// Permits for statements that run concurrently.
     pub slots: Semaphore,
-    /// Held by the one transaction that writes.
+    /// Permit held by the transaction that writes; there is only one at a time.
     pub write_lock: Semaphore,
-    /// Woken at every change of log, term or role.
+    /// Notified at every change of log, term or role.
     pub changed: Notify,
-    /// Grows when records are taken back; sessions of an older one are closed.
+    /// Incremented when the log is truncated; sessions of an older generation are closed.
     pub generation: Cell<u64>,
+    /// Number of open sessions.
     pub sessions: Cell<usize>,
-    /// Statements that wait for a slot.
+    /// Number of statements that wait for a slot.
     pub waiting: Cell<usize>,
-    /// The number of the last session, for cancels.
+    /// Process id last given to a session, by which cancel requests name it.
     pub last_pid: Cell<i32>,
-    /// What each running session is cancelled by.
+    /// Notifier that cancels the running statement of a session, by process id.
     pub cancel_signals: RefCell<HashMap<i32, Rc<Notify>>>,
     election: RefCell<ElectionState>,
     log: RefCell<Vec<Record>>,
-    /// When each record that is held but not applied was received.
+    /// Arrival time of each record that is in the log but not applied.
     received_at: RefCell<VecDeque<Instant>>,
+    /// Number of records applied to the database.
     applied: Cell<usize>,
     db: RefCell<Connection>,
     file: RefCell<File>,
 }
 
 impl Engine {
-    /// Opens the server's data and replays its log.
+    /// Opens the server's data directory and replays its log.
     pub fn open(args: &ServerArgs) -> anyhow::Result<Self> {
-        fs::create_dir_all(&args.data).context("making the data directory")?;
-        let vows_file = args.data.join("vows");
-        let election = match fs::read(&vows_file) {
-            Ok(bytes) => ciborium::from_reader(&bytes[..]).context("reading the vows")?,
+        fs::create_dir_all(&args.data).context("creating the data directory")?;
+        let election_file = args.data.join("vows");
+        let election = match fs::read(&election_file) {
+            Ok(bytes) => ciborium::from_reader(&bytes[..]).context("reading the election state")?,
             Err(_) if args.primary => ElectionState {
                 primary: true,
                 term: Term(1),
@@ -148,7 +153,7 @@
             tunables: Tunables {
                 lag: Cell::new(Duration::from_millis(args.lag_ms)),
                 service_time: Cell::new(Duration::from_millis(args.service_ms)),
-                cancel: Cell::default(),
+                cancel_delay: Cell::default(),
             },
             stats: Stats::default(),
             slots: Semaphore::new(args.slots),
@@ -175,12 +180,12 @@
         Ok(engine)
     }
 
-    /// A connection of a session's own to the data.
+    /// Opens a connection to the database for one session.
     pub fn connect(&self) -> anyhow::Result<Connection> {
         open_db(&db_path(&self.args.data, self.generation.get()))
     }
 
-    /// Counts a statement.
+    /// Counts a statement as primary read, replica read or write.
     pub fn count(&self, reads: bool) {
         let Stats { primary_reads, replica_reads, writes, .. } = &self.stats;
         let counter = match (reads, self.leads()) {
@@ -191,7 +196,7 @@
         counter.set(counter.get() + 1);
     }
 
-    /// Waits for a slot.
+    /// Waits for a free slot and takes it.
     pub async fn acquire_slot(&self) -> anyhow::Result<SemaphorePermit<'_>> {
         let waiting = WaitCounter::new(self);
         let slot = self.slots.acquire().await?;
@@ -199,7 +204,7 @@
         Ok(slot)
     }
 
-    /// What this server says of itself.
+    /// Returns the status reported to sessions.
     pub fn status(&self) -> Status {
         let election = self.election.borrow();
         Status {
@@ -211,22 +216,24 @@
         }
     }
 
-    /// Whether it takes writes.
+    /// Returns whether this server accepts writes: it is the primary of its term and has
+    /// promised no later term.
     pub fn leads(&self) -> bool {
         let election = self.election.borrow();
         election.primary && election.promised == election.term
     }
 
-    /// The last record in the log.
+    /// Returns the point of the last record in the log.
     pub fn held(&self) -> Point {
         self.point_at(self.log.borrow().len())
     }
 
-    /// The last record that reads show.
+    /// Returns the point of the last applied record, which reads reflect.
     pub fn applied_point(&self) -> Point {
         self.point_at(self.applied.get())
     }
 
+    /// Returns the point of the last record of a log prefix with this length.
     fn point_at(&self, length: usize) -> Point {
         match length {
             0 => Point::default(),
@@ -234,12 +241,12 @@
         }
     }
 
-    /// Records from a position on.
+    /// Returns the records after a position.
     pub fn records_after(&self, position: usize) -> Vec<Record> {
         self.log.borrow().iter().skip(position).cloned().collect()
     }
 
-    /// The last position of each term in the log.
+    /// Returns the last point of each term in the log, in ascending order.
     pub fn terms(&self) -> Vec<Point> {
         let log = self.log.borrow();
         let mut terms: Vec<Point> = Vec::new();
@@ -253,7 +260,8 @@
         terms
     }
 
-    /// How much of another server's log is the same as this one's.
+    /// Returns the length of the prefix that this log shares with another server's log, given
+    /// by the last points of its terms.
     pub fn common_length(&self, theirs: &[Point]) -> usize {
         let mine = self.terms();
         let mut common_length = 0;
@@ -269,7 +277,7 @@
         common_length
     }
 
-    /// Writes a record of this primary's own transaction, already in its data.
+    /// Appends a transaction of this primary, which its database already contains, to the log.
     pub fn append(&self, changes: Vec<Change>) -> anyhow::Result<Point> {
         let term = self.election.borrow().term;
         let record = Record { term, changes };
@@ -280,7 +288,7 @@
         Ok(self.held())
     }
 
-    /// Takes records of the primary of `term`; an error when a later term is promised.
+    /// Appends records received from the primary of `term`; fails if a later term is promised.
     pub fn receive(&self, term: Term, records: Vec<Record>, now: Instant) -> anyhow::Result<()> {
         self.follow_term(term)?;
         for record in records {
@@ -292,11 +300,15 @@
         Ok(())
     }
 
-    /// Follows the primary of `term`.
+    /// Becomes a replica of `term`; fails if a later term is promised or this server is the
+    /// primary of `term`.
     pub fn follow_term(&self, term: Term) -> anyhow::Result<()> {
         let mut election = self.election.borrow_mut();
-        ensure!(term >= election.promised, "term {} is promised", election.promised);
-        ensure!(!(election.primary && election.term == term), "this server leads term {term}");
+        ensure!(term >= election.promised, "the later term {} is promised", election.promised);
+        ensure!(
+            !(election.primary && election.term == term),
+            "this server is the primary of term {term}"
+        );
         if election.term != term || election.primary || election.promised != term {
             if election.promised != term {
                 election.holder = "".into();
@@ -309,7 +321,7 @@
         Ok(())
     }
 
-    /// Takes back all records after `length`; sessions are closed.
+    /// Removes all records after `length` and rebuilds the database; open sessions are closed.
     pub fn truncate(&self, length: usize) -> anyhow::Result<()> {
         if self.log.borrow().len() <= length {
             return Ok(());
@@ -325,7 +337,7 @@
         Ok(())
     }
 
-    /// Applies the next record if it has been held for the lag.
+    /// Applies the next record if the lag has passed since its arrival; returns whether it did.
     pub fn apply_due(&self, now: Instant) -> anyhow::Result<bool> {
         let due =
             self.received_at.borrow().front().is_some_and(|t| now >= *t + self.tunables.lag.get());
@@ -361,12 +373,13 @@
         Ok(())
     }
 
-    /// Promises `term` to `holder` and to no other.
+    /// Promises `term` to `holder` only. Fails if this or a later term is promised, unless
+    /// `holder` repeats its request before the promotion.
     pub fn promise(&self, term: Term, holder: &str) -> anyhow::Result<Status> {
         let mut election = self.election.borrow_mut();
-        let taken = election.primary && election.term == term;
-        let again = term == election.promised && *election.holder == *holder && !taken;
-        ensure!(term > election.promised || again, "term {} is promised", election.promised);
+        let promoted = election.primary && election.term == term;
+        let repeated = term == election.promised && *election.holder == *holder && !promoted;
+        ensure!(term > election.promised || repeated, "term {} is promised", election.promised);
         (election.promised, election.holder) = (term, holder.into());
         drop(election);
         self.save_election()?;
@@ -374,7 +387,8 @@
         Ok(self.status())
     }
 
-    /// Becomes the primary of a term promised to `holder`.
+    /// Becomes the primary of `term`, which must be promised to `holder`; applies the whole log
+    /// first.
     pub fn promote(&self, term: Term, holder: &str) -> anyhow::Result<Status> {
         {
             let election = self.election.borrow();
@@ -397,6 +411,7 @@
         Ok(self.status())
     }
 
+    /// Persists the election state; replaces the file atomically.
     fn save_election(&self) -> anyhow::Result<()> {
         let mut bytes = Vec::new();
         ciborium::into_writer(&*self.election.borrow(), &mut bytes)?;
@@ -406,12 +421,13 @@
         fs::rename(next, path).context("writing the vows")
     }
 
+    /// Appends a record to the log file, preceded by its length in 4 bytes.
     fn write_record(&self, record: &Record) -> anyhow::Result<()> {
         let mut bytes = Vec::new();
         ciborium::into_writer(record, &mut bytes)?;
-        let mut framed = (bytes.len() as u32).to_be_bytes().to_vec();
-        framed.extend_from_slice(&bytes);
-        self.file.borrow_mut().write_all(&framed).context("writing the log")
+        let mut frame = (bytes.len() as u32).to_be_bytes().to_vec();
+        frame.extend_from_slice(&bytes);
+        self.file.borrow_mut().write_all(&frame).context("writing the log")
     }
 
     fn rewrite_log(&self) -> anyhow::Result<()> {
@@ -432,7 +448,7 @@
     let mut log = Vec::new();
     while let Some((length, body)) = rest.split_first_chunk::<4>() {
         let length = u32::from_be_bytes(*length) as usize;
-        // A record cut short by a kill was never told to anybody.
+        // A record truncated by a kill was never acknowledged or replicated.
         let Some(body) = body.get(..length) else { break };
         log.push(ciborium::from_reader(body).context("reading the log")?);
         rest = &rest[4 + length..];
@@ -444,6 +460,7 @@
     data.join(format!("data-{}-{generation}.sqlite", std::process::id()))
 }
 
+/// Creates an empty database for a generation.
 fn create_db(data: &Path, generation: u64) -> anyhow::Result<Connection> {
     let path = db_path(data, generation);
     let _ = fs::remove_file(&path);
@@ -451,7 +468,7 @@
 }
 
 fn open_db(path: &Path) -> anyhow::Result<Connection> {
-    let db = Connection::open(path).context("opening the data")?;
+    let db = Connection::open(path).context("opening the database")?;
     db.pragma_update(None, "journal_mode", "wal")?;
     db.pragma_update(None, "synchronous", "off")?;
     Ok(db)
--- a/lab/src/server/session.rs
+++ b/lab/src/server/session.rs
@@ -82,7 +82,7 @@
     match reader.startup(false).await? {
         PgWireFrontendMessage::Startup(_) => {}
         PgWireFrontendMessage::CancelRequest(request) => {
-            monoio::time::sleep(engine.tunables.cancel.get()).await;
+            monoio::time::sleep(engine.tunables.cancel_delay.get()).await;
             let signal = engine.cancel_signals.borrow().get(&request.pid).cloned();
             signal.inspect(|signal| signal.notify_one());
             return Ok(());
@@ -368,7 +368,7 @@
         };
         match name {
             "standin.lag_ms" => self.engine.tunables.lag.set(millis()?),
-            "standin.cancel_ms" => self.engine.tunables.cancel.set(millis()?),
+            "standin.cancel_ms" => self.engine.tunables.cancel_delay.set(millis()?),
             "standin.service_ms" => self.engine.tunables.service_time.set(millis()?),
             _ => {}
         }
