--- a/lab/src/server/extended.rs
+++ b/lab/src/server/extended.rs
@@ -1,4 +1,4 @@
-//! The extended query part of a connection to the server.
+//! Extended query protocol of a session.
 
 use std::collections::VecDeque;
 
@@ -20,37 +20,38 @@
     values::{self, Value, oid},
 };
 
-/// A prepared statement.
+/// Prepared statement.
 #[derive(Clone)]
 pub struct Prepared {
     sql: Box<str>,
     oids: Vec<u32>,
 }
 
-/// A statement with its parameters.
+/// Statement with bound parameters.
 #[derive(Clone)]
 pub struct Portal {
     sql: Box<str>,
     params: Vec<Value>,
     formats: Vec<i16>,
-    /// Its rows, and the end of its answer, once it has run with a limit of rows.
+    /// Frames of the answer that are not sent yet; set once the portal has run with a row
+    /// limit.
     pending: Option<VecDeque<Bytes>>,
 }
 
 impl Session<'_> {
-    /// Serves messages up to a `Sync`.
+    /// Serves messages up to a `Sync`; after an error the rest of them is skipped.
     pub async fn extended(&mut self, frame: Frame) -> anyhow::Result<()> {
         let mut next = Some(frame);
         let mut failed = false;
         loop {
             let frame = match next.take() {
                 Some(frame) => frame,
-                None => self.reader.next().await?.context("the stream ended")?,
+                None => self.reader.next().await?.context("connection closed before a Sync")?,
             };
             match frame.tag {
                 b'S' => return self.ready().await,
                 b'H' => self.flush().await?,
-                b'X' => bail!("the caller left"),
+                b'X' => bail!("connection terminated by the caller"),
                 _ if failed => {}
                 _ => {
                     if let Err(error) = self.handle_message(&frame).await {
@@ -109,18 +110,18 @@
     }
 
     fn statement(&self, name: &str) -> Result<Prepared, SqlError> {
-        let found = self.statements.get(name).cloned();
-        found.ok_or_else(|| SqlError::new("26000", "no such prepared statement"))
+        let statement = self.statements.get(name).cloned();
+        statement.ok_or_else(|| SqlError::new("26000", "no such prepared statement"))
     }
 
-    fn param_types(&self, sql: &str, given: &[u32]) -> Result<Vec<u32>, SqlError> {
+    fn param_types(&self, sql: &str, stated: &[u32]) -> Result<Vec<u32>, SqlError> {
         if sql::command(sql) != Command::Sql {
             return Ok(Vec::new());
         }
-        Ok(types::infer(&self.db, sql, given)?)
+        Ok(types::infer(&self.db, sql, stated)?)
     }
 
-    /// Runs a portal; with `max_rows` above 0 it stands still after so many rows.
+    /// Runs or continues a portal; with `max_rows` above 0 it is suspended after that many rows.
     async fn execute_portal(&mut self, name: &str, max_rows: usize) -> Result<(), SqlError> {
         let portal = self.portals.get(name).cloned();
         let portal = portal.ok_or_else(|| SqlError::new("34000", "no such portal"))?;
@@ -153,13 +154,13 @@
         Ok(())
     }
 
-    /// Runs a portal and holds its answer.
+    /// Runs a portal and returns the frames of its answer instead of sending them.
     async fn buffer_answer(&mut self, portal: &Portal) -> Result<VecDeque<Bytes>, SqlError> {
-        let before = self.out.split();
+        let unsent = self.out.split();
         self.buffering = true;
         let result = self.execute(&portal.sql, &portal.params, &portal.formats, false).await;
         self.buffering = false;
-        let answer = std::mem::replace(&mut self.out, before);
+        let answer = std::mem::replace(&mut self.out, unsent);
         result?;
         let frames = frame::frames(answer.freeze())?;
         Ok(frames.into_iter().map(|frame| frame.raw).collect())
@@ -202,8 +203,8 @@
 ) -> Result<Vec<Value>, SqlError> {
     let format = |i: usize| match formats {
         [] => 0,
-        [one] => *one,
-        many => many.get(i).copied().unwrap_or(0),
+        [format] => *format,
+        formats => formats.get(i).copied().unwrap_or(0),
     };
     let decode = |(i, bytes): (usize, &Option<Bytes>)| {
         let oid = oids.get(i).copied().unwrap_or(oid::TEXT);
