--- a/lab/src/server/mod.rs
+++ b/lab/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in for a backend server: real SQL behind the PostgreSQL protocol,
-//! with terms, positions and asynchronous replication.
+//! Stand-in for a backend server: SQLite behind the PostgreSQL protocol, with terms,
+//! positions and asynchronous replication.
 
 use std::{net::SocketAddr, path::PathBuf, rc::Rc};
 
