--- a/lab/src/server/extended.rs
+++ b/lab/src/server/extended.rs
@@ -55,7 +55,7 @@
                 _ if failed => {}
                 _ => {
                     if let Err(error) = self.handle_message(&frame).await {
-                        self.error(&error);
+                        self.put_error(&error);
                         failed = true;
                     }
                 }
--- a/lab/src/server/replication.rs
+++ b/lab/src/server/replication.rs
@@ -113,7 +113,10 @@
     };
     engine.follow_term(term)?;
     engine.truncate(common)?;
-    ensure!(engine.held().position.0 as usize == common, "the log changed after its terms were sent");
+    ensure!(
+        engine.held().position.0 as usize == common,
+        "the log changed after its terms were sent"
+    );
     loop {
         let message = monoio::time::timeout(MESSAGE_TIMEOUT, receive(&mut stream)).await??;
         let Message::Records { term, records } = message else {
--- a/lab/src/server/session.rs
+++ b/lab/src/server/session.rs
@@ -1,4 +1,4 @@
-//! A connection to the server: one task.
+//! Session of the server: one connection, served by one task.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -34,10 +34,12 @@
     values::{self, Value, oid},
 };
 
+/// Maximum length of a message, in bytes.
 const MAX_MESSAGE: usize = 64 << 20;
+/// Number of bytes of output at which the rows of a `SELECT` are sent.
 const FLUSH_THRESHOLD: usize = 32 * 1024;
 
-/// An error with its SQLSTATE.
+/// Error with its SQLSTATE.
 #[derive(Debug)]
 pub struct SqlError {
     code: &'static str,
@@ -45,7 +47,7 @@
 }
 
 impl SqlError {
-    /// An error with its SQLSTATE.
+    /// Creates an error from its SQLSTATE and message.
     pub fn new(code: &'static str, message: impl Into<String>) -> Self {
         Self { code, message: message.into() }
     }
@@ -71,12 +73,13 @@
 
 /// Serves one connection until it ends.
 pub async fn serve(engine: Rc<Engine>, stream: TcpStream) {
-    if let Err(error) = open(&engine, stream).await {
-        tracing::debug!("server: a connection ended: {error:#}.");
+    if let Err(error) = accept(&engine, stream).await {
+        tracing::debug!("server: connection closed: {error:#}.");
     }
 }
 
-async fn open(engine: &Rc<Engine>, stream: TcpStream) -> anyhow::Result<()> {
+/// Reads the start-up message; then starts a session or cancels a statement.
+async fn accept(engine: &Rc<Engine>, stream: TcpStream) -> anyhow::Result<()> {
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE);
     match reader.startup(false).await? {
@@ -87,7 +90,7 @@
             signal.inspect(|signal| signal.notify_one());
             return Ok(());
         }
-        _ => bail!("no start-up"),
+        _ => bail!("expected a start-up message"),
     }
     if engine.sessions.get() >= engine.args.connections {
         let text = "too many connections";
@@ -96,12 +99,12 @@
     }
     engine.sessions.set(engine.sessions.get() + 1);
     engine::set_max(&engine.stats.connections, engine.sessions.get());
-    let result = session(engine, reader, writer).await;
+    let result = run_session(engine, reader, writer).await;
     engine.sessions.set(engine.sessions.get() - 1);
     result
 }
 
-async fn session(
+async fn run_session(
     engine: &Rc<Engine>,
     reader: PgReader<ReadHalf<TcpStreamPoll>>,
     mut writer: PgWriter<WriteHalf<TcpStreamPoll>>,
@@ -122,7 +125,7 @@
         reader,
         writer,
         out: BytesMut::new(),
-        open: false,
+        in_transaction: false,
         failed: false,
         changes: Vec::new(),
         write_lock: None,
@@ -135,7 +138,7 @@
     session.run().await
 }
 
-/// A connection to the server.
+/// Session of a caller.
 pub struct Session<'e> {
     engine: &'e Engine,
     pid: i32,
@@ -144,17 +147,19 @@
     pub(super) reader: PgReader<ReadHalf<TcpStreamPoll>>,
     writer: PgWriter<WriteHalf<TcpStreamPoll>>,
     pub(super) out: BytesMut,
-    /// Within a transaction.
-    open: bool,
-    /// Within a transaction that has failed.
+    /// Whether a transaction is open.
+    in_transaction: bool,
+    /// Whether the open transaction has failed.
     failed: bool,
+    /// Changes of the current transaction.
     changes: Vec<Change>,
-    /// Held from the first write of a transaction to its end.
+    /// Permit held from the first write of a transaction to its end.
     write_lock: Option<SemaphorePermit<'e>>,
-    /// The point that the caller was last told.
+    /// Point last sent to the caller.
     last_point: Point,
+    /// Whether the session receives status notifications.
     listening: bool,
-    /// Whether rows wait until their statement has ended.
+    /// Whether rows are kept in `out` until their statement has ended.
     pub(super) buffering: bool,
     pub(super) statements: HashMap<Box<str>, Prepared>,
     pub(super) portals: HashMap<Box<str>, Portal>,
@@ -176,19 +181,20 @@
             match frame.tag {
                 b'X' => return Ok(()),
                 b'Q' => self.query(&frame).await?,
-                b'p' => bail!("no password is asked for"),
+                b'p' => bail!("unexpected password message"),
                 _ => self.extended(frame).await?,
             }
         }
     }
 
-    /// Ends sessions that began before records were taken back: what they read
-    /// or tell could be of a log that is no more.
+    /// Fails if the log was truncated after the session started: the session could read or
+    /// report records that are no longer in the log.
     fn check_generation(&self) -> anyhow::Result<()> {
-        anyhow::ensure!(self.generation == self.engine.generation.get(), "the log was taken back");
+        anyhow::ensure!(self.generation == self.engine.generation.get(), "the log was truncated");
         Ok(())
     }
 
+    /// Sends the status as a notification if the session listens.
     async fn notify_status(&mut self) -> anyhow::Result<()> {
         if !self.listening {
             return Ok(());
@@ -203,8 +209,9 @@
         self.writer.send(&out).await
     }
 
+    /// Sends `ReadyForQuery` with the transaction status, and all output before it.
     pub(super) async fn ready(&mut self) -> anyhow::Result<()> {
-        let status = match (self.open, self.failed) {
+        let status = match (self.in_transaction, self.failed) {
             (false, _) => TransactionStatus::Idle,
             (true, false) => TransactionStatus::Transaction,
             (true, true) => TransactionStatus::Error,
@@ -213,10 +220,11 @@
         self.flush().await
     }
 
-    pub(super) fn error(&mut self, error: &SqlError) {
+    /// Appends an error message and marks an open transaction as failed.
+    pub(super) fn put_error(&mut self, error: &SqlError) {
         let bytes = answer::error(Severity::Error, error.code, &error.message, None, None);
         self.out.extend_from_slice(&bytes);
-        if self.open {
+        if self.in_transaction {
             self.failed = true;
         }
     }
@@ -230,7 +238,7 @@
         let controls = |part: &&str| {
             matches!(sql::command(part), Command::Begin | Command::Commit | Command::Rollback)
         };
-        let implicit = parts.len() > 1 && !self.open && !parts.iter().any(controls);
+        let implicit = parts.len() > 1 && !self.in_transaction && !parts.iter().any(controls);
         if implicit {
             let _ = self.execute("BEGIN", &[], &[], false).await;
         }
@@ -242,13 +250,13 @@
             }
         }
         if let Err(error) = &result {
-            self.error(error);
+            self.put_error(error);
         }
-        if implicit && self.open {
+        if implicit && self.in_transaction {
             let end = if result.is_ok() { "COMMIT" } else { "ROLLBACK" };
             let before = self.out.len();
             if let Err(error) = self.execute(end, &[], &[], false).await {
-                self.error(&error);
+                self.put_error(&error);
             } else {
                 self.drop_commit_tag(before);
             }
@@ -256,7 +264,7 @@
         self.ready().await
     }
 
-    /// Drops the end of the implicit `COMMIT`, which the caller did not send.
+    /// Removes the command tag of the implicit `COMMIT`, which the caller did not send.
     fn drop_commit_tag(&mut self, from: usize) {
         let mut tail = self.out.split_off(from);
         while let Ok(Some(frame)) = Frame::split_from(&mut tail, usize::MAX) {
@@ -266,7 +274,7 @@
         }
     }
 
-    /// Runs a statement; with `described` its columns go before its rows.
+    /// Runs a statement; with `described` a row description precedes its rows.
     pub(super) async fn execute(
         &mut self,
         sql: &str,
@@ -306,9 +314,9 @@
     }
 
     fn begin(&mut self) -> Result<String, SqlError> {
-        if !self.open {
+        if !self.in_transaction {
             self.db.execute_batch("BEGIN")?;
-            self.open = true;
+            self.in_transaction = true;
         }
         Ok("BEGIN".into())
     }
@@ -317,12 +325,12 @@
         if self.failed {
             return self.rollback();
         }
-        if self.open {
+        if self.in_transaction {
             if let Err(error) = self.ensure_leads() {
                 self.rollback()?;
                 return Err(error);
             }
-            self.open = false;
+            self.in_transaction = false;
             let result = self.db.execute_batch("COMMIT");
             let changes = std::mem::take(&mut self.changes);
             if let Err(error) = result {
@@ -335,7 +343,7 @@
         Ok("COMMIT".into())
     }
 
-    /// Writes the committed changes to the log and tells the point reached.
+    /// Appends the committed changes to the log and reports the point reached.
     fn log(&mut self, changes: Vec<Change>) -> Result<(), SqlError> {
         if !changes.is_empty() {
             let point = self.engine.append(changes)?;
@@ -345,6 +353,7 @@
         Ok(())
     }
 
+    /// Fails if the transaction has changes and this server is not the primary.
     fn ensure_leads(&self) -> Result<(), SqlError> {
         if !self.changes.is_empty() && !self.engine.leads() {
             return Err(SqlError::new("25006", "this server does not lead"));
@@ -353,10 +362,10 @@
     }
 
     fn rollback(&mut self) -> Result<String, SqlError> {
-        if self.open {
+        if self.in_transaction {
             let _ = self.db.execute_batch("ROLLBACK");
         }
-        (self.open, self.failed, self.write_lock) = (false, false, None);
+        (self.in_transaction, self.failed, self.write_lock) = (false, false, None);
         self.changes.clear();
         Ok("ROLLBACK".into())
     }
@@ -400,6 +409,7 @@
         "SELECT 1".into()
     }
 
+    /// Reports a point to the caller unless it was the last one reported.
     fn report_point(&mut self, point: Point) {
         if self.last_point != point {
             self.last_point = point;
@@ -432,15 +442,15 @@
                 self.write_lock = None;
                 return Err(SqlError::new("25006", "this server does not lead"));
             }
-        } else if !self.open || self.changes.is_empty() {
-            // Told before the rows, so that a reader can refuse a stale answer whole.
+        } else if !self.in_transaction || self.changes.is_empty() {
+            // The point precedes the rows, so that a reader can reject a stale answer as a whole.
             self.report_point(self.engine.applied_point());
         }
         let result = self.execute_sql(sql, params, formats, described).await;
         if !reads && result.is_ok() {
             self.changes.push(Change { sql: sql.into(), params: params.to_vec() });
         }
-        if !self.open {
+        if !self.in_transaction {
             let changes = std::mem::take(&mut self.changes);
             self.log(changes)?;
         }
@@ -485,7 +495,8 @@
     }
 }
 
-/// Waits until a statement may run.
+/// Waits until a statement may run; returns its slot, or the write lock for the first write
+/// of a transaction.
 async fn acquire_permits(
     engine: &Engine,
     write: bool,
@@ -498,8 +509,8 @@
     if !write {
         return Ok((Some(slot), None));
     }
-    // A statement that waits for the lock has no slot: whoever holds the lock
-    // needs one for its next statement.
+    // The slot is released before the wait for the lock, because the holder of the lock needs
+    // a slot for its next statement.
     drop(slot);
     let write_lock = engine.write_lock.acquire().await.map_err(anyhow::Error::from)?;
     Ok((None, Some(write_lock)))
