--- a/lab/src/server/sql.rs
+++ b/lab/src/server/sql.rs
@@ -1,15 +1,15 @@
-//! What a statement is to the server.
+//! Classification and splitting of statements.
 
-/// A statement as the server treats it.
+/// Kind of a statement, by how the server runs it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// An empty statement.
+    /// Empty statement.
     Empty,
-    /// Begin a transaction.
+    /// Begins a transaction.
     Begin,
-    /// Commit it.
+    /// Commits the transaction.
     Commit,
-    /// Roll it back.
+    /// Rolls the transaction back.
     Rollback,
     /// `SET name = value`.
     Set { name: Box<str>, value: Box<str> },
@@ -21,11 +21,11 @@
     Promise { term: u64, holder: Box<str> },
     /// `SELECT group_promote(term, 'holder')`.
     Promote { term: u64, holder: Box<str> },
-    /// Anything else, for SQLite.
+    /// Any other statement; run by SQLite.
     Sql,
 }
 
-/// Reads what a statement is.
+/// Classifies a statement.
 pub fn command(sql: &str) -> Command {
     let text = sql.trim().trim_end_matches(';').trim();
     let mut words = text.split_ascii_whitespace();
@@ -46,6 +46,7 @@
     }
 }
 
+/// Parses the part of a `SET` statement after the keyword.
 fn set(rest: &str) -> Command {
     let (name, value) =
         rest.split_once('=').or_else(|| rest.split_once(" TO ")).unwrap_or((rest, ""));
@@ -53,6 +54,7 @@
     Command::Set { name: name.trim().to_ascii_lowercase().into(), value: value.into() }
 }
 
+/// Parses a `SELECT` that only calls `group_promise` or `group_promote`.
 fn group_call(text: &str) -> Option<Command> {
     let call = text.get(6..)?.trim();
     let (name, rest) = call.split_once('(')?;
@@ -66,7 +68,7 @@
     }
 }
 
-/// Splits statements at semicolons outside of quotes and comments.
+/// Splits statements at semicolons outside of quotes; comments are not recognized.
 pub fn split(sql: &str) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut start = 0;
