--- a/lab/src/server/types.rs
+++ b/lab/src/server/types.rs
@@ -1,4 +1,5 @@
-//! Types of parameters that a caller does not state, from the columns that they meet.
+//! Inference of parameter types that a caller does not state, from the columns that the
+//! parameters are inserted into or compared with.
 
 use std::collections::HashMap;
 
@@ -6,8 +7,9 @@
 
 use super::values::{self, oid};
 
-/// The types of the parameters `$1`, `$2` and so on; `given` ones go first.
-pub fn infer(db: &Connection, sql: &str, given: &[u32]) -> rusqlite::Result<Vec<u32>> {
+/// Returns the types of the parameters `$1`, `$2` and so on. A type in `stated` other than 0
+/// takes precedence; a type that cannot be inferred is text.
+pub fn infer(db: &Connection, sql: &str, stated: &[u32]) -> rusqlite::Result<Vec<u32>> {
     let statement = db.prepare(sql)?;
     let tokens = tokens(sql);
     let columns = columns(db, &tokens);
@@ -18,18 +20,18 @@
         if statement.parameter_index(&param)?.is_none() {
             return Ok(types);
         }
-        let stated = given.get(types.len()).copied().filter(|oid| *oid != 0);
+        let own = stated.get(types.len()).copied().filter(|oid| *oid != 0);
         let inferred = || {
             inserted_types
                 .get(&*param)
                 .or_else(|| compared_type(&tokens, &columns, &param))
                 .copied()
         };
-        types.push(stated.or_else(inferred).unwrap_or(oid::TEXT));
+        types.push(own.or_else(inferred).unwrap_or(oid::TEXT));
     }
 }
 
-/// Names, numbers, parameters and operators, in small letters.
+/// Splits a statement into names, numbers, parameters and operators, in lower case.
 fn tokens(sql: &str) -> Vec<String> {
     let mut tokens: Vec<String> = Vec::new();
     let in_word = |c: char| c.is_alphanumeric() || matches!(c, '_' | '$');
@@ -47,6 +49,7 @@
     tokens
 }
 
+/// Returns the names and types of the columns of a table; empty if there is no such table.
 fn table_columns(db: &Connection, name: &str) -> Vec<(String, u32)> {
     let read = |row: &rusqlite::Row<'_>| {
         let (column, declared): (String, String) = (row.get(0)?, row.get(1)?);
@@ -59,34 +62,35 @@
     columns.unwrap_or_default()
 }
 
+/// Returns the column types of all tables named in the statement, by column name.
 fn columns(db: &Connection, tokens: &[String]) -> HashMap<String, u32> {
     tokens.iter().flat_map(|token| table_columns(db, token)).collect()
 }
 
-/// The types of parameters in `INSERT INTO t (a, b) VALUES ($1, $2), ($3, $4)`.
+/// Returns the types of the parameters in `INSERT INTO t (a, b) VALUES ($1, $2), ($3, $4)`.
 fn inserted_types<'w>(db: &Connection, tokens: &'w [String]) -> HashMap<&'w str, u32> {
     let mut types = HashMap::new();
     let Some(at) = tokens.iter().position(|w| w == "into") else { return types };
     let Some(values) = tokens.iter().position(|w| w == "values") else { return types };
     let Some(name) = tokens.get(at + 1) else { return types };
-    let all = table_columns(db, name);
-    let listed: Vec<&String> = tokens[(at + 2).min(values)..values]
+    let columns = table_columns(db, name);
+    let named: Vec<&String> = tokens[(at + 2).min(values)..values]
         .iter()
         .filter(|w| !matches!(w.as_str(), "(" | ")" | ","))
         .collect();
-    let type_of = |place: usize| match listed.get(place) {
-        Some(column) => all.iter().find(|(name, _)| name == *column).map(|(_, id)| *id),
-        None if listed.is_empty() => all.get(place).map(|(_, id)| *id),
+    let type_of = |index: usize| match named.get(index) {
+        Some(column) => columns.iter().find(|(name, _)| name == *column).map(|(_, id)| *id),
+        None if named.is_empty() => columns.get(index).map(|(_, id)| *id),
         None => None,
     };
-    let (mut place, mut depth) = (0, 0);
+    let (mut index, mut depth) = (0, 0);
     for token in &tokens[values + 1..] {
         match token.as_str() {
-            "(" => (place, depth) = (if depth == 0 { 0 } else { place }, depth + 1),
+            "(" => (index, depth) = (if depth == 0 { 0 } else { index }, depth + 1),
             ")" => depth -= 1,
-            "," if depth == 1 => place += 1,
+            "," if depth == 1 => index += 1,
             param if depth == 1 && param.starts_with('$') => {
-                if let Some(id) = type_of(place) {
+                if let Some(id) = type_of(index) {
                     types.insert(param, id);
                 }
             }
@@ -97,7 +101,7 @@
     types
 }
 
-/// The type of the column that a parameter is compared with or set to.
+/// Returns the type of the column that a parameter is compared with or assigned to.
 fn compared_type<'c>(
     tokens: &[String],
     columns: &'c HashMap<String, u32>,
@@ -111,7 +115,7 @@
     }
     let is_operator = |w: &str| matches!(w, "=" | "<" | ">" | "<=" | ">=" | "<>" | "!=" | "like");
     if before(1).is_some_and(is_operator) {
-        // `col = $1`, and `col = col + $1` is found below.
+        // `col = $1`; the next case handles `col = col + $1`.
         return columns.get(before(2)?);
     }
     if matches!(before(1), Some("+" | "-" | "*" | "/")) {
