--- a/lab/src/server/values.rs
+++ b/lab/src/server/values.rs
@@ -1,11 +1,11 @@
-//! Values between SQLite and the PostgreSQL protocol.
+//! Conversion of values between SQLite and the PostgreSQL protocol.
 
 use anyhow::{Context, bail};
 use bytes::{BufMut, BytesMut};
 use rusqlite::{Statement, types::ValueRef};
 use serde::{Deserialize, Serialize};
 
-/// Type numbers of the PostgreSQL protocol.
+/// Type OIDs of the PostgreSQL protocol.
 pub mod oid {
     pub const BOOL: u32 = 16;
     pub const BYTEA: u32 = 17;
@@ -17,7 +17,7 @@
     pub const FLOAT8: u32 = 701;
 }
 
-/// A value that is bound to a statement.
+/// Value of a statement parameter.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Value {
     Null,
@@ -42,20 +42,22 @@
     Ok(())
 }
 
-/// Reads a parameter as the caller sent it.
+/// Decodes a parameter of a type from its text or binary format.
 pub fn decode(bytes: Option<&[u8]>, oid: u32, binary: bool) -> anyhow::Result<Value> {
     let Some(bytes) = bytes else { return Ok(Value::Null) };
     if !binary {
         return decode_text(std::str::from_utf8(bytes)?, oid);
     }
-    let wrong = "a binary parameter of the wrong length";
+    let wrong_length = "a binary parameter of the wrong length";
     Ok(match oid {
         oid::BOOL => Value::Int(i64::from(bytes.first().copied().unwrap_or(0) != 0)),
-        oid::INT2 => Value::Int(i16::from_be_bytes(bytes.try_into().context(wrong)?).into()),
-        oid::INT4 => Value::Int(i32::from_be_bytes(bytes.try_into().context(wrong)?).into()),
-        oid::INT8 => Value::Int(i64::from_be_bytes(bytes.try_into().context(wrong)?)),
-        oid::FLOAT4 => Value::Real(f32::from_be_bytes(bytes.try_into().context(wrong)?).into()),
-        oid::FLOAT8 => Value::Real(f64::from_be_bytes(bytes.try_into().context(wrong)?)),
+        oid::INT2 => Value::Int(i16::from_be_bytes(bytes.try_into().context(wrong_length)?).into()),
+        oid::INT4 => Value::Int(i32::from_be_bytes(bytes.try_into().context(wrong_length)?).into()),
+        oid::INT8 => Value::Int(i64::from_be_bytes(bytes.try_into().context(wrong_length)?)),
+        oid::FLOAT4 => {
+            Value::Real(f32::from_be_bytes(bytes.try_into().context(wrong_length)?).into())
+        }
+        oid::FLOAT8 => Value::Real(f64::from_be_bytes(bytes.try_into().context(wrong_length)?)),
         oid::BYTEA => Value::Blob(bytes.to_vec()),
         _ => Value::Text(std::str::from_utf8(bytes)?.into()),
     })
@@ -70,12 +72,13 @@
     })
 }
 
-/// The type of a column by its declaration, else by its name.
+/// Returns the type OID of a column from its declared type. Without one, expressions named
+/// like a numeric aggregate or an integer are `INT8` and all others `TEXT`.
 pub fn column_type(declared: Option<&str>, name: &str) -> u32 {
     let Some(declared) = declared else {
         let name = name.to_ascii_lowercase();
-        let number = ["count(", "sum(", "max(", "min(", "changes("];
-        return if number.iter().any(|f| name.starts_with(f)) || name.parse::<i64>().is_ok() {
+        let numeric = ["count(", "sum(", "max(", "min(", "changes("];
+        return if numeric.iter().any(|f| name.starts_with(f)) || name.parse::<i64>().is_ok() {
             oid::INT8
         } else {
             oid::TEXT
@@ -91,7 +94,7 @@
     }
 }
 
-/// Appends a value of a row, its length first.
+/// Appends a value of a row, preceded by its length; NULL has length -1.
 pub fn encode(
     out: &mut BytesMut,
     value: ValueRef<'_>,
