--- a/lab/src/server/types.rs
+++ b/lab/src/server/types.rs
@@ -7,9 +7,9 @@
 
 use super::values::{self, oid};
 
-/// Returns the types of the parameters `$1`, `$2` and so on. A type in `stated` other than 0
+/// Returns the types of the parameters `$1`, `$2` and so on. A type in `stated_types` other than 0
 /// takes precedence; a type that cannot be inferred is text.
-pub fn infer(db: &Connection, sql: &str, stated: &[u32]) -> rusqlite::Result<Vec<u32>> {
+pub fn infer(db: &Connection, sql: &str, stated_types: &[u32]) -> rusqlite::Result<Vec<u32>> {
     let statement = db.prepare(sql)?;
     let tokens = tokens(sql);
     let columns = columns(db, &tokens);
@@ -20,14 +20,14 @@
         if statement.parameter_index(&param)?.is_none() {
             return Ok(types);
         }
-        let own = stated.get(types.len()).copied().filter(|oid| *oid != 0);
+        let stated = stated_types.get(types.len()).copied().filter(|oid| *oid != 0);
         let inferred = || {
             inserted_types
                 .get(&*param)
                 .or_else(|| compared_type(&tokens, &columns, &param))
                 .copied()
         };
-        types.push(own.or_else(inferred).unwrap_or(oid::TEXT));
+        types.push(stated.or_else(inferred).unwrap_or(oid::TEXT));
     }
 }
 
