--- a/lab/src/platform/mod.rs
+++ b/lab/src/platform/mod.rs
@@ -28,13 +28,14 @@
     bergamottrack_operator::serve(args.listen, handler).await
 }
 
+/// Answers a request, with the faults that are set.
 async fn answer(store: Rc<RefCell<Store>>, request: Request) -> Reply {
     if &*request.path == "/faults" {
         return store.borrow_mut().set_faults(&request.body);
     }
     let faults = store.borrow().faults.clone();
     if faults.down {
-        // An outage looks like silence; callers wait until their own limit.
+        // During an outage requests get no answer, so clients wait until their own timeout.
         monoio::time::sleep(Duration::from_secs(3600)).await;
     }
     if faults.slow_ms > 0 {
@@ -48,6 +49,7 @@
     reply
 }
 
+/// Routes a request to its service.
 fn serve(store: &mut Store, request: &Request) -> Reply {
     let path = &*request.path;
     if let Some(key) = path.strip_prefix("/table/row/") {
