--- a/lab/src/platform/store.rs
+++ b/lab/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! What the platform keeps.
+//! State of the platform stand-in.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,33 +12,36 @@
 use hyper::StatusCode;
 use serde::Deserialize;
 
-/// Faults, set by a PUT of JSON to `/faults`.
+/// Faults of the platform, set by a request to `/faults` with a JSON body.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Nothing is answered.
+    /// Whether all requests stay without an answer.
     pub down: bool,
-    /// Each answer takes this long.
+    /// Delay of each answer, in milliseconds.
     pub slow_ms: u64,
-    /// So many answers to writes are lost after the change took effect.
+    /// Number of coming writes that take effect but get no answer.
     pub lose_answers: u32,
-    /// So many answers to commits are lost after the change took effect.
+    /// Number of coming commits that take effect but get no answer.
     pub lose_commits: u32,
-    /// Reads show each row as it was before its last change.
+    /// Whether reads of a row return its value before the last change.
     pub old_rows: bool,
-    /// The list of machines is so late.
+    /// Age of the machine list that is returned, in milliseconds.
     pub list_lag_ms: u64,
 }
 
-/// What the platform keeps.
+/// Tables, objects and machine lists of the platform.
 #[derive(Default)]
 pub struct Store {
     pub faults: Faults,
+    /// Version and value of each row by key.
     rows: BTreeMap<Box<str>, (u64, Box<str>)>,
-    /// Each row before its last change.
+    /// Version and value of each row before its last change.
     previous_rows: BTreeMap<Box<str>, (u64, Box<str>)>,
+    /// Outcomes of applied commits by id.
     commits: HashMap<Box<str>, Outcome>,
     objects: HashMap<Box<str>, Bytes>,
+    /// All machine lists with the time at which each was set, in this order.
     machine_lists: Vec<(Instant, Vec<Machine>)>,
 }
 
@@ -53,6 +56,7 @@
         }
     }
 
+    /// Returns whether the answer to a write must be lost; consumes one such fault.
     pub fn drops_answer(&mut self, path: &str) -> bool {
         let faults = &mut self.faults;
         let mut lose = consume(&mut faults.lose_answers);
@@ -62,7 +66,7 @@
         lose
     }
 
-    /// A row as a reader sees it.
+    /// Returns a row, or its previous version while `old_rows` is set.
     pub fn read(&self, key: &str) -> Row {
         if !self.faults.old_rows {
             return self.row(key);
@@ -71,16 +75,20 @@
         Row { key: key.into(), version, value }
     }
 
+    /// Returns the current version of a row; version 0 if there is none.
     pub fn row(&self, key: &str) -> Row {
         let (version, value) = self.rows.get(key).cloned().unwrap_or_default();
         Row { key: key.into(), version, value }
     }
 
+    /// Returns all rows whose key starts with a prefix, in the order of keys.
     pub fn rows(&self, prefix: &str) -> Vec<Row> {
         let from = self.rows.range::<str, _>((Bound::Included(prefix), Bound::Unbounded));
         from.take_while(|(key, _)| key.starts_with(prefix)).map(|(key, _)| self.row(key)).collect()
     }
 
+    /// Applies a commit if the versions of all its checks match. A commit that was applied
+    /// before has no further effect.
     pub fn commit(&mut self, body: &[u8]) -> Reply {
         let commit: Commit = match serde_json::from_slice(body) {
             Ok(commit) => commit,
@@ -102,6 +110,7 @@
         Reply::json(StatusCode::OK, &outcome)
     }
 
+    /// Stores an object; fails if one with this key exists.
     pub fn put_object(&mut self, key: &str, body: Bytes) -> Reply {
         if self.objects.contains_key(key) {
             return Reply::text(StatusCode::PRECONDITION_FAILED, "the object exists\n");
@@ -131,7 +140,7 @@
         }
     }
 
-    /// The list as it stood some time ago.
+    /// Returns the machine list as of `list_lag_ms` ago.
     pub fn machines(&self) -> Vec<Machine> {
         let lag = Duration::from_millis(self.faults.list_lag_ms);
         let old = self.machine_lists.iter().rev().find(|(at, _)| at.elapsed() >= lag);
@@ -139,11 +148,11 @@
     }
 }
 
-/// Counts one down; whether there was one.
+/// Decrements a count unless it is 0; returns whether it was above 0.
 fn consume(count: &mut u32) -> bool {
-    let some = *count > 0;
+    let available = *count > 0;
     *count = count.saturating_sub(1);
-    some
+    available
 }
 
 fn bad_request(error: &serde_json::Error) -> Reply {
