--- a/lab/src/load/caller.rs
+++ b/lab/src/load/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: sessions that roam between hosts over lasting connections.
+//! Callers of the load: sessions that send each request to any host over persistent
+//! connections.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,41 +15,41 @@
 
 use crate::system::key_of;
 
-/// The setting that carries the session token.
-const SESSION: &str = "bergamottrack.session";
+/// Name of the setting that carries the session token.
+const TOKEN_SETTING: &str = "bergamottrack.session";
 
-/// The table that the load writes to.
-pub const TABLE: &str = "CREATE TABLE IF NOT EXISTS visit (id TEXT PRIMARY KEY, n INT8)";
+/// Statement that creates the table written by the load.
+pub const CREATE_TABLE: &str = "CREATE TABLE IF NOT EXISTS visit (id TEXT PRIMARY KEY, n INT8)";
 
-/// Far more than any request may take.
-const GIVE_UP: Duration = Duration::from_secs(15);
+/// Maximum wait for an answer; far above the timeout of any request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It was served; whether its read was older than the session's own writes.
+    /// The request was served.
     Served {
-        /// A read that lacks a write that this session was told of.
+        /// Whether a read lacks a write that was acknowledged to this session.
         stale: bool,
     },
-    /// It was refused with this SQLSTATE, or the connection was lost.
+    /// The request was refused with this SQLSTATE, or the connection failed.
     Refused(Box<str>),
 }
 
-/// A connection of a session to one host.
+/// Connection of a session to one host.
 struct Connection {
     client: Client,
-    /// The token that the host last told.
-    told: Rc<RefCell<Option<String>>>,
-    /// The token that the host was last shown.
-    shown: RefCell<Option<String>>,
+    /// Token last received from the host.
+    received_token: Rc<RefCell<Option<String>>>,
+    /// Token last sent to the host.
+    sent_token: RefCell<Option<String>>,
 }
 
 impl Connection {
     async fn open(config: &Config) -> Result<Self, tokio_postgres::Error> {
         let (client, mut connection) = config.connect(NoTls).await?;
-        let told = Rc::new(RefCell::new(None));
-        let noted = told.clone();
+        let received_token = Rc::new(RefCell::new(None));
+        let latest_token = received_token.clone();
         tokio::task::spawn_local(poll_fn(move |cx| {
             loop {
                 match connection.poll_message(cx) {
@@ -57,36 +58,36 @@
                     Poll::Pending => break,
                 }
             }
-            if noted.borrow().as_deref() != connection.parameter(SESSION) {
-                *noted.borrow_mut() = connection.parameter(SESSION).map(str::to_owned);
+            if latest_token.borrow().as_deref() != connection.parameter(TOKEN_SETTING) {
+                *latest_token.borrow_mut() = connection.parameter(TOKEN_SETTING).map(str::to_owned);
             }
             Poll::Pending
         }));
-        Ok(Self { client, told, shown: RefCell::default() })
+        Ok(Self { client, received_token, sent_token: RefCell::default() })
     }
 }
 
-/// A session of a client account; it writes and reads a row of its own.
+/// Session of a client account that writes and reads one row of its own.
 pub struct Session {
-    /// Its account.
+    /// Client account of the session.
     pub account: Rc<str>,
-    /// Its group.
+    /// Database group of the session.
     pub group: Rc<str>,
     row: String,
     token: RefCell<Option<String>>,
-    /// Connections that wait for a request, by host. A request that finds none
-    /// opens one, so that none waits behind another on the caller's side.
+    /// Idle connections by host. A request opens a new connection if there is none,
+    /// so that no request queues behind another on the caller's side.
     idle: RefCell<HashMap<usize, Vec<Connection>>>,
-    /// The last number written.
+    /// Last number sent in a write.
     written: Cell<u64>,
-    /// The last number that was acknowledged.
+    /// Greatest number whose write was acknowledged.
     acknowledged: Cell<u64>,
-    /// The age that its reads accept, in milliseconds.
+    /// Maximum age of the data that reads accept, in milliseconds.
     max_age: Option<u64>,
 }
 
 impl Session {
-    /// A session without a connection.
+    /// Creates a session without connections.
     pub fn new(account: Rc<str>, group: Rc<str>, no: usize, max_age: Option<u64>) -> Self {
         Self {
             row: format!("{account}-{no}"),
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Runs one request through a host.
+    /// Sends one request to a host and waits for its outcome.
     pub async fn run(&self, host: usize, address: std::net::SocketAddr, write: bool) -> Outcome {
         let work = async {
             let connection = self.connection(host, address).await?;
@@ -113,7 +114,7 @@
             }
             result
         };
-        match tokio::time::timeout(GIVE_UP, work).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, work).await {
             Ok(Ok(stale)) => Outcome::Served { stale },
             Ok(Err(error)) => {
                 let code = error.code().map_or("lost", |code| code.code());
@@ -156,59 +157,59 @@
             "INSERT INTO visit VALUES ('{row}', {n}) \
              ON CONFLICT (id) DO UPDATE SET n = max(n, excluded.n)"
         );
-        self.ask(connection, &sql).await?;
+        self.query(connection, &sql).await?;
         self.acknowledged.set(self.acknowledged.get().max(n));
         Ok(false)
     }
 
     async fn read(&self, connection: &Connection) -> Result<bool, tokio_postgres::Error> {
-        let floor = self.acknowledged.get();
+        let expected = self.acknowledged.get();
         let sql = format!("SELECT n FROM visit WHERE id = '{}'", self.row);
-        let messages = self.ask(connection, &sql).await?;
+        let messages = self.query(connection, &sql).await?;
         let read = messages.iter().find_map(|message| match message {
             SimpleQueryMessage::Row(row) => row.get(0)?.parse::<u64>().ok(),
             _ => None,
         });
-        Ok(self.max_age.is_none() && read.unwrap_or_default() < floor)
+        Ok(self.max_age.is_none() && read.unwrap_or_default() < expected)
     }
 
-    /// Shows the session's token first when this host has not seen it.
-    async fn ask(
+    /// Runs a statement; sends the session's token first if the host does not have it.
+    async fn query(
         &self,
         connection: &Connection,
         sql: &str,
     ) -> Result<Vec<SimpleQueryMessage>, tokio_postgres::Error> {
         let token = self.token.borrow().clone();
-        let known = token.is_none()
-            || *connection.shown.borrow() == token
-            || *connection.told.borrow() == token;
+        let up_to_date = token.is_none()
+            || *connection.sent_token.borrow() == token
+            || *connection.received_token.borrow() == token;
         let query = connection.client.simple_query(sql);
-        let messages = if known {
+        let messages = if up_to_date {
             query.await?
         } else {
-            *connection.shown.borrow_mut() = token.clone();
-            let set = format!("SET {SESSION} = '{}'", token.unwrap_or_default());
-            let (shown, messages) = tokio::join!(connection.client.batch_execute(&set), query);
-            shown?;
+            *connection.sent_token.borrow_mut() = token.clone();
+            let set = format!("SET {TOKEN_SETTING} = '{}'", token.unwrap_or_default());
+            let (set, messages) = tokio::join!(connection.client.batch_execute(&set), query);
+            set?;
             messages?
         };
-        let told = connection.told.borrow().clone();
-        self.keep(told);
+        let received_token = connection.received_token.borrow().clone();
+        self.update_token(received_token);
         Ok(messages)
     }
 
-    /// Keeps a token unless the session has a newer one: requests of one session
-    /// may run side by side, and the answer that comes last may tell less.
-    fn keep(&self, told: Option<String>) {
+    /// Replaces the session's token if the received one is newer. Requests of one session
+    /// may run concurrently, so the last answer may carry an older token.
+    fn update_token(&self, received_token: Option<String>) {
         let mut token = self.token.borrow_mut();
-        if told.as_deref().map(point) > token.as_deref().map(point) {
-            *token = told;
+        if received_token.as_deref().map(token_point) > token.as_deref().map(token_point) {
+            *token = received_token;
         }
     }
 }
 
-/// The point that a token of one group tells: `group=term/position.tag`.
-fn point(token: &str) -> Option<Point> {
+/// Returns the point in a token of one group, which has the form `group=term/position.tag`.
+fn token_point(token: &str) -> Option<Point> {
     let (body, _) = token.rsplit_once('.')?;
     body.rsplit_once('=')?.1.parse().ok()
 }
--- a/lab/src/server/extended.rs
+++ b/lab/src/server/extended.rs
@@ -1,4 +1,4 @@
-//! The extended query part of a connection to the server.
+//! Extended query protocol of a session.
 
 use std::collections::VecDeque;
 
@@ -20,41 +20,42 @@
     values::{self, Value, oid},
 };
 
-/// A prepared statement.
+/// Prepared statement.
 #[derive(Clone)]
 pub struct Prepared {
     sql: Box<str>,
     oids: Vec<u32>,
 }
 
-/// A statement with its parameters.
+/// Statement with bound parameters.
 #[derive(Clone)]
 pub struct Portal {
     sql: Box<str>,
     params: Vec<Value>,
     formats: Vec<i16>,
-    /// Its rows, and the end of its answer, once it has run with a limit of rows.
-    rest: Option<VecDeque<Bytes>>,
+    /// Frames of the answer that are not sent yet; set once the portal has run with a row
+    /// limit.
+    pending: Option<VecDeque<Bytes>>,
 }
 
 impl Session<'_> {
-    /// Serves messages up to a `Sync`.
+    /// Serves messages up to a `Sync`; after an error the rest of them is skipped.
     pub async fn extended(&mut self, frame: Frame) -> anyhow::Result<()> {
         let mut next = Some(frame);
         let mut failed = false;
         loop {
             let frame = match next.take() {
                 Some(frame) => frame,
-                None => self.reader.next().await?.context("the stream ended")?,
+                None => self.reader.next().await?.context("connection closed before a Sync")?,
             };
             match frame.tag {
                 b'S' => return self.ready().await,
                 b'H' => self.flush().await?,
-                b'X' => bail!("the caller left"),
+                b'X' => bail!("connection terminated by the caller"),
                 _ if failed => {}
                 _ => {
-                    if let Err(error) = self.step(&frame).await {
-                        self.error(&error);
+                    if let Err(error) = self.handle_message(&frame).await {
+                        self.put_error(&error);
                         failed = true;
                     }
                 }
@@ -62,7 +63,7 @@
         }
     }
 
-    async fn step(&mut self, frame: &Frame) -> Result<(), SqlError> {
+    async fn handle_message(&mut self, frame: &Frame) -> Result<(), SqlError> {
         match frame.frontend()? {
             PgWireFrontendMessage::Parse(parse) => {
                 let oids = self.param_types(&parse.query, &parse.type_oids)?;
@@ -81,7 +82,7 @@
                         &bind.parameters,
                     )?,
                     formats: bind.result_column_format_codes,
-                    rest: None,
+                    pending: None,
                 };
                 self.portals.insert(bind.portal_name.unwrap_or_default().into(), portal);
                 frame::put(&mut self.out, &BindComplete::new());
@@ -92,8 +93,8 @@
             }
             PgWireFrontendMessage::Execute(execute) => {
                 let name = execute.name.unwrap_or_default();
-                let most = usize::try_from(execute.max_rows).unwrap_or(0);
-                self.execute_portal(&name, most).await?;
+                let max_rows = usize::try_from(execute.max_rows).unwrap_or(0);
+                self.execute_portal(&name, max_rows).await?;
             }
             PgWireFrontendMessage::Close(close) => {
                 let name = close.name.unwrap_or_default();
@@ -109,57 +110,57 @@
     }
 
     fn statement(&self, name: &str) -> Result<Prepared, SqlError> {
-        let found = self.statements.get(name).cloned();
-        found.ok_or_else(|| SqlError::new("26000", "no such prepared statement"))
+        let statement = self.statements.get(name).cloned();
+        statement.ok_or_else(|| SqlError::new("26000", "no such prepared statement"))
     }
 
-    fn param_types(&self, sql: &str, given: &[u32]) -> Result<Vec<u32>, SqlError> {
+    fn param_types(&self, sql: &str, stated: &[u32]) -> Result<Vec<u32>, SqlError> {
         if sql::command(sql) != Command::Sql {
             return Ok(Vec::new());
         }
-        Ok(types::of_params(&self.db, sql, given)?)
+        Ok(types::infer(&self.db, sql, stated)?)
     }
 
-    /// Runs a portal; with `most` above 0 it stands still after so many rows.
-    async fn execute_portal(&mut self, name: &str, most: usize) -> Result<(), SqlError> {
+    /// Runs or continues a portal; with `max_rows` above 0 it is suspended after that many rows.
+    async fn execute_portal(&mut self, name: &str, max_rows: usize) -> Result<(), SqlError> {
         let portal = self.portals.get(name).cloned();
         let portal = portal.ok_or_else(|| SqlError::new("34000", "no such portal"))?;
         if sql::command(&portal.sql) == Command::Empty {
             frame::put(&mut self.out, &EmptyQueryResponse::new());
             return Ok(());
         }
-        let mut rest = match portal.rest {
-            Some(rest) => rest,
-            None if most == 0 => {
+        let mut pending = match portal.pending {
+            Some(pending) => pending,
+            None if max_rows == 0 => {
                 return self.execute(&portal.sql, &portal.params, &portal.formats, false).await;
             }
-            None => self.hold(&portal).await?,
+            None => self.buffer_answer(&portal).await?,
         };
         let mut rows = 0;
-        while let Some(frame) = rest.front() {
-            if frame.first() == Some(&b'D') && most > 0 && rows == most {
+        while let Some(frame) = pending.front() {
+            if frame.first() == Some(&b'D') && max_rows > 0 && rows == max_rows {
                 break;
             }
             rows += usize::from(frame.first() == Some(&b'D'));
             self.out.extend_from_slice(frame);
-            rest.pop_front();
+            pending.pop_front();
         }
-        if !rest.is_empty() {
+        if !pending.is_empty() {
             frame::put(&mut self.out, &PortalSuspended::new());
         }
         if let Some(portal) = self.portals.get_mut(name) {
-            portal.rest = Some(rest);
+            portal.pending = Some(pending);
         }
         Ok(())
     }
 
-    /// Runs a portal and holds its answer.
-    async fn hold(&mut self, portal: &Portal) -> Result<VecDeque<Bytes>, SqlError> {
-        let before = self.out.split();
-        self.holds = true;
+    /// Runs a portal and returns the frames of its answer instead of sending them.
+    async fn buffer_answer(&mut self, portal: &Portal) -> Result<VecDeque<Bytes>, SqlError> {
+        let unsent = self.out.split();
+        self.buffering = true;
         let result = self.execute(&portal.sql, &portal.params, &portal.formats, false).await;
-        self.holds = false;
-        let answer = std::mem::replace(&mut self.out, before);
+        self.buffering = false;
+        let answer = std::mem::replace(&mut self.out, unsent);
         result?;
         let frames = frame::frames(answer.freeze())?;
         Ok(frames.into_iter().map(|frame| frame.raw).collect())
@@ -202,8 +203,8 @@
 ) -> Result<Vec<Value>, SqlError> {
     let format = |i: usize| match formats {
         [] => 0,
-        [one] => *one,
-        many => many.get(i).copied().unwrap_or(0),
+        [format] => *format,
+        formats => formats.get(i).copied().unwrap_or(0),
     };
     let decode = |(i, bytes): (usize, &Option<Bytes>)| {
         let oid = oids.get(i).copied().unwrap_or(oid::TEXT);
--- a/lab/src/server/session.rs
+++ b/lab/src/server/session.rs
@@ -1,4 +1,4 @@
-//! A connection to the server: one task.
+//! Session of the server: one connection, served by one task.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -29,15 +29,17 @@
 use super::{
     engine::{self, Change, Engine},
     extended::{Portal, Prepared},
-    rows::{field, fields, fields_of, put_row, statement_reads, tag},
+    rows::{copy_fields, field, fields, is_select, put_row, tag},
     sql::{self, Command},
     values::{self, Value, oid},
 };
 
+/// Maximum length of a message, in bytes.
 const MAX_MESSAGE: usize = 64 << 20;
-const SEND_AT: usize = 32 * 1024;
+/// Number of bytes of output at which the rows of a `SELECT` are sent.
+const FLUSH_THRESHOLD: usize = 32 * 1024;
 
-/// An error with its SQLSTATE.
+/// Error with its SQLSTATE.
 #[derive(Debug)]
 pub struct SqlError {
     code: &'static str,
@@ -45,7 +47,7 @@
 }
 
 impl SqlError {
-    /// An error with its SQLSTATE.
+    /// Creates an error from its SQLSTATE and message.
     pub fn new(code: &'static str, message: impl Into<String>) -> Self {
         Self { code, message: message.into() }
     }
@@ -71,23 +73,24 @@
 
 /// Serves one connection until it ends.
 pub async fn serve(engine: Rc<Engine>, stream: TcpStream) {
-    if let Err(error) = open(&engine, stream).await {
-        tracing::debug!("server: a connection ended: {error:#}.");
+    if let Err(error) = accept(&engine, stream).await {
+        tracing::debug!("server: connection closed: {error:#}.");
     }
 }
 
-async fn open(engine: &Rc<Engine>, stream: TcpStream) -> anyhow::Result<()> {
+/// Reads the start-up message; then starts a session or cancels a statement.
+async fn accept(engine: &Rc<Engine>, stream: TcpStream) -> anyhow::Result<()> {
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE);
     match reader.startup(false).await? {
         PgWireFrontendMessage::Startup(_) => {}
         PgWireFrontendMessage::CancelRequest(request) => {
-            monoio::time::sleep(engine.knobs.cancel.get()).await;
-            let running = engine.running.borrow().get(&request.pid).cloned();
-            running.inspect(|running| running.notify_one());
+            monoio::time::sleep(engine.tunables.cancel_delay.get()).await;
+            let signal = engine.cancel_signals.borrow().get(&request.pid).cloned();
+            signal.inspect(|signal| signal.notify_one());
             return Ok(());
         }
-        _ => bail!("no start-up"),
+        _ => bail!("expected a start-up message"),
     }
     if engine.sessions.get() >= engine.args.connections {
         let text = "too many connections";
@@ -95,20 +98,20 @@
         bail!(text);
     }
     engine.sessions.set(engine.sessions.get() + 1);
-    engine::raise(&engine.served.connections, engine.sessions.get());
-    let result = session(engine, reader, writer).await;
+    engine::set_max(&engine.stats.connections, engine.sessions.get());
+    let result = run_session(engine, reader, writer).await;
     engine.sessions.set(engine.sessions.get() - 1);
     result
 }
 
-async fn session(
+async fn run_session(
     engine: &Rc<Engine>,
     reader: PgReader<ReadHalf<TcpStreamPoll>>,
     mut writer: PgWriter<WriteHalf<TcpStreamPoll>>,
 ) -> anyhow::Result<()> {
     monoio::time::sleep(Duration::from_millis(engine.args.connect_ms)).await;
-    let pid = engine.last_session.get() + 1;
-    engine.last_session.set(pid);
+    let pid = engine.last_pid.get() + 1;
+    engine.last_pid.set(pid);
     let mut out = BytesMut::new();
     frame::put(&mut out, &Authentication::Ok);
     frame::put(&mut out, &BackendKeyData::new(pid, SecretKey::I32(pid)));
@@ -122,20 +125,20 @@
         reader,
         writer,
         out: BytesMut::new(),
-        open: false,
+        in_transaction: false,
         failed: false,
         changes: Vec::new(),
-        writing: None,
-        told: Point::default(),
-        listens: false,
-        holds: false,
+        write_lock: None,
+        last_point: Point::default(),
+        listening: false,
+        buffering: false,
         statements: HashMap::new(),
         portals: HashMap::new(),
     };
     session.run().await
 }
 
-/// A connection to the server.
+/// Session of a caller.
 pub struct Session<'e> {
     engine: &'e Engine,
     pid: i32,
@@ -144,18 +147,20 @@
     pub(super) reader: PgReader<ReadHalf<TcpStreamPoll>>,
     writer: PgWriter<WriteHalf<TcpStreamPoll>>,
     pub(super) out: BytesMut,
-    /// Within a transaction.
-    open: bool,
-    /// Within a transaction that has failed.
+    /// Whether a transaction is open.
+    in_transaction: bool,
+    /// Whether the open transaction has failed.
     failed: bool,
+    /// Changes of the current transaction.
     changes: Vec<Change>,
-    /// Held from the first write of a transaction to its end.
-    writing: Option<SemaphorePermit<'e>>,
-    /// The point that the caller was last told.
-    told: Point,
-    listens: bool,
-    /// Whether rows wait until their statement has ended.
-    pub(super) holds: bool,
+    /// Permit held from the first write of a transaction to its end.
+    write_lock: Option<SemaphorePermit<'e>>,
+    /// Point last sent to the caller.
+    last_point: Point,
+    /// Whether the session receives status notifications.
+    listening: bool,
+    /// Whether rows are kept in `out` until their statement has ended.
+    pub(super) buffering: bool,
     pub(super) statements: HashMap<Box<str>, Prepared>,
     pub(super) portals: HashMap<Box<str>, Portal>,
 }
@@ -167,7 +172,7 @@
                 frame = self.reader.next() => frame?,
                 _ = self.engine.changed.notified() => {
                     self.check_generation()?;
-                    self.tell_status().await?;
+                    self.notify_status().await?;
                     continue;
                 }
             };
@@ -176,26 +181,27 @@
             match frame.tag {
                 b'X' => return Ok(()),
                 b'Q' => self.query(&frame).await?,
-                b'p' => bail!("no password is asked for"),
+                b'p' => bail!("unexpected password message"),
                 _ => self.extended(frame).await?,
             }
         }
     }
 
-    /// Ends sessions that began before records were taken back: what they read
-    /// or tell could be of a log that is no more.
+    /// Fails if the log was truncated after the session started: the session could read or
+    /// report records that are no longer in the log.
     fn check_generation(&self) -> anyhow::Result<()> {
-        anyhow::ensure!(self.generation == self.engine.generation.get(), "the log was taken back");
+        anyhow::ensure!(self.generation == self.engine.generation.get(), "the log was truncated");
         Ok(())
     }
 
-    async fn tell_status(&mut self) -> anyhow::Result<()> {
-        if !self.listens {
+    /// Sends the status as a notification if the session listens.
+    async fn notify_status(&mut self) -> anyhow::Result<()> {
+        if !self.listening {
             return Ok(());
         }
         let payload = self.engine.status().to_string();
-        let told = NotificationResponse::new(0, "group_status".into(), payload);
-        self.writer.send(&frame::bytes(&told)).await
+        let notification = NotificationResponse::new(0, "group_status".into(), payload);
+        self.writer.send(&frame::bytes(&notification)).await
     }
 
     pub(super) async fn flush(&mut self) -> anyhow::Result<()> {
@@ -203,8 +209,9 @@
         self.writer.send(&out).await
     }
 
+    /// Sends `ReadyForQuery` with the transaction status, and all output before it.
     pub(super) async fn ready(&mut self) -> anyhow::Result<()> {
-        let status = match (self.open, self.failed) {
+        let status = match (self.in_transaction, self.failed) {
             (false, _) => TransactionStatus::Idle,
             (true, false) => TransactionStatus::Transaction,
             (true, true) => TransactionStatus::Error,
@@ -213,10 +220,11 @@
         self.flush().await
     }
 
-    pub(super) fn error(&mut self, error: &SqlError) {
+    /// Appends an error message and marks an open transaction as failed.
+    pub(super) fn put_error(&mut self, error: &SqlError) {
         let bytes = answer::error(Severity::Error, error.code, &error.message, None, None);
         self.out.extend_from_slice(&bytes);
-        if self.open {
+        if self.in_transaction {
             self.failed = true;
         }
     }
@@ -230,7 +238,7 @@
         let controls = |part: &&str| {
             matches!(sql::command(part), Command::Begin | Command::Commit | Command::Rollback)
         };
-        let implicit = parts.len() > 1 && !self.open && !parts.iter().any(controls);
+        let implicit = parts.len() > 1 && !self.in_transaction && !parts.iter().any(controls);
         if implicit {
             let _ = self.execute("BEGIN", &[], &[], false).await;
         }
@@ -242,22 +250,22 @@
             }
         }
         if let Err(error) = &result {
-            self.error(error);
+            self.put_error(error);
         }
-        if implicit && self.open {
+        if implicit && self.in_transaction {
             let end = if result.is_ok() { "COMMIT" } else { "ROLLBACK" };
             let before = self.out.len();
             if let Err(error) = self.execute(end, &[], &[], false).await {
-                self.error(&error);
+                self.put_error(&error);
             } else {
-                self.drop_tag(before);
+                self.drop_commit_tag(before);
             }
         }
         self.ready().await
     }
 
-    /// Drops the end of the implicit `COMMIT`, which the caller did not send.
-    fn drop_tag(&mut self, from: usize) {
+    /// Removes the command tag of the implicit `COMMIT`, which the caller did not send.
+    fn drop_commit_tag(&mut self, from: usize) {
         let mut tail = self.out.split_off(from);
         while let Ok(Some(frame)) = Frame::split_from(&mut tail, usize::MAX) {
             if frame.tag != b'C' {
@@ -266,7 +274,7 @@
         }
     }
 
-    /// Runs a statement; with `described` its columns go before its rows.
+    /// Runs a statement; with `described` a row description precedes its rows.
     pub(super) async fn execute(
         &mut self,
         sql: &str,
@@ -286,7 +294,7 @@
             Command::Set { name, value } => self.set(&name, &value)?,
             Command::Show(name) => self.show(&name, formats, described),
             Command::Listen => {
-                self.listens = true;
+                self.listening = true;
                 "LISTEN".into()
             }
             Command::Promise { term, holder } => {
@@ -306,9 +314,9 @@
     }
 
     fn begin(&mut self) -> Result<String, SqlError> {
-        if !self.open {
+        if !self.in_transaction {
             self.db.execute_batch("BEGIN")?;
-            self.open = true;
+            self.in_transaction = true;
         }
         Ok("BEGIN".into())
     }
@@ -317,17 +325,17 @@
         if self.failed {
             return self.rollback();
         }
-        if self.open {
-            if let Err(error) = self.check_leads() {
+        if self.in_transaction {
+            if let Err(error) = self.ensure_leads() {
                 self.rollback()?;
                 return Err(error);
             }
-            self.open = false;
+            self.in_transaction = false;
             let result = self.db.execute_batch("COMMIT");
             let changes = std::mem::take(&mut self.changes);
             if let Err(error) = result {
                 let _ = self.db.execute_batch("ROLLBACK");
-                self.writing = None;
+                self.write_lock = None;
                 return Err(error.into());
             }
             self.log(changes)?;
@@ -335,17 +343,18 @@
         Ok("COMMIT".into())
     }
 
-    /// Writes the committed changes to the log and tells the point reached.
+    /// Appends the committed changes to the log and reports the point reached.
     fn log(&mut self, changes: Vec<Change>) -> Result<(), SqlError> {
         if !changes.is_empty() {
             let point = self.engine.append(changes)?;
-            self.tell_point(point);
+            self.report_point(point);
         }
-        self.writing = None;
+        self.write_lock = None;
         Ok(())
     }
 
-    fn check_leads(&self) -> Result<(), SqlError> {
+    /// Fails if the transaction has changes and this server is not the primary.
+    fn ensure_leads(&self) -> Result<(), SqlError> {
         if !self.changes.is_empty() && !self.engine.leads() {
             return Err(SqlError::new("25006", "this server does not lead"));
         }
@@ -353,10 +362,10 @@
     }
 
     fn rollback(&mut self) -> Result<String, SqlError> {
-        if self.open {
+        if self.in_transaction {
             let _ = self.db.execute_batch("ROLLBACK");
         }
-        (self.open, self.failed, self.writing) = (false, false, None);
+        (self.in_transaction, self.failed, self.write_lock) = (false, false, None);
         self.changes.clear();
         Ok("ROLLBACK".into())
     }
@@ -367,21 +376,21 @@
             n.map(Duration::from_millis)
         };
         match name {
-            "standin.lag_ms" => self.engine.knobs.lag.set(millis()?),
-            "standin.cancel_ms" => self.engine.knobs.cancel.set(millis()?),
-            "standin.service_ms" => self.engine.knobs.service.set(millis()?),
+            "standin.lag_ms" => self.engine.tunables.lag.set(millis()?),
+            "standin.cancel_ms" => self.engine.tunables.cancel_delay.set(millis()?),
+            "standin.service_ms" => self.engine.tunables.service_time.set(millis()?),
             _ => {}
         }
         Ok("SET".into())
     }
 
     fn show(&mut self, name: &str, formats: &[i16], described: bool) -> String {
-        self.tell_point(self.engine.shown());
+        self.report_point(self.engine.applied_point());
         let value = match name {
             "group_status" => self.engine.status().to_string(),
             "transaction_isolation" | "transaction isolation level" => "read committed".into(),
             "server_version" => "16.0".into(),
-            "standin.counters" => self.engine.served.line(),
+            "standin.counters" => self.engine.stats.line(),
             _ => String::new(),
         };
         self.text_row(name, &value, formats, described);
@@ -400,9 +409,10 @@
         "SELECT 1".into()
     }
 
-    fn tell_point(&mut self, point: Point) {
-        if self.told != point {
-            self.told = point;
+    /// Reports a point to the caller unless it was the last one reported.
+    fn report_point(&mut self, point: Point) {
+        if self.last_point != point {
+            self.last_point = point;
             let setting = answer::parameter("group_point", &point.to_string());
             self.out.extend_from_slice(&setting);
         }
@@ -418,36 +428,36 @@
         let reads = self.db.prepare_cached(sql)?.readonly();
         self.engine.count(reads);
         let cancel = Rc::new(Notify::new());
-        self.engine.running.borrow_mut().insert(self.pid, cancel.clone());
-        let write = !reads && self.writing.is_none();
-        let turn = monoio::select! {
-            turn = turn(self.engine, write) => turn,
+        self.engine.cancel_signals.borrow_mut().insert(self.pid, cancel.clone());
+        let write = !reads && self.write_lock.is_none();
+        let permits = monoio::select! {
+            permits = acquire_permits(self.engine, write) => permits,
             _ = cancel.notified() => Err(SqlError::new("57014", "cancelled on request")),
         };
-        self.engine.running.borrow_mut().remove(&self.pid);
-        let (_slot, writing) = turn?;
+        self.engine.cancel_signals.borrow_mut().remove(&self.pid);
+        let (_slot, write_lock) = permits?;
         if !reads {
-            self.writing = self.writing.take().or(writing);
+            self.write_lock = self.write_lock.take().or(write_lock);
             if !self.engine.leads() {
-                self.writing = None;
+                self.write_lock = None;
                 return Err(SqlError::new("25006", "this server does not lead"));
             }
-        } else if !self.open || self.changes.is_empty() {
-            // Told before the rows, so that a reader can refuse a stale answer whole.
-            self.tell_point(self.engine.shown());
+        } else if !self.in_transaction || self.changes.is_empty() {
+            // The point precedes the rows, so that a reader can reject a stale answer as a whole.
+            self.report_point(self.engine.applied_point());
         }
-        let result = self.step_sql(sql, params, formats, described).await;
+        let result = self.execute_sql(sql, params, formats, described).await;
         if !reads && result.is_ok() {
             self.changes.push(Change { sql: sql.into(), params: params.to_vec() });
         }
-        if !self.open {
+        if !self.in_transaction {
             let changes = std::mem::take(&mut self.changes);
             self.log(changes)?;
         }
         result
     }
 
-    async fn step_sql(
+    async fn execute_sql(
         &mut self,
         sql: &str,
         params: &[Value],
@@ -458,7 +468,7 @@
         let fields = fields(&statement, formats);
         values::bind(&mut statement, params)?;
         if described && !fields.is_empty() {
-            frame::put(&mut self.out, &RowDescription::new(fields_of(&fields)));
+            frame::put(&mut self.out, &RowDescription::new(copy_fields(&fields)));
         }
         let mut count = 0;
         let mut row_bytes = BytesMut::new();
@@ -473,7 +483,7 @@
                 }
                 put_row(&mut self.out, &row_bytes);
                 count += 1;
-                if self.out.len() >= SEND_AT && !self.holds && statement_reads(sql) {
+                if self.out.len() >= FLUSH_THRESHOLD && !self.buffering && is_select(sql) {
                     let out = self.out.split();
                     self.writer.send(&out).await?;
                 }
@@ -485,22 +495,23 @@
     }
 }
 
-/// Waits until a statement may run.
-async fn turn(
+/// Waits until a statement may run; returns its slot, or the write lock for the first write
+/// of a transaction.
+async fn acquire_permits(
     engine: &Engine,
     write: bool,
 ) -> Result<(Option<SemaphorePermit<'_>>, Option<SemaphorePermit<'_>>), SqlError> {
-    let slot = engine.slot().await?;
-    let service = engine.knobs.service.get();
-    if !service.is_zero() {
-        monoio::time::sleep(service).await;
+    let slot = engine.acquire_slot().await?;
+    let service_time = engine.tunables.service_time.get();
+    if !service_time.is_zero() {
+        monoio::time::sleep(service_time).await;
     }
     if !write {
         return Ok((Some(slot), None));
     }
-    // A statement that waits for the lock has no slot: whoever holds the lock
-    // needs one for its next statement.
+    // The slot is released before the wait for the lock, because the holder of the lock needs
+    // a slot for its next statement.
     drop(slot);
-    let writing = engine.writing.acquire().await.map_err(anyhow::Error::from)?;
-    Ok((None, Some(writing)))
+    let write_lock = engine.write_lock.acquire().await.map_err(anyhow::Error::from)?;
+    Ok((None, Some(write_lock)))
 }
