--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, as separate processes.
+//! The path from a caller through entry and home to a backend server, as separate processes.
 
 use lab::{
     ports::Ports,
@@ -6,7 +6,7 @@
     system::{self, Plan, SECRET, System},
 };
 
-async fn write_here_read_everywhere(plan: Plan) {
+async fn check_write_is_read_by_all_hosts(plan: Plan) {
     let system = System::start(plan).await.unwrap();
     let writer = system.connect(0, "baobab", "g1").await.unwrap();
     system::until_runs(&writer, "CREATE TABLE IF NOT EXISTS booking (id TEXT, day TEXT)")
@@ -20,21 +20,22 @@
     }
 }
 
-/// A booking goes in through one host and is read back through another, by way
-/// of the group's home and a backend server.
+/// Guards against a write through one host that is not visible to reads through the others, by
+/// way of the group's home and a backend server.
 #[tokio::test]
-async fn a_write_and_its_read_are_served_end_to_end() {
-    write_here_read_everywhere(Plan::default()).await;
+async fn a_write_is_read_through_every_host() {
+    check_write_is_read_by_all_hosts(Plan::default()).await;
 }
 
-/// The same with a link that could be cut between any two processes.
+/// Guards against links that break the path: the same write and reads, with a link that could be
+/// cut between any two processes.
 #[tokio::test]
-async fn the_path_is_served_through_links() {
-    write_here_read_everywhere(Plan { links: true, ..Plan::default() }).await;
+async fn a_write_is_read_through_every_host_over_links() {
+    check_write_is_read_by_all_hosts(Plan { links: true, ..Plan::default() }).await;
 }
 
-/// A host is started twice by mistake, or one was left behind. The two shared the
-/// port, and callers were answered by one or the other, perhaps of another fleet.
+/// A host is started twice by mistake, or an earlier one is still running. Guards against two
+/// processes that share the port, so that either may answer a caller, perhaps for another fleet.
 #[tokio::test]
 async fn a_second_host_at_the_same_address_does_not_start() {
     let system = System::start(Plan { hosts: 1, ..Plan::default() }).await.unwrap();
