--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! A real host on stand-ins of the users' platform: store, servers, operator.
+//! Real hosts with stand-ins for the users' platform: store, backend servers and operator.
 
 mod hosts;
 
@@ -14,60 +14,63 @@
 use monoio::{io::IntoPollIo, net::TcpStream};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The whole path without any fault: every answer is the server's own to that very
-/// statement, reads show what they must, values and names are the session's own.
+/// Guards, without any faults on the path, against answers that belong to another statement,
+/// reads behind their required position, and values or statement names of another session.
 #[test]
-fn a_calm_system_keeps_every_promise() {
+fn a_system_without_faults_breaks_no_guarantee() {
     let outcome = on_runtime(soak::soak(1, &SoakArgs { calm: true, ..args(2, 6, 3) })).unwrap();
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.broken);
     assert!(outcome.served > 300, "{outcome:?}");
     assert_eq!(outcome.promotions, 0);
 }
 
-/// Faults of fixed seeds, which never changes what they do.
+/// Guards against broken guarantees under drawn faults. The seeds are fixed, and each always
+/// draws the same faults.
 #[test]
-fn faults_of_fixed_seeds_break_no_promise() {
+fn faults_of_fixed_seeds_break_no_guarantee() {
     for seed in [3, 8] {
         let outcome = on_runtime(soak::soak(seed, &args(3, 4, 5))).unwrap();
         assert!(outcome.broken.is_empty(), "seed {seed}: {:#?}", outcome.broken);
     }
 }
 
-/// A leader comes back just when its successor dies, and was taken up again though
-/// its term was over: reads missed acknowledged writes.
+/// A replaced leader comes back just when its successor dies. Guards against hosts that use it as
+/// leader again although its term is over, so that reads miss acknowledged writes.
 #[test]
-fn faults_of_the_seed_with_an_old_leader_break_no_promise() {
+fn a_replaced_leader_that_returns_breaks_no_guarantee() {
     let outcome = on_runtime(soak::soak(147, &args(4, 8, 10))).unwrap();
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.broken);
 }
 
-/// All hosts die together, twice within a window of the limit, while an account asks for
-/// more than its rate and leaders and their successors die. Hosts that came back each
-/// took the whole rate, and a leader that had been replaced was taken up again.
+/// All hosts die together, twice within one window of the rate limit, while an account exceeds
+/// its rate and leaders and their successors die. Guards against restarted hosts that each use
+/// the whole rate, and against a replaced leader that is used as leader again.
 #[test]
-fn hosts_that_die_together_break_no_promise() {
+fn hosts_that_die_together_break_no_guarantee() {
     let args = SoakArgs { herd: true, ..args(4, 8, 9) };
     let outcome = on_runtime(soak::soak(1, &args)).unwrap();
     assert!(outcome.broken.is_empty(), "{:#?}", outcome.broken);
 }
 
+/// Guards against a caller that cannot distinguish a wrong database name from a wrong key.
 #[test]
-fn unknown_names_and_keys_are_told_apart() {
+fn an_unknown_database_and_a_wrong_key_give_different_errors() {
     on_runtime(async {
         let world = system(1).await;
         let address = world.borrow().callers[0];
-        let told = |result: std::io::Result<Line>| result.err().unwrap().to_string();
-        let none = told(Line::start(address, "nowhere", "key-b").await);
+        let error = |result: std::io::Result<Line>| result.err().unwrap().to_string();
+        let none = error(Line::start(address, "nowhere", "key-b").await);
         assert!(none.starts_with("ERROR NODATABASE"), "{none}");
-        let denied = told(Line::start(address, "db0", "wrong").await);
+        let denied = error(Line::start(address, "db0", "wrong").await);
         assert!(denied.starts_with("ERROR FORBIDDEN"), "{denied}");
     });
 }
 
-/// Callers send garbage, a line without end, several statements at once and half
-/// of one. Each gets a clear end or its answers in order; another session goes on.
+/// Callers send garbage, an endless line, several statements at once and half of one. Guards
+/// against a connection that neither ends clearly nor gets its answers in order, and against
+/// effects on another session.
 #[test]
-fn odd_lines_end_clearly_and_harm_nobody() {
+fn malformed_lines_are_refused_and_do_not_affect_other_sessions() {
     on_runtime(async {
         let world = system(1).await;
         let address = world.borrow().callers[0];
@@ -79,31 +82,31 @@
         assert!(garbage.next().await.is_err(), "the connection was not closed");
 
         let mut long = Line::start(address, "db0", "key-b").await.unwrap();
-        // The host may close before it has read all of it.
+        // The host may close the connection before it has read the whole line.
         let _ = long.send(&"x".repeat((1 << 20) + 1)).await;
-        let told = long.next().await;
-        assert!(told.is_err() || told.unwrap().starts_with("ERROR TOOBIG"));
+        let answer = long.next().await;
+        assert!(answer.is_err() || answer.unwrap().starts_with("ERROR TOOBIG"));
 
-        let mut eager = Line::start(address, "db0", "key-b").await.unwrap();
-        eager
+        let mut pipelined = Line::start(address, "db0", "key-b").await.unwrap();
+        pipelined
             .send("QUERY a1 SET v 1\r\nQUERY a2 READ k1\r\nQUERY a3 nonsense\r\nQUERY a4 RE")
             .await
             .unwrap();
-        for word in ["DONE", "DONE", "ERROR MALFORMED"] {
-            let told = eager.answer().await.unwrap();
-            assert!(told[told.len() - 2].starts_with(word), "{told:?}");
+        for status in ["DONE", "DONE", "ERROR MALFORMED"] {
+            let answer = pipelined.answer().await.unwrap();
+            assert!(answer[answer.len() - 2].starts_with(status), "{answer:?}");
         }
-        eager.send("AD k1\r\n").await.unwrap();
-        assert!(eager.answer().await.unwrap()[0].starts_with("DONE"));
+        pipelined.send("AD k1\r\n").await.unwrap();
+        assert!(pipelined.answer().await.unwrap()[0].starts_with("DONE"));
 
         assert_eq!(other.short("READ k1").await, "DONE I");
     });
 }
 
-/// A statement of a transaction fails and the caller goes on as if it had not.
-/// Nothing more may run until the transaction is ended.
+/// A statement of a transaction fails and the caller ignores the error. Guards against further
+/// statements that run before the transaction is ended.
 #[test]
-fn a_failed_transaction_does_nothing_until_it_ends() {
+fn a_failed_transaction_runs_no_statement_until_it_ends() {
     on_runtime(async {
         let world = system(1).await;
         let address = world.borrow().callers[0];
@@ -117,10 +120,10 @@
     });
 }
 
-/// A caller writes within a transaction and vanishes. Nothing of it is kept, and
-/// the connection it used serves others.
+/// A caller disconnects after a write within a transaction. Guards against a write that is kept,
+/// and against a backend connection that cannot be used by others afterwards.
 #[test]
-fn a_caller_that_leaves_keeps_nothing() {
+fn a_transaction_of_a_disconnected_caller_is_rolled_back() {
     on_runtime(async {
         let world = system(1).await;
         let address = world.borrow().callers[0];
@@ -134,11 +137,11 @@
     });
 }
 
-/// A caller rests within a transaction for longer than it may. It holds a
-/// connection that others wait for, so its transaction is ended; it is told at its
-/// next statement, since nothing may be sent unasked.
+/// Guards against an idle transaction that keeps a connection which others wait for: after the
+/// idle timeout it is ended. The caller gets the error at its next statement, since nothing may
+/// be sent unrequested.
 #[test]
-fn a_transaction_that_rests_too_long_is_ended() {
+fn a_transaction_idle_beyond_the_timeout_is_ended() {
     on_runtime(async {
         let world = system(1).await;
         let address = world.borrow().callers[0];
@@ -152,10 +155,10 @@
     });
 }
 
-/// An operator withdraws a key while its caller is connected and idle. The next
-/// statements are refused within the bound, on the open session too.
+/// An operator withdraws a key while its caller is connected and idle. Guards against an open
+/// session that still runs statements after the bound.
 #[test]
-fn a_withdrawn_key_stops_on_an_open_session() {
+fn a_withdrawn_key_is_refused_on_an_open_session() {
     on_runtime(async {
         let world = system(1).await;
         let address = world.borrow().callers[0];
@@ -184,12 +187,11 @@
     text.split(' ').nth(1).unwrap_or_default().to_owned()
 }
 
-/// A host is told to stop under load. It says at once that it is not ready, goes
-/// on answering, closes sessions between transactions only, and ends in time. A statement
-/// that it has read is answered; one that was under way when its session was closed was
-/// not, and must not have run.
+/// A host under load is stopped: it reports at once that it is not ready, still answers, closes
+/// sessions between transactions only, and ends in time. Guards against a statement that was read
+/// and not answered, or was in transit when its session was closed and has run.
 #[test]
-fn a_planned_stop_cuts_no_statement() {
+fn a_planned_stop_leaves_no_statement_run_but_unanswered() {
     on_runtime(async {
         let world = system(1).await;
         let (address, ready) = (world.borrow().callers[0], world.borrow().readiness[0]);
@@ -199,23 +201,23 @@
         let cut = Rc::new(Cell::new(0));
         let answered = Rc::new(Cell::new(0));
         let ended = Rc::new(Cell::new(0));
-        // Some pause between statements, the others are within one when they are closed.
-        for pause_ms in [15, 15, 15, 15, 0, 0, 0, 0] {
+        // Half of them pause between statements; the others are closed within a statement.
+        for wait_ms in [15, 15, 15, 15, 0, 0, 0, 0] {
             let (cut, answered, ended) = (cut.clone(), answered.clone(), ended.clone());
             monoio::spawn(async move {
                 let mut line = Line::start(address, "db0", "key-b").await.unwrap();
                 loop {
-                    // A close between statements is no failure: looked for first.
-                    let look = Duration::from_millis(pause_ms);
-                    let idle = monoio::time::timeout(look, line.next()).await;
+                    // A close between statements is no failure, so it is checked for first.
+                    let timeout = Duration::from_millis(wait_ms);
+                    let idle = monoio::time::timeout(timeout, line.next()).await;
                     if idle.is_ok() {
                         break;
                     }
-                    let Ok(told) = line.ask("READ k1").await else {
+                    let Ok(answer) = line.ask("READ k1").await else {
                         cut.set(cut.get() + 1);
                         break;
                     };
-                    let done = told[told.len() - 2].starts_with("DONE");
+                    let done = answer[answer.len() - 2].starts_with("DONE");
                     answered.set(answered.get() + usize::from(done));
                 }
                 ended.set(ended.get() + 1);
@@ -234,9 +236,9 @@
     });
 }
 
-/// An operator has the settings read again; sessions and transactions go on.
+/// Guards against a reload of the settings that ends sessions or transactions.
 #[test]
-fn a_reload_cuts_nothing() {
+fn a_reload_keeps_sessions_and_transactions() {
     on_runtime(async {
         let world = system(1).await;
         let address = world.borrow().callers[0];
@@ -250,10 +252,10 @@
     });
 }
 
-/// A group's leader dies. Hosts refuse writes for a moment, with the truth, and
-/// serve again as soon as a replica leads; just one promotion is asked for.
+/// A group's leader dies, and writes are refused until a replica leads. Guards against a group
+/// that stays without a leader, and against more than one promotion.
 #[test]
-fn a_leader_that_dies_is_replaced() {
+fn a_dead_leader_is_replaced_by_one_promotion() {
     on_runtime(async {
         let world = system(3).await;
         let address = world.borrow().callers[1];
@@ -271,12 +273,11 @@
     });
 }
 
-/// A group's leader accepts connections and closes each at once, as a process does
-/// that is about to end, and its entry stays in the list. No connection was ever
-/// refused and no statement ever silent, so nobody noticed, and no write went
-/// through until the entry lapsed.
+/// A group's leader accepts connections and closes each at once, like a process about to end, and
+/// its entry stays in the list. Guards against a failure detector that only counts refused
+/// connections and unanswered statements: no write was served until the entry expired.
 #[test]
-fn a_leader_that_closes_each_connection_is_replaced() {
+fn a_leader_that_closes_every_connection_is_replaced() {
     on_runtime(async {
         let world = system(3).await;
         world.borrow().keeps_entries.set(true);
@@ -284,7 +285,7 @@
         let mut line = Line::start(address, "db0", "key-b").await.unwrap();
         assert_eq!(line.short("WRITE k4 before").await, "DONE I");
         pause(100).await;
-        // Behind its link, which still accepts.
+        // The leader's link still accepts connections.
         world.borrow().stop_leader(0);
         let began = Instant::now();
         while line.short("WRITE k4 after").await != "DONE I" {
@@ -295,23 +296,23 @@
     });
 }
 
-/// A group's leader is lost for good while the only host is down. The host starts
-/// with a list in which no server says that it leads, and has never known a leader
-/// itself: without a time since which there is none, nothing was ever done about it.
+/// A group's leader is lost for good while the only host is down. The host starts with a list
+/// without a leader and has never seen one itself. Guards against a host that lacks a start time
+/// for the absence of a leader and so never requests a promotion.
 #[test]
-fn a_group_that_no_host_knew_a_leader_of_gets_one() {
+fn a_group_without_a_known_leader_gets_a_leader() {
     on_runtime(async {
         let world = system(1).await;
         world.borrow_mut().hosts[0].kill();
         world.borrow().stop_leader(0);
-        // Until its entry is gone.
+        // Longer than the leader's entry stays in the list.
         pause(2500).await;
         world.borrow_mut().hosts[0].start().unwrap();
         let address = world.borrow().callers[0];
         let began = Instant::now();
         loop {
             if let Ok(mut line) = Line::start(address, "db0", "key-b").await
-                && line.ask("WRITE k3 after").await.is_ok_and(|told| told[0].starts_with("DONE"))
+                && line.ask("WRITE k3 after").await.is_ok_and(|lines| lines[0].starts_with("DONE"))
             {
                 break;
             }
@@ -321,10 +322,10 @@
     });
 }
 
-/// A caller complains and names its request. Its line must be found by that id, with
-/// what decided it, and counters and latencies must be served.
+/// A caller reports a request by its id. Guards against a log without a line for the id or without
+/// what decided its outcome, and against missing counters and latencies.
 #[test]
-fn a_statement_is_found_by_its_id() {
+fn a_statement_is_logged_with_its_id() {
     on_runtime(async {
         let world = system(1).await;
         let (address, metrics) = (world.borrow().callers[0], world.borrow().metrics[0]);
@@ -332,20 +333,20 @@
         line.send("QUERY c0ffee READ k1\r\n").await.unwrap();
         line.answer().await.unwrap();
         let began = Instant::now();
-        let told = loop {
+        let entry = loop {
             let log = world.borrow().hosts[0].log();
             let lines: Vec<serde_json::Value> =
                 log.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
-            if let Some(told) = lines.into_iter().find(|line| line["id"] == "c0ffee") {
-                break told;
+            if let Some(entry) = lines.into_iter().find(|line| line["id"] == "c0ffee") {
+                break entry;
             }
             assert!(began.elapsed() < PATIENCE, "the statement is not in the log");
             pause(50).await;
         };
-        assert_eq!(told["account"], "baobab");
-        assert_eq!(told["group"], "g0");
-        assert_eq!(told["outcome"], "done");
-        assert!(told["version"].is_u64() && told["ms"].is_u64(), "{told}");
+        assert_eq!(entry["account"], "baobab");
+        assert_eq!(entry["group"], "g0");
+        assert_eq!(entry["outcome"], "done");
+        assert!(entry["version"].is_u64() && entry["ms"].is_u64(), "{entry}");
         let text = get(metrics, "/metrics").await;
         assert!(
             text.contains("bergamottrack_statement_seconds_count{account=\"baobab\"}"),
@@ -354,9 +355,9 @@
     });
 }
 
-/// Guards against hundreds of hosts that wait for each other's rows when they start again.
+/// Guards against hundreds of restarting hosts that wait for each other's changes of the store.
 #[test]
-fn a_host_that_starts_again_changes_nothing() {
+fn a_host_restart_makes_no_changes_to_the_store() {
     on_runtime(async {
         let world = system(2).await;
         let before = world.borrow().store.borrow().changes;
