--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -106,7 +106,7 @@
         caller.writer.send(&query("COMMIT")).await.unwrap();
         caller.until_ready().await.unwrap();
     };
-    // Nothing was sent behind it, so there is nothing to guard.
+    // Nothing was sent behind the refused BEGIN, so the session does not enter the failed state.
     assert_eq!(refused.last().unwrap().body(), b"I");
     let pipelined = ["BEGIN", "INSERT INTO visit VALUES (1)", "COMMIT"].map(query);
     caller.writer.send(&pipelined.concat()).await.unwrap();
