--- a/tests/revisions.rs
+++ b/tests/revisions.rs
@@ -1,5 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never
-//! reverts.
+//! An accepted configuration is in force on all hosts within seconds and never reverts.
 
 use std::time::{Duration, Instant};
 
@@ -8,13 +7,14 @@
     system::{self, PATIENCE, Plan, System},
 };
 
-const PAUSE: Duration = Duration::from_millis(20);
+/// Interval between polls and between statements of a caller.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What "within seconds" may mean at most.
-const SECONDS: Duration = Duration::from_secs(10);
+/// Time within which an accepted configuration must be in force on all hosts.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The configuration with one more account.
-fn with_account(system: &mut System, name: &str) -> String {
+/// Returns the configuration with one more account.
+fn config_with_account(system: &mut System, name: &str) -> String {
     system.plan.accounts.push((name.into(), 1000.0, 1000.0));
     let config = system.config();
     system.plan.accounts.pop();
@@ -25,8 +25,8 @@
     System::start(Plan::default()).await.unwrap()
 }
 
-/// The number of the newest revision.
-async fn newest(system: &System) -> String {
+/// Returns the number of the newest revision.
+async fn newest_revision(system: &System) -> String {
     let head = system.row("head").await.unwrap();
     let head: bergamottrack_platform::chain::Head = serde_json::from_str(&head).unwrap();
     head.number.to_string()
@@ -37,55 +37,57 @@
     system::post(address, &format!("/submit?{query}"), config).await.unwrap()
 }
 
-/// The account can connect by all hosts within seconds.
-async fn in_force_everywhere(system: &System, account: &str) {
+/// Checks that an account can connect through all hosts within `IN_FORCE_TIMEOUT`.
+async fn check_in_force(system: &System, account: &str) {
     let since = Instant::now();
     for host in 0..system.plan.hosts {
         let client = system.connect(host, account, "g1").await.unwrap();
         system::until_runs(&client, "SELECT 1").await.unwrap();
     }
-    assert!(since.elapsed() < SECONDS, "it took {:?}", since.elapsed());
+    assert!(since.elapsed() < IN_FORCE_TIMEOUT, "in force only after {:?}", since.elapsed());
 }
 
-async fn unknown_everywhere(system: &System, account: &str) {
+/// Checks that an account cannot connect through any host.
+async fn check_refused(system: &System, account: &str) {
     for host in 0..system.plan.hosts {
         let client = system::connect(&system.caller(host, account, "g1")).await;
-        assert!(client.is_err(), "account {account} is known to host {host}");
+        assert!(client.is_err(), "host {host} accepts account {account}");
     }
 }
 
-/// The answer to the platform's commit is lost after the change took effect. The
-/// submit settles it by itself and says so; run again, it names the same revision.
+/// The platform's answer to a commit is lost after the change took effect. Guards against a submit
+/// that does not determine by itself that it was accepted, and against a retry that creates
+/// another revision.
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_the_submits_own_id() {
+async fn a_submit_whose_commit_answer_is_lost_is_accepted_once() {
     let mut system = start().await;
-    let config = with_account(&mut system, "third");
-    let query = format!("submit=lost&base={}", newest(&system).await);
+    let config = config_with_account(&mut system, "third");
+    let query = format!("submit=lost&base={}", newest_revision(&system).await);
     system.platform_faults(r#"{"lose_commits": 1}"#).await.unwrap();
     let (status, text) = submit(&system, 0, &query, &config).await;
     assert_eq!(status, 200, "{text}");
     let accepted = system.row("submit-lost").await.unwrap();
-    in_force_everywhere(&system, "third").await;
+    check_in_force(&system, "third").await;
     let (status, text) = submit(&system, 1, &query, &config).await;
     assert_eq!(status, 200, "{text}");
     assert!(text.contains(&accepted), "{text}");
     assert_eq!(system.row("submit-lost").await.unwrap(), accepted);
 }
 
-/// The platform takes the change, and goes down before anybody hears of it. The
-/// operator is told that it is not yet known, not that nothing changed. After the
-/// outage the same submit says truthfully that it was accepted.
+/// The platform commits a change and goes down before any host gets the result. Guards against
+/// a submit that reports "nothing changed" instead of "not yet known", and against a retry after
+/// the outage that does not report the change as accepted.
 #[tokio::test]
-async fn a_submit_cut_short_by_an_outage_is_not_called_refused() {
+async fn a_submit_interrupted_by_an_outage_is_reported_as_not_yet_known() {
     let mut system = start().await;
-    let config = with_account(&mut system, "third");
-    let query = format!("submit=cut&base={}", newest(&system).await);
+    let config = config_with_account(&mut system, "third");
+    let query = format!("submit=cut&base={}", newest_revision(&system).await);
     system.platform_faults(r#"{"lose_commits": 100}"#).await.unwrap();
     let outage = async {
         let deadline = Instant::now() + PATIENCE;
         while system.row("submit-cut").await.unwrap().is_empty() {
-            assert!(Instant::now() < deadline, "the change was not made");
-            tokio::time::sleep(PAUSE).await;
+            assert!(Instant::now() < deadline, "the platform did not commit the change");
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         system.platform_faults(r#"{"down": true}"#).await.unwrap();
     };
@@ -97,18 +99,18 @@
     let (status, text) = submit(&system, 1, &query, &config).await;
     assert_eq!(status, 200, "{text}");
     assert!(text.contains(&accepted), "{text}");
-    in_force_everywhere(&system, "third").await;
+    check_in_force(&system, "third").await;
 }
 
-/// The platform is down when the operator submits: nothing changed, and the
-/// answer says so. Callers notice nothing.
+/// The platform is down when the operator submits. Guards against a submit that takes effect
+/// later or does not report that it changed nothing, and against effects on callers.
 #[tokio::test]
-async fn a_submit_in_an_outage_changes_nothing() {
+async fn a_submit_during_an_outage_changes_nothing() {
     let mut system = start().await;
     let client = system.connect(0, "baobab", "g1").await.unwrap();
     system::until_runs(&client, "SELECT 1").await.unwrap();
-    let config = with_account(&mut system, "third");
-    let query = format!("submit=none&base={}", newest(&system).await);
+    let config = config_with_account(&mut system, "third");
+    let query = format!("submit=none&base={}", newest_revision(&system).await);
     system.platform_faults(r#"{"down": true}"#).await.unwrap();
     let (status, text) = submit(&system, 0, &query, &config).await;
     assert_eq!(status, 409, "{text}");
@@ -116,17 +118,18 @@
     client.simple_query("SELECT 1").await.unwrap();
     system.platform_faults("{}").await.unwrap();
     assert_eq!(system.row("submit-none").await.unwrap(), "");
-    unknown_everywhere(&system, "third").await;
+    check_refused(&system, "third").await;
 }
 
-/// Two operators change the configuration that both have before them, at the
-/// same time and by different hosts. One is accepted; the other is told who
-/// changed it since, and nothing of the first is undone.
+/// Two operators submit changes to the same revision at the same time through different hosts.
+/// Guards against a second submit that reverts the first, and against a refusal that does not
+/// name the author of the accepted change.
 #[tokio::test]
-async fn of_two_operators_racing_one_is_told_who_came_first() {
+async fn of_two_concurrent_submits_one_is_refused_with_the_others_author() {
     let mut system = start().await;
-    let base = newest(&system).await;
-    let (awa, ben) = (with_account(&mut system, "third"), with_account(&mut system, "fourth"));
+    let base = newest_revision(&system).await;
+    let (awa, ben) =
+        (config_with_account(&mut system, "third"), config_with_account(&mut system, "fourth"));
     let (awas, bens) = (
         format!("submit=awas&base={base}&author=awa"),
         format!("submit=bens&base={base}&author=ben"),
@@ -139,38 +142,37 @@
         _ => panic!("{first:?} and {second:?}"),
     };
     assert!(lost.contains("nothing changed") && lost.contains(name), "{lost}");
-    in_force_everywhere(&system, winner).await;
-    unknown_everywhere(&system, loser).await;
+    check_in_force(&system, winner).await;
+    check_refused(&system, loser).await;
 }
 
-/// After a change the platform shows each row as it was before, as a copy that
-/// lags would. The older revision must not come back at any host, and callers
-/// are served all the while.
+/// After a change the platform returns each row as it was before, as a lagging replica would.
+/// Guards against an older revision in force again on any host, and against refused callers.
 #[tokio::test]
-async fn an_old_row_does_not_bring_an_older_revision_back() {
+async fn old_rows_of_the_platform_do_not_revert_a_revision() {
     let mut system = start().await;
-    let config = with_account(&mut system, "third");
+    let config = config_with_account(&mut system, "third");
     system.submit(&config).await.unwrap();
-    in_force_everywhere(&system, "third").await;
+    check_in_force(&system, "third").await;
     let client = system.connect(1, "third", "g1").await.unwrap();
     system::until_runs(&client, "SELECT 1").await.unwrap();
     system.platform_faults(r#"{"old_rows": true}"#).await.unwrap();
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(6) {
         client.simple_query("SELECT 1").await.unwrap();
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    in_force_everywhere(&system, "third").await;
+    check_in_force(&system, "third").await;
 }
 
-/// A host restarts during an outage, knowing nothing. It gets the newest
-/// revision from its peers, and serves by it.
+/// A host restarts without any state during an outage of the platform. Guards against a host that
+/// cannot serve until the platform is back: it must get the newest revision from its peers.
 #[tokio::test]
-async fn a_host_restarted_in_an_outage_gets_the_newest_revision() {
+async fn a_host_restarted_in_an_outage_gets_the_newest_revision_from_peers() {
     let mut system = start().await;
-    let config = with_account(&mut system, "third");
+    let config = config_with_account(&mut system, "third");
     system.submit(&config).await.unwrap();
-    in_force_everywhere(&system, "third").await;
+    check_in_force(&system, "third").await;
     system.platform_faults(r#"{"down": true}"#).await.unwrap();
     system.hosts[1].kill();
     system.hosts[1].start().unwrap();
@@ -178,12 +180,12 @@
     system::until_runs(&client, "SELECT 1").await.unwrap();
 }
 
-/// All hosts restart at once, as after a power cut: what was accepted is in the
-/// platform and comes back in force by itself.
+/// All hosts restart at once, as after a power failure. Guards against an accepted revision that
+/// is not in the platform or does not come into force again without an operator.
 #[tokio::test]
-async fn a_revision_outlives_all_hosts() {
+async fn a_revision_is_in_force_after_a_restart_of_all_hosts() {
     let mut system = start().await;
-    let config = with_account(&mut system, "third");
+    let config = config_with_account(&mut system, "third");
     system.submit(&config).await.unwrap();
     system.hosts.iter_mut().for_each(lab::process::Process::kill);
     system.hosts.iter_mut().for_each(|host| host.start().unwrap());
@@ -193,33 +195,33 @@
     }
 }
 
-/// The platform answers each call late, near the limit of what is waited for. No
-/// caller notices, and a submit takes its time and is accepted.
+/// The platform answers each call just within the timeout. Guards against callers that are held up
+/// by the platform, and against a submit that is not accepted because it is slow.
 #[tokio::test]
-async fn a_slow_platform_stops_neither_callers_nor_submits() {
+async fn a_slow_platform_blocks_neither_callers_nor_submits() {
     let mut system = start().await;
     let client = system.connect(1, "baobab", "g1").await.unwrap();
     system::until_runs(&client, "SELECT 1").await.unwrap();
     system.platform_faults(r#"{"slow_ms": 1500}"#).await.unwrap();
-    let config = with_account(&mut system, "third");
+    let config = config_with_account(&mut system, "third");
     let submitting = submit(&system, 0, "submit=slow", &config);
-    let asking = async {
+    let reading = async {
         let since = Instant::now();
-        while since.elapsed() < SECONDS {
+        while since.elapsed() < IN_FORCE_TIMEOUT {
             client.simple_query("SELECT 1").await.unwrap();
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let ((status, text), ()) = tokio::join!(submitting, asking);
+    let ((status, text), ()) = tokio::join!(submitting, reading);
     assert_eq!(status, 200, "{text}");
-    in_force_everywhere(&system, "third").await;
+    check_in_force(&system, "third").await;
 }
 
-/// A large configuration is submitted while a host does not reach the platform and its links
-/// to the others are slow. They give up telling it after half a second, in less time than one
-/// copy takes, and begin again; it must take the copy that comes late, or it never has any.
+/// A large configuration is submitted while a host cannot reach the platform and its links to the
+/// others are slow. These time out after half a second, in less time than one copy takes, and
+/// retry. Guards against a host that discards the late copy and so never gets a revision.
 #[tokio::test]
-async fn a_large_revision_reaches_a_host_over_slow_links() {
+async fn a_host_behind_slow_links_gets_a_large_revision() {
     const SLOW: u64 = 4_000;
     const ACCOUNTS: usize = 60;
     let mut system = System::start(Plan { links: true, ..Plan::default() }).await.unwrap();
@@ -230,8 +232,8 @@
     let more = (0..ACCOUNTS).map(|n| (format!("account-{n:05}"), 1000.0, 1000.0));
     system.plan.accounts.extend(more);
     let config = system.config();
-    let query = format!("submit=large&base={}", newest(&system).await);
+    let query = format!("submit=large&base={}", newest_revision(&system).await);
     let (status, text) = submit(&system, 0, &query, &config).await;
     assert_eq!(status, 200, "{text}");
-    in_force_everywhere(&system, "account-00059").await;
+    check_in_force(&system, "account-00059").await;
 }
