--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Hosts that are gone are taken out of the roster, and come back by themselves.
+//! Hosts that fail are removed from the roster, and rejoin without an operator.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,13 @@
 use bergamottrack_platform::chain::Head;
 use lab::system::{self, PATIENCE, Plan, System};
 
-const PAUSE: Duration = Duration::from_millis(100);
+/// Interval between reads of the roster.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A host must have been silent for thirty seconds before it is taken out.
-const TAKEN_OUT: Duration = Duration::from_secs(60);
+/// Time within which a host is removed; it must have been silent for 30 seconds before.
+const REMOVAL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The names of the roster in the newest revision.
+/// Returns the sorted names of the roster in the newest revision.
 async fn roster(system: &System) -> Vec<String> {
     let head: Head = serde_json::from_str(&system.row("head").await.unwrap()).unwrap();
     let path = format!("/objects/{}", head.object);
@@ -22,34 +23,34 @@
     names
 }
 
-async fn until_roster(system: &System, names: &[&str], within: Duration) {
-    let deadline = Instant::now() + within;
+async fn until_roster_is(system: &System, names: &[&str], timeout: Duration) {
+    let deadline = Instant::now() + timeout;
     while roster(system).await != names {
         assert!(Instant::now() < deadline, "the roster is {:?}", roster(system).await);
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// A host is frozen for so long that the others take it out and use its part of
-/// the rates. When it wakes it must come back in by itself and serve again; its
-/// callers see refusals in between, and no more than that.
+/// A host is suspended for so long that the others remove it from the roster and use its part of
+/// the rates. Guards against a host that does not rejoin and serve again when it is resumed, and
+/// against effects on its callers other than refusals in between.
 #[tokio::test]
-async fn a_silent_host_is_taken_out_and_comes_back() {
+async fn a_silent_host_is_removed_and_rejoins() {
     let system = System::start(Plan::default()).await.unwrap();
     let client = system.connect(2, "baobab", "g1").await.unwrap();
     system::until_runs(&client, "SELECT 1").await.unwrap();
     system.hosts[2].signal(libc::SIGSTOP).unwrap();
-    until_roster(&system, &["h1", "h2"], TAKEN_OUT).await;
+    until_roster_is(&system, &["h1", "h2"], REMOVAL_TIMEOUT).await;
     system.hosts[2].signal(libc::SIGCONT).unwrap();
-    until_roster(&system, &["h1", "h2", "h3"], PATIENCE).await;
+    until_roster_is(&system, &["h1", "h2", "h3"], PATIENCE).await;
     system::until_runs(&client, "SELECT 1").await.unwrap();
 }
 
-/// Two of three hosts die for good at once. No majority of the roster can be
-/// told of anything any more, so no change could ever be accepted again; but the
-/// platform's list says that they are gone, and the third goes on without them.
+/// Two of three hosts die for good at once, so no majority of the roster can get a change. Guards
+/// against a remaining host that never accepts changes again: the platform's list says that the
+/// two are gone, so they are removed from the roster.
 #[tokio::test]
-async fn the_loss_of_a_majority_for_good_does_not_stop_changes_for_good() {
+async fn changes_are_accepted_after_a_lost_majority_is_removed() {
     let mut system = System::start(Plan::default()).await.unwrap();
     system.hosts[1].kill();
     system.hosts[2].kill();
@@ -59,7 +60,7 @@
     let (status, text) =
         system::request(system.platform_address, "PUT", "/hosts", list).await.unwrap();
     assert_eq!(status, 200, "{text}");
-    until_roster(&system, &["h1"], TAKEN_OUT).await;
+    until_roster_is(&system, &["h1"], REMOVAL_TIMEOUT).await;
     system.submit(&system.config()).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
     system::until_runs(&client, "SELECT 1").await.unwrap();
