--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,5 +1,4 @@
-//! Scripted scenarios: each file of `scenarios/` is a story, with the answers
-//! that are expected beside it.
+//! Scripted scenarios: each file of `scenarios/` lists commands and the expected output.
 
 use std::{collections::HashMap, error::Error, fmt::Write, path::Path, time::Duration};
 
@@ -12,7 +11,7 @@
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-/// The commands of a scenario.
+/// Commands of a scenario.
 #[derive(goldenscript::Command)]
 enum Command {
     /// Starts a system: start hosts=3 groups=1 rate=1000 burst=1000
@@ -42,43 +41,43 @@
         #[arg(key)]
         host: usize,
     },
-    /// Gives a caller the session token of another: borrow anna from=ben
+    /// Presents the session token of another caller: borrow anna from=ben
     Borrow {
         name: String,
         #[arg(key)]
         from: String,
     },
-    /// Runs a statement and shows its answer: sql anna "SELECT 1"
+    /// Runs a statement and prints its answer: sql anna "SELECT 1"
     Sql { name: String, sql: String },
     /// Runs a statement until it succeeds: until anna "SELECT 1"
     Until { name: String, sql: String },
     /// Kills a process: kill g1s1
     Kill(String),
-    /// Starts a killed process again.
+    /// Starts a killed process again: restart g1s1
     Restart(String),
-    /// Stops a process without ending it.
+    /// Suspends a process: freeze g1s1
     Freeze(String),
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process: wake g1s1
     Wake(String),
-    /// Cuts links, both ways or one: cut h1>g1s* way=down
+    /// Cuts links in one direction or, by default, in both: cut h1>g1s* way=down
     Cut {
         names: String,
         #[arg(key)]
         way: Option<String>,
     },
-    /// Mends links.
+    /// Removes the faults of links: mend h1>g1s*
     Mend(String),
-    /// Resets the connections of links.
+    /// Resets the connections of links: reset h1>g1s*
     Reset(String),
-    /// Sets a server's lag in milliseconds: lag g1s2 10000
+    /// Sets the replication lag of a server in milliseconds: lag g1s2 10000
     Lag { server: String, ms: u64 },
     /// Sets the platform's faults: platform '{"down":true}'
     Platform(String),
-    /// Waits: pause 500
+    /// Waits for a number of milliseconds: pause 500
     Pause(u64),
 }
 
-/// A caller and how it connects.
+/// Connected caller.
 struct Caller {
     account: String,
     group: String,
@@ -95,7 +94,7 @@
     type Command = Command;
 
     fn run(&mut self, command: &Command, _context: &goldenscript::Context) -> Result<String> {
-        // Taken out so that the runtime and the rest can be borrowed at once.
+        // Replaced temporarily, because `execute` borrows all of `self` mutably.
         let runtime = std::mem::replace(&mut self.runtime, new_runtime());
         let result = runtime.block_on(self.execute(command));
         self.runtime = runtime;
@@ -104,12 +103,12 @@
 }
 
 fn new_runtime() -> Runtime {
-    tokio::runtime::Builder::new_current_thread().build().expect("a runtime")
+    tokio::runtime::Builder::new_current_thread().build().expect("tokio runtime")
 }
 
 impl Runner {
     fn new() -> Self {
-        let runtime = Runtime::new().expect("a runtime");
+        let runtime = Runtime::new().expect("tokio runtime");
         Self { runtime, system: None, callers: HashMap::new() }
     }
 
@@ -118,7 +117,7 @@
     }
 
     fn caller(&self, name: &str) -> Result<&Caller> {
-        self.callers.get(name).ok_or_else(|| format!("there is no caller {name}").into())
+        self.callers.get(name).ok_or_else(|| format!("caller {name} does not exist").into())
     }
 
     async fn execute(&mut self, command: &Command) -> Result<String> {
@@ -145,11 +144,11 @@
                 let caller = self.caller(name)?;
                 let (account, group) = (caller.account.clone(), caller.group.clone());
                 self.connect(name, *host, &account, &group).await?;
-                return self.present(name, &token).await;
+                return self.set_token(name, &token).await;
             }
             Command::Borrow { name, from } => {
                 let token = self.token(from).await?;
-                return self.present(name, &token).await;
+                return self.set_token(name, &token).await;
             }
             Command::Sql { name, sql } => return self.sql(name, sql).await,
             Command::Until { name, sql } => {
@@ -190,11 +189,11 @@
         rows.into_iter().next().ok_or_else(|| "the session has no token".into())
     }
 
-    async fn present(&self, name: &str, token: &str) -> Result<String> {
+    async fn set_token(&self, name: &str, token: &str) -> Result<String> {
         self.sql(name, &format!("SET bergamottrack.session = '{token}'")).await
     }
 
-    /// The answer of a statement: its rows and tags, or its error without times.
+    /// Runs a statement and returns its answer: rows and tags, or the error without times.
     async fn sql(&self, name: &str, sql: &str) -> Result<String> {
         let mut out = String::new();
         match self.caller(name)?.client.simple_query(sql).await {
@@ -224,16 +223,16 @@
     }
 }
 
-fn play(name: &str) {
+fn run_scenario(name: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("scenarios").join(name);
     let mut runner = Runner::new();
     let result = goldenscript::run(&mut runner, path);
     if result.is_err()
         && let Some(system) = &runner.system
     {
-        println!("logs are kept in {:?}", system.keep_logs());
+        println!("logs kept in {:?}", system.keep_logs());
     }
-    result.expect("the scenario plays as written");
+    result.expect("scenario output differs from the expected output");
 }
 
 macro_rules! scenarios {
@@ -241,7 +240,7 @@
         $(
             #[test]
             fn $name() {
-                play(stringify!($name));
+                run_scenario(stringify!($name));
             }
         )*
     };
