--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of a host cuts no request.
+//! A planned stop of a host interrupts no request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,10 +9,10 @@
 use tokio::sync::Mutex;
 use tokio_postgres::Client;
 
-/// Longer than it takes a host that joined to get its part of the rate.
-const PART_AFTER: Duration = Duration::from_secs(5);
+/// Longer than it takes a host that joined to get its part of the account's rate.
+const PART_DELAY: Duration = Duration::from_secs(5);
 
-/// Callers here insert without a pause: no limit may get in their way.
+/// Returns a plan with rate limits out of reach, since callers here insert without a pause.
 fn plan(groups: usize) -> Plan {
     Plan { groups, accounts: vec![("baobab".into(), 1e6, 1e6)], ..Plan::default() }
 }
@@ -24,42 +24,43 @@
     (system, client)
 }
 
-/// What a caller was told of its inserts.
+/// Results of a caller's inserts.
 #[derive(Default)]
-struct Told {
+struct Results {
     done: Vec<i32>,
-    /// The SQLSTATE and detail of the error that ended it, if one was told.
-    end: Option<(String, String)>,
-    over: bool,
+    /// SQLSTATE and detail of the error that ended the inserts, if the server sent one.
+    error: Option<(String, String)>,
+    ended: bool,
 }
 
-/// Inserts one number after another until an error comes.
-fn insert(client: Client, first: i32) -> Arc<Mutex<Told>> {
-    let told = Arc::new(Mutex::new(Told::default()));
-    let shared = told.clone();
+/// Inserts one number after another, in a separate task, until one fails.
+fn insert(client: Client, first: i32) -> Arc<Mutex<Results>> {
+    let results = Arc::new(Mutex::new(Results::default()));
+    let shared = results.clone();
     tokio::spawn(async move {
         for id in first.. {
             let sql = format!("INSERT INTO visit VALUES ({id})");
             match client.simple_query(&sql).await {
                 Ok(_) => shared.lock().await.done.push(id),
                 Err(error) => {
-                    let mut told = shared.lock().await;
-                    told.end = error.as_db_error().map(|e| {
+                    let mut results = shared.lock().await;
+                    results.error = error.as_db_error().map(|e| {
                         (e.code().code().to_owned(), e.detail().unwrap_or_default().to_owned())
                     });
-                    told.over = true;
+                    results.ended = true;
                     return;
                 }
             }
         }
     });
-    told
+    results
 }
 
-async fn until(mut look: impl AsyncFnMut() -> bool) {
+/// Waits until a condition holds.
+async fn until(mut holds: impl AsyncFnMut() -> bool) {
     let deadline = std::time::Instant::now() + system::PATIENCE;
-    while !look().await {
-        assert!(std::time::Instant::now() < deadline, "waited in vain");
+    while !holds().await {
+        assert!(std::time::Instant::now() < deadline, "timed out waiting for a condition");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -69,33 +70,33 @@
     system.hosts[host].wait().unwrap()
 }
 
-async fn numbers(client: &Client) -> Vec<i32> {
+async fn stored_numbers(client: &Client) -> Vec<i32> {
     system::until_runs(client, "SELECT id FROM visit").await.unwrap();
     let rows = system::rows(client, "SELECT id FROM visit ORDER BY id").await.unwrap();
     rows.iter().map(|row| row.parse().unwrap()).collect()
 }
 
-/// A host is stopped while callers insert without a pause and one has a
-/// transaction open. Each caller is told the end of what it has begun; the
-/// transaction commits; what is told as not run is not there.
+/// A host is stopped while callers insert without a pause and one has an open transaction. Guards
+/// against inserts whose result is never or wrongly reported, and against a transaction that
+/// cannot commit.
 #[tokio::test]
-async fn callers_of_a_host_that_is_stopped_get_all_their_answers() {
+async fn callers_of_a_stopped_host_get_the_results_of_all_statements() {
     let (mut system, first) = start().await;
-    // No write yet: the stand-in lets one transaction write at a time.
+    // No write yet: the stand-in permits writes in one transaction at a time.
     first.batch_execute("BEGIN").await.unwrap();
-    let mut told = Vec::new();
+    let mut callers = Vec::new();
     for i in 1..=4 {
         let client = system.connect(0, "baobab", "g1").await.unwrap();
-        told.push(insert(client, i * 100_000));
+        callers.push(insert(client, i * 100_000));
     }
-    for caller in &told {
+    for caller in &callers {
         until(async || caller.lock().await.done.len() > 3).await;
     }
     system.hosts[0].signal(libc::SIGTERM).unwrap();
-    for caller in &told {
-        until(async || caller.lock().await.over).await;
+    for caller in &callers {
+        until(async || caller.lock().await.ended).await;
         let caller = caller.lock().await;
-        if let Some((code, detail)) = &caller.end {
+        if let Some((code, detail)) = &caller.error {
             assert_eq!((&**code, &**detail), ("57P01", "not run"));
         }
     }
@@ -104,49 +105,49 @@
     assert_eq!(until_stopped(&mut system, 0).await, Some(0));
 
     let mut wanted = vec![2];
-    for caller in &told {
+    for caller in &callers {
         wanted.extend(&caller.lock().await.done);
     }
     wanted.sort_unstable();
     let reader = system.connect(1, "baobab", "g1").await.unwrap();
-    assert_eq!(numbers(&reader).await, wanted);
+    assert_eq!(stored_numbers(&reader).await, wanted);
 }
 
-/// A caller without anything to do is told once that its host is being stopped,
-/// and its connection is closed.
+/// Guards against an idle caller that gets no notice, or more than one, that its host stops, and
+/// against a connection that stays open.
 #[tokio::test]
-async fn an_idle_caller_is_told_once_to_connect_again() {
+async fn an_idle_caller_of_a_stopped_host_gets_one_notice() {
     let (mut system, _first) = start().await;
     let mut idle = RawCaller::login(&system, 0, "baobab").await.unwrap();
     system.hosts[0].signal(libc::SIGTERM).unwrap();
-    let goodbye = idle.next().await.unwrap();
-    assert!(String::from_utf8_lossy(goodbye.body()).contains("57P01"), "{goodbye:?}");
-    assert!(idle.next().await.is_err(), "more was said after the goodbye");
+    let notice = idle.next().await.unwrap();
+    assert!(String::from_utf8_lossy(notice.body()).contains("57P01"), "{notice:?}");
+    assert!(idle.next().await.is_err(), "a message followed the notice");
     assert_eq!(until_stopped(&mut system, 0).await, Some(0));
 }
 
-/// The hosts beside the callers' own are replaced one after another, among them
-/// the homes of their groups. The callers notice nothing. With a host that goes
-/// on as home until it ends, what runs there at that moment is cut.
+/// The hosts that callers are not connected to are restarted one after another, among them the
+/// homes of the groups. Guards against a host that stays home until its process ends, which
+/// interrupts the statements running there.
 #[tokio::test]
-async fn callers_of_other_hosts_notice_no_planned_stop() {
+async fn a_planned_stop_does_not_interrupt_callers_of_other_hosts() {
     let mut system = System::start(plan(3)).await.unwrap();
-    let mut told = Vec::new();
+    let mut callers = Vec::new();
     for group in ["g1", "g2", "g3"] {
         let client = system.connect(0, "baobab", group).await.unwrap();
         let table = "CREATE TABLE IF NOT EXISTS visit (id INTEGER)";
         system::until_runs(&client, table).await.unwrap();
-        told.push(insert(client, 1));
+        callers.push(insert(client, 1));
     }
-    // In a fleet that is only seconds old one host may have all of the rate.
-    tokio::time::sleep(PART_AFTER).await;
+    // In the first seconds after a start of all hosts one of them may have the whole rate.
+    tokio::time::sleep(PART_DELAY).await;
     let mut homes = 0;
     for host in [1, 2, 1, 2] {
-        for caller in &told {
+        for caller in &callers {
             let before = caller.lock().await.done.len();
             until(async || {
                 let caller = caller.lock().await;
-                assert!(!caller.over, "the caller was told {:?}", caller.end);
+                assert!(!caller.ended, "the inserts ended with {:?}", caller.error);
                 caller.done.len() > before + 3
             })
             .await;
@@ -154,9 +155,9 @@
         homes += usize::from(system.hosts[host].log().contains("ranks first for"));
         system.hosts[host].signal(libc::SIGTERM).unwrap();
         assert_eq!(until_stopped(&mut system, host).await, Some(0));
-        for caller in &told {
+        for caller in &callers {
             let caller = caller.lock().await;
-            assert!(!caller.over, "the caller was told {:?}", caller.end);
+            assert!(!caller.ended, "the inserts ended with {:?}", caller.error);
         }
         system.hosts[host].start().unwrap();
         let there = system.connect(host, "baobab", "g1").await.unwrap();
@@ -165,9 +166,10 @@
     assert!(homes > 0, "no home of a group was stopped");
 }
 
-/// A person who does not want to wait for an open transaction sends a second signal.
+/// Guards against a stop that cannot be shortened while a transaction is open: a second signal
+/// must end the process at once.
 #[tokio::test]
-async fn a_second_signal_stops_at_once() {
+async fn a_second_signal_ends_the_host_at_once() {
     let (mut system, client) = start().await;
     client.batch_execute("BEGIN; INSERT INTO visit VALUES (1)").await.unwrap();
     system.hosts[0].signal(libc::SIGTERM).unwrap();
@@ -177,18 +179,18 @@
     assert_eq!(until_stopped(&mut system, 0).await, Some(130));
 }
 
-/// An account is short of tokens all the time: its host asks others for them
-/// while its own part grows because a host has left. The host went down with
-/// all its callers: it moved the part on while it held the account's bucket.
+/// An account is always short of tokens, so its host borrows them from others while its own part
+/// of the rate grows because a host has left. Guards against a host that updates this part while
+/// it holds the account's bucket, which ended the process with all its callers.
 #[tokio::test]
-async fn a_host_goes_on_when_its_part_grows_while_it_borrows() {
+async fn a_host_keeps_running_when_its_part_grows_while_it_borrows() {
     let plan = Plan { accounts: vec![("baobab".into(), 60.0, 6.0)], ..Plan::default() };
     let mut system = System::start(plan).await.unwrap();
-    let mut asking = Vec::new();
+    let mut tasks = Vec::new();
     for host in [0, 0, 2, 2] {
         let client = system.connect(host, "baobab", "g1").await.unwrap();
-        asking.push(tokio::spawn(async move {
-            // Refused most of the time; ends when the connection does.
+        tasks.push(tokio::spawn(async move {
+            // Statements are mostly refused; the task ends with the connection.
             while !client.is_closed() {
                 let _ = client.simple_query("SELECT 1").await;
             }
@@ -197,11 +199,11 @@
     for _ in 0..3 {
         system.hosts[1].signal(libc::SIGTERM).unwrap();
         assert_eq!(until_stopped(&mut system, 1).await, Some(0));
-        tokio::time::sleep(PART_AFTER).await;
+        tokio::time::sleep(PART_DELAY).await;
         system.hosts[1].start().unwrap();
         system.await_members().await.unwrap();
     }
-    for task in &asking {
+    for task in &tasks {
         assert!(!task.is_finished(), "a caller's connection was lost");
     }
 }
