--- a/tests/storm.rs
+++ b/tests/storm.rs
@@ -1,6 +1,6 @@
-//! A few storms of fixed seeds: two and three faults at a time over a system
-//! under load, then what callers were told against what the tables hold. Any
-//! other seed: `cargo run --release -p lab -- storm --seed N --secs S`.
+//! Storms of fixed seeds: two and three faults at a time on a system under load, then a
+//! comparison of the results reported to callers with the contents of the tables. For other
+//! seeds: `cargo run --release -p lab -- storm --seed N --secs S`.
 
 use std::time::Duration;
 
@@ -8,23 +8,24 @@
 
 const WRITERS: usize = 6;
 
-async fn play(seed: u64, secs: u64) {
+async fn run_storm(seed: u64, secs: u64) {
     let steps = schedule::draw(seed, Duration::from_secs(secs), storm::HOSTS);
     let outcome = storm::storm(&steps, WRITERS, false).await.unwrap();
     assert!(outcome.broken.is_empty(), "seed {seed}: {:#?}", outcome.broken);
-    assert!(outcome.told[0] > 0, "seed {seed}: nothing was done");
+    assert!(outcome.told[0] > 0, "seed {seed}: no request was done");
 }
 
-/// Bookings go in through four hosts while servers and hosts are killed and
-/// frozen and links are cut, and go on when all is mended.
+/// Guards against wrong results for bookings through four hosts while servers and hosts are
+/// killed and suspended and links are cut, and against bookings that fail after the faults end.
 #[tokio::test]
-async fn no_promise_is_broken_in_storm_1() {
-    play(1, 10).await;
+async fn storm_1_breaks_no_guarantee() {
+    run_storm(1, 10).await;
 }
 
-/// Once all was mended no write went through for 30 s: statements that waited
-/// for an open transaction's lock had all slots, and the transaction got none.
+/// Guards against writes that stay blocked once the faults have ended: statements that waited for
+/// the lock of an open transaction held all slots and the transaction got none, so that no write
+/// was served for 30 s.
 #[tokio::test]
-async fn no_promise_is_broken_in_storm_2() {
-    play(2, 20).await;
+async fn storm_2_breaks_no_guarantee() {
+    run_storm(2, 20).await;
 }
