--- a/tests/transactions.rs
+++ b/tests/transactions.rs
@@ -1,4 +1,4 @@
-//! What becomes of a transaction when something is lost on its way.
+//! Transactions whose statements lose their connection or wait for a slot.
 
 use lab::system::{self, Plan, System};
 use tokio_postgres::{Client, error::SqlState};
@@ -14,12 +14,11 @@
     error.code().map_or("none", SqlState::code)
 }
 
-/// A driver sends the statements of a transaction without waiting for each
-/// answer. The link to the server is lost in the middle. Were the caller's
-/// session idle again at once, the rest of the statements would run one by one
-/// and the books would show half of a transaction.
+/// A driver sends the statements of a transaction without blocked for answers, and the link to the
+/// server is lost in between. Guards against a session that is idle again at once, so that the
+/// remaining statements run one by one and half of the transaction is stored.
 #[tokio::test]
-async fn what_follows_a_lost_statement_in_its_transaction_does_not_run() {
+async fn statements_after_a_lost_connection_in_a_transaction_do_not_run() {
     let (system, client) = start().await;
     let insert = client.prepare("INSERT INTO visit VALUES ($1)").await.unwrap();
     client.simple_query("BEGIN").await.unwrap();
@@ -38,32 +37,31 @@
     let reader = system.connect(0, "baobab", "g1").await.unwrap();
     system::until_runs(&reader, "SELECT id FROM visit").await.unwrap();
     let rows = system::rows(&reader, "SELECT id FROM visit").await.unwrap();
-    assert!(rows.is_empty(), "half of a transaction stands: {rows:?}");
+    assert!(rows.is_empty(), "half of a transaction is stored: {rows:?}");
     system::until_runs(&client, "INSERT INTO visit VALUES (5)").await.unwrap();
 }
 
-/// A caller has written within its transaction and thinks for a moment. Eight
-/// others want to write too and wait for its lock, with all slots of the primary.
-/// The first one's next statement got no slot, so all waited for each other until
-/// their deadlines, and under load again after that.
+/// A caller pauses after a write within a transaction while eight others wait for its lock and
+/// hold all slots of the primary. Guards against the owner's next statement getting no slot: all
+/// waited for each other until their deadlines, and under load again after that.
 #[tokio::test]
-async fn a_transaction_goes_on_when_all_slots_wait_for_its_lock() {
+async fn a_transaction_continues_while_all_slots_wait_for_its_lock() {
     let system = System::start(Plan::default()).await.unwrap();
     let owner = system.connect(0, "baobab", "g1").await.unwrap();
     system::until_runs(&owner, "CREATE TABLE IF NOT EXISTS hold (id TEXT)").await.unwrap();
     owner.batch_execute("BEGIN").await.unwrap();
     owner.batch_execute("INSERT INTO hold VALUES ('first')").await.unwrap();
-    let mut waiting = Vec::new();
+    let mut blocked = Vec::new();
     for i in 0..8 {
         let client = system.connect(i % 3, "hartwell", "g1").await.unwrap();
         let sql = format!("INSERT INTO hold VALUES ('w{i}')");
-        waiting.push(tokio::spawn(async move { client.batch_execute(&sql).await }));
+        blocked.push(tokio::spawn(async move { client.batch_execute(&sql).await }));
     }
-    // Longer than an open transaction keeps its slot, and time for the others to come.
+    // Longer than an open transaction keeps its slot, and enough for the others to start blocked.
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     owner.batch_execute("INSERT INTO hold VALUES ('second')").await.unwrap();
     owner.batch_execute("COMMIT").await.unwrap();
-    for task in waiting {
+    for task in blocked {
         task.await.unwrap().unwrap();
     }
     let count = system::rows(&owner, "SELECT count(*) FROM hold").await.unwrap();
