--- a/tests/transactions.rs
+++ b/tests/transactions.rs
@@ -14,7 +14,7 @@
     error.code().map_or("none", SqlState::code)
 }
 
-/// A driver sends the statements of a transaction without blocked for answers, and the link to the
+/// A driver sends the statements of a transaction without waiting for answers, and the link to the
 /// server is lost in between. Guards against a session that is idle again at once, so that the
 /// remaining statements run one by one and half of the transaction is stored.
 #[tokio::test]
@@ -57,7 +57,7 @@
         let sql = format!("INSERT INTO hold VALUES ('w{i}')");
         blocked.push(tokio::spawn(async move { client.batch_execute(&sql).await }));
     }
-    // Longer than an open transaction keeps its slot, and enough for the others to start blocked.
+    // Longer than an open transaction keeps its slot, and enough for the others to start waiting.
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     owner.batch_execute("INSERT INTO hold VALUES ('second')").await.unwrap();
     owner.batch_execute("COMMIT").await.unwrap();
