--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -355,7 +355,7 @@
     });
 }
 
-/// Guards against hundreds of restarting hosts that wait for each other's changes of the store.
+/// Guards against hundreds of restarting hosts that wait for each other's rows in the store.
 #[test]
 fn a_host_restart_makes_no_changes_to_the_store() {
     on_runtime(async {
--- a/tests/revisions.rs
+++ b/tests/revisions.rs
@@ -128,20 +128,22 @@
 async fn of_two_concurrent_submits_one_is_refused_with_the_others_author() {
     let mut system = start().await;
     let base = newest_revision(&system).await;
-    let (awa, ben) =
+    let (first_config, second_config) =
         (config_with_account(&mut system, "third"), config_with_account(&mut system, "fourth"));
-    let (awas, bens) = (
+    let (first_query, second_query) = (
         format!("submit=awas&base={base}&author=awa"),
         format!("submit=bens&base={base}&author=ben"),
     );
-    let (first, second) =
-        tokio::join!(submit(&system, 0, &awas, &awa), submit(&system, 1, &bens, &ben));
-    let (winner, loser, lost, name) = match (first.0, second.0) {
+    let (first, second) = tokio::join!(
+        submit(&system, 0, &first_query, &first_config),
+        submit(&system, 1, &second_query, &second_config)
+    );
+    let (winner, loser, refusal, name) = match (first.0, second.0) {
         (200, 409) => ("third", "fourth", second.1, "awa"),
         (409, 200) => ("fourth", "third", first.1, "ben"),
         _ => panic!("{first:?} and {second:?}"),
     };
-    assert!(lost.contains("nothing changed") && lost.contains(name), "{lost}");
+    assert!(refusal.contains("nothing changed") && refusal.contains(name), "{refusal}");
     check_in_force(&system, winner).await;
     check_refused(&system, loser).await;
 }
@@ -222,10 +224,10 @@
 /// retry. Guards against a host that discards the late copy and so never gets a revision.
 #[tokio::test]
 async fn a_host_behind_slow_links_gets_a_large_revision() {
-    const SLOW: u64 = 4_000;
+    const SLOW_BYTES_PER_SEC: u64 = 4_000;
     const ACCOUNTS: usize = 60;
     let mut system = System::start(Plan { links: true, ..Plan::default() }).await.unwrap();
-    let slow = Fault { bytes_per_sec: SLOW, ..Fault::default() };
+    let slow = Fault { bytes_per_sec: SLOW_BYTES_PER_SEC, ..Fault::default() };
     system.fault("h*>h3", slow.clone()).await.unwrap();
     system.fault("h3>h*", slow).await.unwrap();
     system.cut("h3>platform").await.unwrap();
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -160,8 +160,8 @@
             assert!(!caller.ended, "the inserts ended with {:?}", caller.error);
         }
         system.hosts[host].start().unwrap();
-        let there = system.connect(host, "baobab", "g1").await.unwrap();
-        system::until_runs(&there, "SELECT 1").await.unwrap();
+        let client = system.connect(host, "baobab", "g1").await.unwrap();
+        system::until_runs(&client, "SELECT 1").await.unwrap();
     }
     assert!(homes > 0, "no home of a group was stopped");
 }
