--- a/src/cmd/accounts.rs
+++ b/src/cmd/accounts.rs
@@ -12,7 +12,7 @@
 
 /// How an account fares over all hosts that answer, since each of them started.
 #[derive(Default, Serialize)]
-struct Faring {
+struct AccountTotals {
     served: u64,
     seconds: f64,
     spread: Spread,
@@ -21,7 +21,7 @@
 
 /// An account and how it fares.
 #[derive(Serialize)]
-struct Line {
+struct AccountRow {
     account: AccountId,
     rate: f64,
     burst: f64,
@@ -29,7 +29,7 @@
     /// Keys that stand.
     keys: usize,
     #[serde(flatten)]
-    faring: Faring,
+    totals: AccountTotals,
 }
 
 /// Prints the client accounts.
@@ -42,35 +42,35 @@
     remote.print(&lines, |lines| print!("{}", table(lines)))
 }
 
-fn line(account: &ClientAccount, hosts: &[HostLine]) -> Line {
+fn line(account: &ClientAccount, hosts: &[HostLine]) -> AccountRow {
     let reports = hosts.iter().filter_map(|line| line.report.as_ref());
     let own = reports.flat_map(|report| &report.accounts).filter(|r| r.account == account.id);
-    Line {
+    AccountRow {
         account: account.id.clone(),
         rate: account.rate.0,
         burst: account.burst.0,
         weight: account.weight,
         keys: account.keys.iter().filter(|key| !key.withdrawn).count(),
-        faring: own.fold(Faring::default(), add),
+        totals: own.fold(AccountTotals::default(), add),
     }
 }
 
-fn add(mut faring: Faring, report: &AccountReport) -> Faring {
-    faring.served += report.served;
-    faring.seconds += report.seconds;
-    faring.spread.merge(&report.spread);
+fn add(mut totals: AccountTotals, report: &AccountReport) -> AccountTotals {
+    totals.served += report.served;
+    totals.seconds += report.seconds;
+    totals.spread.merge(&report.spread);
     for refused in &report.refused {
-        *faring.refused.entry(refused.reason).or_default() += refused.count;
+        *totals.refused.entry(refused.reason).or_default() += refused.count;
     }
-    faring
+    totals
 }
 
-fn table(lines: &[Line]) -> Table {
+fn table(lines: &[AccountRow]) -> Table {
     let headings =
         ["ACCOUNT", "RATE", "BURST", "WEIGHT", "KEYS", "SERVED", "MEAN", "P99", "REFUSED"];
     let mut table = Table::new(headings);
     for line in lines {
-        let Faring { served, seconds, spread, refused } = &line.faring;
+        let AccountTotals { served, seconds, spread, refused } = &line.totals;
         let mean = match served {
             0 => "-".to_owned(),
             served => format!("{:.1}ms", seconds * 1_000.0 / *served as f64),
--- a/src/cmd/entry.rs
+++ b/src/cmd/entry.rs
@@ -31,11 +31,11 @@
         .build()
         .context("starting the runtime")?;
     let result = runtime.block_on(async {
-        monoio::spawn(log.clone().keep_writing());
+        monoio::spawn(log.clone().run_writer());
         serve::run(read, signals, || settings::read_file(&path)).await
     });
     info!("host: ended");
-    log.write_out();
+    log.write_buffered();
     result
 }
 
--- a/src/cmd/history.rs
+++ b/src/cmd/history.rs
@@ -17,7 +17,7 @@
 
 /// A revision and what it changed.
 #[derive(Serialize)]
-struct Line {
+struct RevisionRow {
     #[serde(flatten)]
     entry: chain::Entry,
     /// What differs from the revision before; `None` when it was not asked for.
@@ -31,7 +31,7 @@
     let mut lines = Vec::new();
     for entry in entries {
         let changes = args.changes.then(|| changes(&mut remote, &entry)).transpose()?;
-        lines.push(Line { entry, changes });
+        lines.push(RevisionRow { entry, changes });
     }
     remote.print(&lines, |lines| print!("{}", text(lines)))
 }
@@ -54,9 +54,9 @@
 }
 
 /// The table, each row followed by what it changed.
-fn text(lines: &[Line]) -> String {
+fn text(lines: &[RevisionRow]) -> String {
     let mut table = Table::new(["REVISION", "WHEN", "BY", "CHANGED", "SUBMIT"]);
-    for Line { entry, .. } in lines {
+    for RevisionRow { entry, .. } in lines {
         let changed = match entry.config_revision == entry.number {
             true => "configuration",
             false => "hosts",
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -107,13 +107,13 @@
     monoio::select! {
         _ = accept_callers(callers, entry.clone()) => {}
         result = &mut operators => return result,
-        _ = signals.asked() => {}
+        _ = signals.stop_requested() => {}
         _ = drain.notified() => {}
     }
     // Operators are answered to the end, so that they can see the host drain.
     monoio::select! {
         result = operators => result,
-        _ = stop::drain(&entry, &fleet, args.stop_within) => Ok(()),
+        _ = stop::drain(&entry, &fleet, args.stop_timeout) => Ok(()),
     }
 }
 
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -17,7 +17,7 @@
     table::Table,
 };
 
-const WATCH_EVERY: Duration = Duration::from_secs(2);
+const WATCH_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Moves to the top of the terminal and clears it.
 const CLEAR: &str = "\x1b[H\x1b[2J";
@@ -38,7 +38,7 @@
             shown if !args.watch => return shown,
             _ => {}
         }
-        std::thread::sleep(WATCH_EVERY);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
--- a/src/log.rs
+++ b/src/log.rs
@@ -15,13 +15,13 @@
 
 /// The most bytes that wait to be written. At the usual 300 bytes a line it
 /// holds several seconds of a busy host's lines.
-const MOST_WAITING: usize = 512 * 1024;
+const MAX_BUFFER: usize = 512 * 1024;
 
 /// How often what waits is written: few writes, and little lost when killed.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Buffer {
     bytes: Vec<u8>,
     /// Lines left out since the last one that was taken.
     left_out: u64,
@@ -32,12 +32,12 @@
 /// Guards against a reader of the log that stops reading: a write would block,
 /// and with it every caller. What does not fit is left out and counted.
 #[derive(Clone, Debug, Default)]
-pub struct Log(Arc<Mutex<Waiting>>);
+pub struct Log(Arc<Mutex<Buffer>>);
 
 impl io::Write for Log {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut waiting = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        if waiting.bytes.len() + line.len() > MOST_WAITING {
+        if waiting.bytes.len() + line.len() > MAX_BUFFER {
             waiting.left_out += 1;
         } else {
             if waiting.left_out > 0 {
@@ -82,15 +82,15 @@
     }
 
     /// Writes what waits, for ever.
-    pub async fn keep_writing(self) {
+    pub async fn run_writer(self) {
         loop {
-            self.write_out();
-            monoio::time::sleep(WRITE_EVERY).await;
+            self.write_buffered();
+            monoio::time::sleep(WRITE_INTERVAL).await;
         }
     }
 
     /// Writes what waits, as far as standard output takes it.
-    pub fn write_out(&self) {
+    pub fn write_buffered(&self) {
         let mut waiting = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let mut written = 0;
         while written < waiting.bytes.len() {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -37,7 +37,7 @@
     /// Callers that may be connected at once.
     pub callers: usize,
     /// How long a planned stop waits for requests and transactions to end.
-    pub stop_within: Duration,
+    pub stop_timeout: Duration,
     /// What is logged.
     pub log: EnvFilter,
     /// How log lines are written.
@@ -211,7 +211,7 @@
                 via,
                 tls,
                 callers: callers?,
-                stop_within: Duration::from_secs(stop?),
+                stop_timeout: Duration::from_secs(stop?),
                 log: log?,
                 log_format: args.log_format,
             })
