--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Arguments. Each flag of `serve` has an environment variable.
+//! Command-line arguments. Each flag of `serve` can also be set by an environment variable.
 
 use std::{net::SocketAddr, path::PathBuf};
 
@@ -64,7 +64,7 @@
     Man,
 }
 
-/// How log lines are written.
+/// Output format of log lines.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, ValueEnum)]
 pub enum LogFormat {
     /// For a person.
@@ -88,7 +88,7 @@
     pub without: Vec<MechanismArg>,
 }
 
-/// A mechanism that can be switched off.
+/// A mechanism that `--without` disables.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum MechanismArg {
     /// Statements run on connections that one host holds for all.
@@ -103,7 +103,7 @@
     }
 }
 
-/// Settings of an entry host, not read yet: all faults are told at once.
+/// Settings of an entry host as unparsed text, so that all invalid ones are reported together.
 #[derive(Args, Debug, Default)]
 pub struct ServeArgs {
     /// Name of this host [required].
@@ -188,7 +188,7 @@
     Withdraw(WithdrawArgs),
 }
 
-/// Settings of `key new`.
+/// Arguments of `key new`.
 #[derive(Args, Debug)]
 pub struct NewKeyArgs {
     /// The client account that gets it.
@@ -202,7 +202,7 @@
     pub key: Option<String>,
 }
 
-/// Which host is asked, and how.
+/// Address and credentials of the host that handles a command, and the output format.
 #[derive(Args, Debug)]
 pub struct RemoteArgs {
     /// Operator address of any one host.
@@ -219,7 +219,7 @@
     pub json: bool,
 }
 
-/// Settings of `diff`.
+/// Arguments of `diff`.
 #[derive(Args, Debug)]
 pub struct DiffArgs {
     /// The files.
@@ -230,7 +230,7 @@
     pub remote: RemoteArgs,
 }
 
-/// Settings of every change.
+/// Arguments of every command that changes the configuration.
 #[derive(Args, Debug)]
 pub struct ChangeArgs {
     /// The revision that the change is made against, as `diff` and `status` show it.
@@ -241,7 +241,7 @@
     pub author: OperatorId,
 }
 
-/// Settings of `submit`.
+/// Arguments of `submit`.
 #[derive(Args, Debug)]
 pub struct SubmitArgs {
     /// The files.
@@ -258,7 +258,7 @@
     pub remote: RemoteArgs,
 }
 
-/// Settings of `history`.
+/// Arguments of `history`.
 #[derive(Args, Debug)]
 pub struct HistoryArgs {
     /// How many revisions.
@@ -272,7 +272,7 @@
     pub remote: RemoteArgs,
 }
 
-/// Settings of `rollback`.
+/// Arguments of `rollback`.
 #[derive(Args, Debug)]
 pub struct RollbackArgs {
     /// The revision whose configuration is put in force again.
@@ -285,7 +285,7 @@
     pub remote: RemoteArgs,
 }
 
-/// Settings of `key withdraw`.
+/// Arguments of `key withdraw`.
 #[derive(Args, Debug)]
 pub struct WithdrawArgs {
     /// The client account.
@@ -302,7 +302,7 @@
     pub remote: RemoteArgs,
 }
 
-/// Settings of `status`.
+/// Arguments of `status`.
 #[derive(Args, Debug)]
 pub struct StatusArgs {
     /// Show it again every two seconds.
@@ -313,7 +313,7 @@
     pub remote: RemoteArgs,
 }
 
-/// Settings of `outcome`.
+/// Arguments of `outcome`.
 #[derive(Args, Debug)]
 pub struct OutcomeArgs {
     /// The caller's id of the request.
