--- a/src/failure.rs
+++ b/src/failure.rs
@@ -1,27 +1,27 @@
-//! Why a command failed, as its exit code tells.
+//! Failures of commands and their exit codes.
 
 use std::process::ExitCode;
 
-/// Why a command failed.
+/// A failed command, by the effect that it had.
 #[derive(Debug)]
 pub enum Failure {
-    /// Refused or not accepted: nothing was changed. Exit code 1.
+    /// The request was refused or not accepted and changed nothing. Exit code 1.
     Refused(anyhow::Error),
-    /// Faulty use, settings or files. Exit code 2.
+    /// Arguments, settings or files are invalid. Exit code 2.
     Faulty(anyhow::Error),
-    /// Not known yet: run the command again. Exit code 3.
+    /// The outcome is not known yet; the command can be run again. Exit code 3.
     Unknown(anyhow::Error),
 }
 
 impl Failure {
-    /// What a person should know.
+    /// Returns the error to print.
     pub fn error(&self) -> &anyhow::Error {
         match self {
             Self::Refused(error) | Self::Faulty(error) | Self::Unknown(error) => error,
         }
     }
 
-    /// The process's exit code.
+    /// Returns the exit code of the process.
     pub fn code(&self) -> ExitCode {
         ExitCode::from(match self {
             Self::Refused(_) => 1,
@@ -31,7 +31,7 @@
     }
 }
 
-/// What is wrong before anything was tried is faulty use.
+/// Errors raised before anything is attempted count as faulty use.
 impl<E: Into<anyhow::Error>> From<E> for Failure {
     fn from(error: E) -> Self {
         Self::Faulty(error.into())
