--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output that never hold up the process.
+//! Non-blocking log on standard output.
 
 use std::{
     io,
@@ -13,39 +13,40 @@
 };
 use tracing_subscriber::{EnvFilter, fmt::MakeWriter};
 
-/// The most bytes that wait to be written. At the usual 300 bytes a line it
-/// holds several seconds of a busy host's lines.
+/// Maximum number of buffered bytes. At the usual 300 bytes per line, the buffer
+/// holds several seconds of log lines of a busy host.
 const MAX_BUFFER: usize = 512 * 1024;
 
-/// How often what waits is written: few writes, and little lost when killed.
+/// Interval between writes: long enough to batch lines, short enough to lose little
+/// when the process is killed.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Default)]
 struct Buffer {
     bytes: Vec<u8>,
-    /// Lines left out since the last one that was taken.
-    left_out: u64,
+    /// Number of lines dropped since the last buffered one.
+    dropped: u64,
 }
 
-/// Lines that wait to be written.
+/// A log writer that buffers lines in memory.
 ///
-/// Guards against a reader of the log that stops reading: a write would block,
-/// and with it every caller. What does not fit is left out and counted.
+/// If the reader of the log stops reading, a direct write would block, and all callers
+/// with it. Lines that do not fit into the buffer are dropped and counted.
 #[derive(Clone, Debug, Default)]
 pub struct Log(Arc<Mutex<Buffer>>);
 
 impl io::Write for Log {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut waiting = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        if waiting.bytes.len() + line.len() > MAX_BUFFER {
-            waiting.left_out += 1;
+        let mut buffer = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        if buffer.bytes.len() + line.len() > MAX_BUFFER {
+            buffer.dropped += 1;
         } else {
-            if waiting.left_out > 0 {
-                let left_out = std::mem::take(&mut waiting.left_out);
+            if buffer.dropped > 0 {
+                let left_out = std::mem::take(&mut buffer.dropped);
                 let note = format!("{{\"level\":\"WARN\",\"left_out\":{left_out}}}\n");
-                waiting.bytes.extend_from_slice(note.as_bytes());
+                buffer.bytes.extend_from_slice(note.as_bytes());
             }
-            waiting.bytes.extend_from_slice(line);
+            buffer.bytes.extend_from_slice(line);
         }
         Ok(line.len())
     }
@@ -64,7 +65,7 @@
 }
 
 impl Log {
-    /// Starts the log of the process, a JSON object a line.
+    /// Installs the log of the process, which writes one JSON object per line.
     pub fn start(filter: EnvFilter) -> anyhow::Result<Self> {
         let out = rustix::stdio::stdout();
         let flags = fcntl_getfl(out).context("reading the mode of standard output")?;
@@ -81,7 +82,7 @@
         Ok(log)
     }
 
-    /// Writes what waits, for ever.
+    /// Writes the buffered lines every [`WRITE_INTERVAL`]; never returns.
     pub async fn run_writer(self) {
         loop {
             self.write_buffered();
@@ -89,18 +90,18 @@
         }
     }
 
-    /// Writes what waits, as far as standard output takes it.
+    /// Writes buffered lines until the buffer is empty or standard output accepts no more.
     pub fn write_buffered(&self) {
-        let mut waiting = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let mut buffer = self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let mut written = 0;
-        while written < waiting.bytes.len() {
-            match rustix::io::write(rustix::stdio::stdout(), &waiting.bytes[written..]) {
+        while written < buffer.bytes.len() {
+            match rustix::io::write(rustix::stdio::stdout(), &buffer.bytes[written..]) {
                 Ok(n) => written += n,
                 Err(Errno::INTR) => {}
-                // Full, or closed for good: the bound above holds either way.
+                // The pipe is full or closed. `MAX_BUFFER` bounds the memory in both cases.
                 Err(_) => break,
             }
         }
-        waiting.bytes.drain(..written);
+        buffer.bytes.drain(..written);
     }
 }
