--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads the settings of an entry host; every fault of them at once.
+//! Reads the settings of an entry host and reports all invalid ones together.
 
 use std::{fmt, net::SocketAddr, path::Path, rc::Rc, str::FromStr, time::Duration};
 
@@ -16,7 +16,7 @@
 pub struct Settings {
     /// Name of this host.
     pub host: HostId,
-    /// Failure domain this host stands in.
+    /// Failure domain of this host.
     pub domain: FailureDomain,
     /// Address for callers.
     pub listen: SocketAddr,
@@ -26,34 +26,34 @@
     pub operator: SocketAddr,
     /// Address of the platform.
     pub platform: SocketAddr,
-    /// Secret that all hosts of the fleet share; not empty.
+    /// Shared secret of all hosts of the fleet; not empty.
     pub secret: Box<str>,
-    /// Key that operators must show; not empty.
+    /// Key that operators must present; not empty. Without it, the operator interface is closed.
     pub operator_key: Option<Box<str>>,
-    /// Addresses that this host reaches under other ones.
+    /// Addresses that this host reaches through substitute addresses.
     pub via: Vec<Route>,
-    /// The certificate for callers, if connections may be encrypted.
+    /// Certificate for callers; `None` if connections cannot be encrypted.
     pub tls: Option<Rc<Tls>>,
-    /// Callers that may be connected at once.
+    /// Maximum number of connected callers.
     pub callers: usize,
-    /// How long a planned stop waits for requests and transactions to end.
+    /// Maximum duration that a planned stop waits for requests and transactions to end.
     pub stop_timeout: Duration,
-    /// What is logged.
+    /// Filter of log lines by level and module.
     pub log: EnvFilter,
-    /// How log lines are written.
+    /// Output format of log lines.
     pub log_format: LogFormat,
 }
 
-/// One setting that is wrong.
+/// One invalid setting.
 #[derive(Debug)]
 struct SettingFault {
     flag: &'static str,
-    /// What was given; never a secret.
+    /// The given value, or a description of it; never a secret.
     given: Box<str>,
     wanted: Box<str>,
 }
 
-/// Everything that is wrong with the settings.
+/// All invalid settings.
 #[derive(Debug, Default, thiserror::Error)]
 pub struct SettingFaults(Vec<SettingFault>);
 
@@ -69,39 +69,36 @@
 }
 
 impl SettingFaults {
-    fn note(
-        &mut self,
-        flag: &'static str,
-        given: impl Into<Box<str>>,
-        wanted: impl Into<Box<str>>,
-    ) {
+    /// Records a fault.
+    fn add(&mut self, flag: &'static str, given: impl Into<Box<str>>, wanted: impl Into<Box<str>>) {
         self.0.push(SettingFault { flag, given: given.into(), wanted: wanted.into() });
     }
 
-    fn need<T: FromStr>(
+    /// Parses a required setting; records a fault if it is missing or invalid.
+    fn parse<T: FromStr>(
         &mut self,
         flag: &'static str,
         text: Option<&str>,
         wanted: &str,
     ) -> Option<T> {
-        let read = text.and_then(|text| text.parse().ok());
-        if read.is_none() {
-            self.note(flag, text.map_or("nothing".to_owned(), |t| format!("{t:?}")), wanted);
+        let parsed = text.and_then(|text| text.parse().ok());
+        if parsed.is_none() {
+            self.add(flag, text.map_or("nothing".to_owned(), |t| format!("{t:?}")), wanted);
         }
-        read
+        parsed
     }
 
-    /// The certificate for callers, which needs both files.
-    fn tls(&mut self, certificate: Option<&Path>, key: Option<&Path>) -> Option<Rc<Tls>> {
+    /// Reads the certificate for callers, which requires both files.
+    fn read_tls(&mut self, certificate: Option<&Path>, key: Option<&Path>) -> Option<Rc<Tls>> {
         let (certificate, key) = match (certificate, key) {
             (None, None) => return None,
             (Some(certificate), Some(key)) => (certificate, key),
             (Some(_), None) => {
-                self.note("tls-key", "nothing", "the key of the certificate");
+                self.add("tls-key", "nothing", "the key of the certificate");
                 return None;
             }
             (None, Some(_)) => {
-                self.note("tls-cert", "nothing", "the certificate of the key");
+                self.add("tls-cert", "nothing", "the certificate of the key");
                 return None;
             }
         };
@@ -109,26 +106,26 @@
             Ok(tls) => Some(Rc::new(tls)),
             Err(error) => {
                 let given = format!("{} ({error:#})", certificate.display());
-                self.note("tls-cert", given, "a certificate and its key in PEM");
+                self.add("tls-cert", given, "a certificate and its key in PEM");
                 None
             }
         }
     }
 
-    /// Checks that each address stands for one thing only.
-    fn distinct(&mut self, addresses: [(&'static str, Option<SocketAddr>); 3]) {
+    /// Checks that no two listeners have the same address.
+    fn check_distinct(&mut self, addresses: [(&'static str, Option<SocketAddr>); 3]) {
         for (i, (flag, address)) in addresses.iter().enumerate() {
             let other =
                 addresses[..i].iter().find(|(_, other)| address.is_some() && other == address);
             if let (Some((first, _)), Some(address)) = (other, address) {
                 let given = format!("{:?}", address.to_string());
-                self.note(flag, given, format!("an address other than that of --{first}"));
+                self.add(flag, given, format!("an address other than that of --{first}"));
             }
         }
     }
 
-    /// A secret, from the setting itself or from a file, but not from both.
-    fn secret(
+    /// Reads a secret from the setting itself or from a file; both together are a fault.
+    fn read_secret(
         &mut self,
         flags: [&'static str; 2],
         text: Option<&str>,
@@ -137,7 +134,7 @@
         let [flag, file_flag] = flags;
         let secret: Box<str> = match (text, file) {
             (Some(_), Some(_)) => {
-                self.note(flag, "both the setting and a file", "one of them");
+                self.add(flag, "both the setting and a file", "one of them");
                 return None;
             }
             (Some(text), None) => text.trim().into(),
@@ -145,7 +142,7 @@
                 Ok(text) => text.trim().into(),
                 Err(error) => {
                     let given = format!("{} ({error})", file.display());
-                    self.note(file_flag, given, "a file that can be read");
+                    self.add(file_flag, given, "a file that can be read");
                     return None;
                 }
             },
@@ -153,50 +150,50 @@
         };
         if secret.is_empty() {
             let wanted = "some text";
-            self.note(if file.is_some() { file_flag } else { flag }, "nothing in it", wanted);
+            self.add(if file.is_some() { file_flag } else { flag }, "nothing in it", wanted);
             return None;
         }
         Some(secret)
     }
 }
 
-/// The operator key of a command.
+/// Reads the operator key of a command, which is required.
 pub fn operator_key(text: Option<&str>, file: Option<&Path>) -> Result<Box<str>, SettingFaults> {
     let mut faults = SettingFaults::default();
-    let key = faults.secret(["operator-key", "operator-key-file"], text, file);
+    let key = faults.read_secret(["operator-key", "operator-key-file"], text, file);
     if text.is_none() && file.is_none() {
-        faults.note("operator-key", "nothing", "the operator key, or --operator-key-file");
+        faults.add("operator-key", "nothing", "the operator key, or --operator-key-file");
     }
     key.ok_or(faults)
 }
 
 impl Settings {
-    /// Reads the settings.
+    /// Parses the arguments of `serve`, or returns all faults found.
     pub fn read(args: &ServeArgs) -> Result<Self, SettingFaults> {
         let mut faults = SettingFaults::default();
-        let host = faults.need("host", args.host.as_deref(), NAME);
-        let domain = faults.need("domain", args.domain.as_deref(), NAME);
-        let listen = faults.need("listen", args.listen.as_deref(), ADDRESS);
-        let peer = faults.need("peer", args.peer.as_deref(), ADDRESS);
-        let operator = faults.need("operator", args.operator.as_deref(), ADDRESS);
-        let platform = faults.need("platform", args.platform.as_deref(), ADDRESS);
-        faults.distinct([("listen", listen), ("peer", peer), ("operator", operator)]);
+        let host = faults.parse("host", args.host.as_deref(), NAME);
+        let domain = faults.parse("domain", args.domain.as_deref(), NAME);
+        let listen = faults.parse("listen", args.listen.as_deref(), ADDRESS);
+        let peer = faults.parse("peer", args.peer.as_deref(), ADDRESS);
+        let operator = faults.parse("operator", args.operator.as_deref(), ADDRESS);
+        let platform = faults.parse("platform", args.platform.as_deref(), ADDRESS);
+        faults.check_distinct([("listen", listen), ("peer", peer), ("operator", operator)]);
         let (text, file) = (args.secret.as_deref(), args.secret_file.as_deref());
-        let secret = faults.secret(["secret", "secret-file"], text, file);
+        let secret = faults.read_secret(["secret", "secret-file"], text, file);
         if text.is_none() && file.is_none() {
-            faults.note("secret", "nothing", "the fleet's secret, or --secret-file");
+            faults.add("secret", "nothing", "the fleet's secret, or --secret-file");
         }
         let (text, file) = (args.operator_key.as_deref(), args.operator_key_file.as_deref());
-        let operator_key = faults.secret(["operator-key", "operator-key-file"], text, file);
+        let operator_key = faults.read_secret(["operator-key", "operator-key-file"], text, file);
         let route = "a pair of addresses such as 10.0.0.1:5432=192.0.2.1:5432";
         let via =
-            args.via.iter().filter_map(|text| faults.need("via", Some(text), route)).collect();
-        let tls = faults.tls(args.tls_cert.as_deref(), args.tls_key.as_deref());
-        let callers = faults.need("callers", Some(&args.callers), "a number of connections");
-        let stop = faults.need("stop-secs", Some(&args.stop_secs), "a number of seconds");
+            args.via.iter().filter_map(|text| faults.parse("via", Some(text), route)).collect();
+        let tls = faults.read_tls(args.tls_cert.as_deref(), args.tls_key.as_deref());
+        let callers = faults.parse("callers", Some(&args.callers), "a number of connections");
+        let stop = faults.parse("stop-secs", Some(&args.stop_secs), "a number of seconds");
         let log = EnvFilter::try_new(&args.log).ok();
         if log.is_none() {
-            faults.note("log", format!("{:?}", args.log), "a level such as info or debug");
+            faults.add("log", format!("{:?}", args.log), "a level such as info or debug");
         }
         let settings = (|| {
             Some(Self {
