--- a/src/table.rs
+++ b/src/table.rs
@@ -1,14 +1,14 @@
-//! Tables for a person.
+//! Plain-text tables with aligned columns.
 
 use std::fmt;
 
-/// Rows under headings; each row has as many cells as there are headings.
+/// A table whose first row holds the headings; all rows have the same number of cells.
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table with headings and no rows.
     pub fn new<const N: usize>(headings: [&str; N]) -> Self {
         Self { rows: vec![headings.map(str::to_owned).into()] }
     }
