--- a/src/cmd/accounts.rs
+++ b/src/cmd/accounts.rs
@@ -1,4 +1,4 @@
-//! The client accounts: what they may do and how they fare.
+//! Lists the client accounts with their limits and request totals.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 use crate::{cli::RemoteArgs, cmd::remote::Remote, failure::Failure, table::Table};
 
-/// How an account fares over all hosts that answer, since each of them started.
+/// Request totals of an account, summed over all responding hosts since each one started.
 #[derive(Default, Serialize)]
 struct AccountTotals {
     served: u64,
@@ -19,14 +19,14 @@
     refused: BTreeMap<Reason, u64>,
 }
 
-/// An account and how it fares.
+/// A client account with its limits and request totals.
 #[derive(Serialize)]
 struct AccountRow {
     account: AccountId,
     rate: f64,
     burst: f64,
     weight: u32,
-    /// Keys that stand.
+    /// Number of keys that are not withdrawn.
     keys: usize,
     #[serde(flatten)]
     totals: AccountTotals,
@@ -38,24 +38,26 @@
     let page: ConfigPage = remote.get("/config")?;
     let status: StatusPage = remote.get("/status")?;
     let accounts = page.config.map(|config| config.accounts).unwrap_or_default();
-    let lines: Vec<_> = accounts.iter().map(|account| line(account, &status.hosts)).collect();
+    let lines: Vec<_> =
+        accounts.iter().map(|account| account_row(account, &status.hosts)).collect();
     remote.print(&lines, |lines| print!("{}", table(lines)))
 }
 
-fn line(account: &ClientAccount, hosts: &[HostLine]) -> AccountRow {
+fn account_row(account: &ClientAccount, hosts: &[HostLine]) -> AccountRow {
     let reports = hosts.iter().filter_map(|line| line.report.as_ref());
-    let own = reports.flat_map(|report| &report.accounts).filter(|r| r.account == account.id);
+    let account_reports =
+        reports.flat_map(|report| &report.accounts).filter(|r| r.account == account.id);
     AccountRow {
         account: account.id.clone(),
         rate: account.rate.0,
         burst: account.burst.0,
         weight: account.weight,
         keys: account.keys.iter().filter(|key| !key.withdrawn).count(),
-        totals: own.fold(AccountTotals::default(), add),
+        totals: account_reports.fold(AccountTotals::default(), add_report),
     }
 }
 
-fn add(mut totals: AccountTotals, report: &AccountReport) -> AccountTotals {
+fn add_report(mut totals: AccountTotals, report: &AccountReport) -> AccountTotals {
     totals.served += report.served;
     totals.seconds += report.seconds;
     totals.spread.merge(&report.spread);
@@ -75,12 +77,13 @@
             0 => "-".to_owned(),
             served => format!("{:.1}ms", seconds * 1_000.0 / *served as f64),
         };
-        let worst = match spread.within(0.99) {
+        let p99 = match spread.within(0.99) {
             Some(time) => format!("{time:?}"),
             None if *served == 0 => "-".to_owned(),
             None => "long".to_owned(),
         };
-        let refused: Vec<_> = refused.iter().map(|(why, count)| format!("{why} {count}")).collect();
+        let refused: Vec<_> =
+            refused.iter().map(|(reason, count)| format!("{reason} {count}")).collect();
         table.row([
             line.account.as_str(),
             &format!("{}/s", line.rate),
@@ -89,7 +92,7 @@
             &line.keys.to_string(),
             &served.to_string(),
             &mean,
-            &worst,
+            &p99,
             &if refused.is_empty() { "-".to_owned() } else { refused.join(", ") },
         ]);
     }
