--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,10 +1,10 @@
-//! Checks configuration files and shows what they merge to.
+//! Checks configuration files and prints the merged configuration.
 
 use bergamottrack_contract::show;
 
 use crate::{cli::FileArgs, cmd::files, failure::Failure};
 
-/// Checks a configuration.
+/// Checks a configuration and prints how many groups, accounts and keys it has.
 pub fn run(args: &FileArgs) -> Result<(), Failure> {
     let config = files::read(args)?.config;
     let keys: usize = config.accounts.iter().map(|account| account.keys.len()).sum();
@@ -17,7 +17,7 @@
     Ok(())
 }
 
-/// Prints the merged text with the file and line of each value.
+/// Prints the merged configuration with the source file and line of each value.
 pub fn show(args: &FileArgs) -> Result<(), Failure> {
     print!("{}", show::show(&files::read(args)?.node));
     Ok(())
