--- a/src/cmd/concerns.rs
+++ b/src/cmd/concerns.rs
@@ -1,4 +1,4 @@
-//! What an operator should look at first.
+//! Problems of the fleet that an operator should check first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,28 +6,28 @@
 use bergamottrack_metrics::{GroupReport, HostReport};
 use bergamottrack_operator::api::{HostLine, StatusPage};
 
-/// What is not as it should be; empty when all is well.
+/// Returns one line for each problem of a host or database group; empty if there is none.
 pub fn concerns(page: &StatusPage) -> Vec<String> {
     let mut found: Vec<String> =
-        page.hosts.iter().filter_map(|line| host(line, page.revision.0)).collect();
+        page.hosts.iter().filter_map(|line| host_concern(line, page.revision.0)).collect();
     let mut reports: BTreeMap<_, Vec<&GroupReport>> = BTreeMap::new();
-    for group in page.hosts.iter().flat_map(groups) {
+    for group in page.hosts.iter().flat_map(group_reports) {
         reports.entry(&group.group).or_default().push(group);
     }
     for id in &page.groups {
         match reports.get(id) {
-            Some(reports) => found.extend(group(reports)),
+            Some(reports) => found.extend(group_concerns(reports)),
             None => found.push(format!("group {id}: no host that answers is its home")),
         }
     }
     found
 }
 
-fn groups(line: &HostLine) -> &[GroupReport] {
+fn group_reports(line: &HostLine) -> &[GroupReport] {
     line.report.as_ref().map_or(&[], |report| &report.groups)
 }
 
-fn host(line: &HostLine, revision: u64) -> Option<String> {
+fn host_concern(line: &HostLine, revision: u64) -> Option<String> {
     let HostLine { host, report, .. } = line;
     match report {
         None => Some(format!("host {host}: no answer")),
@@ -42,8 +42,11 @@
     }
 }
 
-/// What one home sees well is well, though another may be cut off from it.
-fn group(reports: &[&GroupReport]) -> Vec<String> {
+/// Returns the problems of one database group.
+///
+/// A server counts as up if any home reports its role, because another home may be
+/// partitioned from it.
+fn group_concerns(reports: &[&GroupReport]) -> Vec<String> {
     let mut found = Vec::new();
     let Some(first) = reports.first() else { return found };
     let servers = reports.iter().flat_map(|report| &report.servers);
