--- a/src/cmd/drain.rs
+++ b/src/cmd/drain.rs
@@ -4,7 +4,7 @@
 
 use crate::{cli::RemoteArgs, cmd::remote::Remote, failure::Failure};
 
-/// Tells the host to drain.
+/// Requests the drain of a host and prints its name.
 pub fn run(args: &RemoteArgs) -> Result<(), Failure> {
     let mut remote = Remote::new(args)?;
     let host: HostId = remote.post("/drain", "")?;
