--- a/src/cmd/files.rs
+++ b/src/cmd/files.rs
@@ -1,4 +1,4 @@
-//! Reads a base file and an overlay.
+//! Reads a base configuration file and its optional overlay.
 
 use std::path::Path;
 
@@ -7,19 +7,19 @@
 
 use crate::{cli::FileArgs, failure::Failure};
 
-/// The merged configuration, as written and as read.
+/// A merged configuration, both as source text and as checked values.
 pub struct Merged {
-    /// With the file and line of each value.
+    /// The merged tree with the source file and line of each value.
     pub node: Node,
-    /// As the hosts use it.
+    /// The checked configuration, in the form that the hosts use.
     pub config: Config,
 }
 
-/// Reads the files, lays the overlay over the base and checks the result.
+/// Reads the files, merges the overlay into the base and checks the result.
 pub fn read(args: &FileArgs) -> Result<Merged, Failure> {
     let base = parse(&args.base);
     let overlay = args.overlay.as_deref().map(parse).transpose();
-    // The faults of both files are told at once.
+    // Faults of both files are reported together.
     let node = match (base, overlay) {
         (Ok(base), Ok(Some(overlay))) => merge::merge(&base, &overlay)?,
         (Ok(base), Ok(None)) => base,
