--- a/src/cmd/history.rs
+++ b/src/cmd/history.rs
@@ -1,4 +1,4 @@
-//! The last revisions.
+//! Lists the last revisions.
 
 use std::fmt::Write;
 
@@ -15,12 +15,12 @@
     table::Table,
 };
 
-/// A revision and what it changed.
+/// A revision and its changes of the configuration.
 #[derive(Serialize)]
 struct RevisionRow {
     #[serde(flatten)]
     entry: chain::Entry,
-    /// What differs from the revision before; `None` when it was not asked for.
+    /// Changes against the previous revision; `None` if they were not requested.
     changes: Option<Vec<Change>>,
 }
 
@@ -30,31 +30,33 @@
     let entries: Vec<chain::Entry> = remote.get(&format!("/history?n={}", args.number))?;
     let mut lines = Vec::new();
     for entry in entries {
-        let changes = args.changes.then(|| changes(&mut remote, &entry)).transpose()?;
+        let changes = args.changes.then(|| changes_of(&mut remote, &entry)).transpose()?;
         lines.push(RevisionRow { entry, changes });
     }
-    remote.print(&lines, |lines| print!("{}", text(lines)))
+    remote.print(&lines, |lines| print!("{}", render(lines)))
 }
 
-fn changes(remote: &mut Remote, entry: &chain::Entry) -> Result<Vec<Change>, Failure> {
+/// Reads both configurations and compares them; empty if the revision left the
+/// configuration as it was.
+fn changes_of(remote: &mut Remote, entry: &chain::Entry) -> Result<Vec<Change>, Failure> {
     if entry.config_revision != entry.number {
         return Ok(Vec::new());
     }
     let before = match entry.number.0 {
         0 | 1 => None,
-        number => config(remote, Revision(number - 1))?,
+        number => config_at(remote, Revision(number - 1))?,
     };
-    let after = config(remote, entry.number)?;
+    let after = config_at(remote, entry.number)?;
     Ok(after.map(|after| diff::diff(before.as_ref(), &after)).unwrap_or_default())
 }
 
-fn config(remote: &mut Remote, number: Revision) -> Result<Option<Config>, Failure> {
+fn config_at(remote: &mut Remote, number: Revision) -> Result<Option<Config>, Failure> {
     let page: ConfigPage = remote.get(&format!("/revision?number={number}"))?;
     Ok(page.config)
 }
 
-/// The table, each row followed by what it changed.
-fn text(lines: &[RevisionRow]) -> String {
+/// Renders the table, with the changes of each revision below its row.
+fn render(lines: &[RevisionRow]) -> String {
     let mut table = Table::new(["REVISION", "WHEN", "BY", "CHANGED", "SUBMIT"]);
     for RevisionRow { entry, .. } in lines {
         let changed = match entry.config_revision == entry.number {
