--- a/src/cmd/key.rs
+++ b/src/cmd/key.rs
@@ -1,4 +1,4 @@
-//! Makes keys and lists them.
+//! Generates, lists and withdraws keys.
 
 use bergamottrack_contract::Verifier;
 
@@ -9,10 +9,12 @@
     table::Table,
 };
 
-/// Prints a key, which is shown this once, and what the configuration gets of it.
+/// Generates a key and prints it with its verifier for the configuration.
+///
+/// The key is shown only this once.
 pub fn new(args: &NewKeyArgs) -> Result<(), Failure> {
-    let made = || format!("{:032x}", rand::random::<u128>());
-    let key = args.key.clone().unwrap_or_else(made);
+    let generate = || format!("{:032x}", rand::random::<u128>());
+    let key = args.key.clone().unwrap_or_else(generate);
     let salt: [u8; 16] = rand::random();
     let account = args.account.as_ref().map_or("ACCOUNT", |account| account.as_str());
     println!("# For the caller, shown this once: user {account}.{}, password", args.id);
@@ -38,7 +40,7 @@
     Ok(())
 }
 
-/// Withdraws a key in the configuration in force.
+/// Withdraws a key in the configuration in force, which leaves the files as they are.
 pub fn withdraw(args: &WithdrawArgs) -> Result<(), Failure> {
     let WithdrawArgs { account, id, author, remote } = args;
     Remote::new(remote)?
