--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, a file each.
+//! The commands, one module each.
 
 pub mod accounts;
 pub mod check;
