--- a/src/cmd/outcome.rs
+++ b/src/cmd/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request.
+//! Looks up the outcome of a request.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 use crate::{cli::OutcomeArgs, cmd::remote::Remote, failure::Failure};
 
-/// Asks until the outcome is known, or for as long as the settings say.
+/// Polls the host until the outcome is known or `--wait` has elapsed, then prints it.
 pub fn run(args: &OutcomeArgs) -> Result<(), Failure> {
     let OutcomeArgs { id, account, group, wait, remote } = args;
     let mut host = Remote::new(remote)?;
@@ -30,9 +30,9 @@
 
 fn show(page: &OutcomePage) {
     let OutcomePage { group, account, request, outcome } = page;
-    let means = match outcome {
+    let meaning = match outcome {
         Outcome::Done => "it ran, once, and is kept",
         _ => "it did not run, and will not unless the caller sends it again",
     };
-    println!("request {request} of account {account} in group {group}: {outcome}; {means}");
+    println!("request {request} of account {account} in group {group}: {outcome}; {meaning}");
 }
