--- a/src/cmd/remote.rs
+++ b/src/cmd/remote.rs
@@ -1,4 +1,4 @@
-//! Commands that any one host answers.
+//! Client side of the commands that any host can answer.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -12,14 +12,15 @@
 
 use crate::{cli::RemoteArgs, failure::Failure, settings};
 
-/// A host that is asked.
+/// A connection to the operator interface of one host.
 pub struct Remote {
     client: Client,
     runtime: monoio::Runtime<monoio::time::TimeDriver<monoio::LegacyDriver>>,
     json: bool,
 }
 
-fn failed(error: ClientError) -> Failure {
+/// Maps a client error to the failure with the matching exit code.
+fn failure(error: ClientError) -> Failure {
     match error.verdict() {
         Verdict::Refused => Failure::Refused(error.into()),
         Verdict::Faulty => Failure::Faulty(error.into()),
@@ -28,7 +29,7 @@
 }
 
 impl Remote {
-    /// The host that the settings name.
+    /// Creates a client of the host at `args.at`.
     pub fn new(args: &RemoteArgs) -> Result<Self, Failure> {
         let (text, file) = (args.operator_key.as_deref(), args.operator_key_file.as_deref());
         let key = settings::operator_key(text, file).map_err(anyhow::Error::from)?;
@@ -39,21 +40,21 @@
         Ok(Self { client: Client::new(args.at, &key), runtime, json: args.json })
     }
 
-    /// Reads a page.
+    /// Requests a page with GET.
     pub fn get<T: DeserializeOwned>(&mut self, path: &str) -> Result<T, Failure> {
-        self.runtime.block_on(self.client.get(path)).map_err(failed)
+        self.runtime.block_on(self.client.get(path)).map_err(failure)
     }
 
-    /// Has something done.
+    /// Requests an action with POST.
     pub fn post<T: DeserializeOwned>(
         &mut self,
         path: &str,
         body: impl Into<Bytes>,
     ) -> Result<T, Failure> {
-        self.runtime.block_on(self.client.post(path, body)).map_err(failed)
+        self.runtime.block_on(self.client.post(path, body)).map_err(failure)
     }
 
-    /// Prints a page for a script, or else as `show` writes it for a person.
+    /// Prints a page as JSON if `--json` is given, otherwise in the form that `show` prints.
     pub fn print<T: Serialize>(&self, page: &T, show: impl FnOnce(&T)) -> Result<(), Failure> {
         if self.json {
             println!("{}", serde_json::to_string_pretty(page).context("writing JSON")?);
@@ -63,14 +64,14 @@
         Ok(())
     }
 
-    /// Has a change made, and prints what became of it.
+    /// Requests a change of the configuration and prints the accepted revision.
     pub fn change(&mut self, path: &str, body: impl Into<Bytes>) -> Result<(), Failure> {
         let page: AcceptedPage = self.post(path, body)?;
-        self.print(&page, accepted)
+        self.print(&page, show_accepted)
     }
 }
 
-fn accepted(page: &AcceptedPage) {
+fn show_accepted(page: &AcceptedPage) {
     let names = |hosts: &[bergamottrack_coordination::HostId]| {
         hosts.iter().map(ToString::to_string).collect::<Vec<_>>().join(", ")
     };
@@ -82,7 +83,7 @@
     page.notes.iter().for_each(|note| println!("{note}"));
 }
 
-/// How long ago a time in seconds since 1970 was, for a person.
+/// Formats the age of a Unix timestamp in seconds, such as `5m ago`.
 pub fn ago(at: u64) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     match now.saturating_sub(at) {
