--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -28,16 +28,17 @@
     settings::Settings,
 };
 
+/// Timeout of a request to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs an entry host until it is told to stop.
+/// Runs an entry host until a signal or the operator interface stops it.
 pub fn run(mut settings: Settings) -> anyhow::Result<()> {
     start_log(std::mem::take(&mut settings.log), settings.log_format);
     let mut runtime = monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_timer()
         .build()
         .context("starting the runtime")?;
-    runtime.block_on(host(settings))
+    runtime.block_on(run_host(settings))
 }
 
 fn start_log(filter: EnvFilter, format: LogFormat) {
@@ -52,7 +53,7 @@
     }
 }
 
-async fn host(args: Settings) -> anyhow::Result<()> {
+async fn run_host(args: Settings) -> anyhow::Result<()> {
     let signals = Signals::register()?;
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let me = Host { id: args.host.clone(), domain: args.domain.clone(), peer: args.peer };
@@ -92,7 +93,7 @@
     let peers = listen(args.peer, "peers")?;
     let callers = callers::listen(args.listen)
         .with_context(|| format!("listening for callers at {}", args.listen))?;
-    info!("serve: listening for callers at {}.", args.listen);
+    info!("serve: listening for callers at {}", args.listen);
     monoio::spawn(homes.clone().maintain(current, mesh));
     monoio::spawn(homes.poll_machines(operator.platform.clone()));
     monoio::spawn(accept_peers(peers, operator.clone(), entry.clone()));
@@ -110,17 +111,17 @@
         _ = signals.stop_requested() => {}
         _ = drain.notified() => {}
     }
-    // Operators are answered to the end, so that they can see the host drain.
+    // The operator interface stays open during the drain, so that operators can follow it.
     monoio::select! {
         result = operators => result,
         _ = stop::drain(&entry, &fleet, args.stop_timeout) => Ok(()),
     }
 }
 
-fn listen(address: std::net::SocketAddr, whom: &str) -> anyhow::Result<TcpListener> {
+fn listen(address: std::net::SocketAddr, clients: &str) -> anyhow::Result<TcpListener> {
     let listener = bergamottrack_operator::serve::listen(address)
-        .with_context(|| format!("listening for {whom} at {address}"))?;
-    info!("serve: listening for {whom} at {address}.");
+        .with_context(|| format!("listening for {clients} at {address}"))?;
+    info!("serve: listening for {clients} at {address}");
     Ok(listener)
 }
 
@@ -134,20 +135,22 @@
 async fn accept_peers(listener: TcpListener, operator: Rc<Operator>, entry: Rc<Entry>) {
     let (fleet, homes) = (operator.fleet.clone(), operator.homes.clone());
     let (mesh, current) = (fleet.mesh.clone(), fleet.current.clone());
-    let (opening, asked) = (homes.clone(), homes);
+    let (connection_homes, outcome_homes) = (homes.clone(), homes);
     let report = move || Answer::Report(Box::new(operator.report()));
     let service = Rc::new(Service {
         secret: mesh.secret.clone(),
         serve: Box::new(move |open, side| {
             let doc = current.get();
-            opening.serve(doc.as_ref().and_then(|doc| doc.config.as_ref()), open, side);
+            connection_homes.serve(doc.as_ref().and_then(|doc| doc.config.as_ref()), open, side);
         }),
         answer: Box::new(move |peer, question, replier| match question {
             Question::Cancel { pid, secret } => {
                 entry.cancel(pid, secret);
                 replier.reply(Answer::Pong);
             }
-            Question::Outcome(of) => asked.clone().reply_outcome(fleet.current.get(), *of, replier),
+            Question::Outcome(of) => {
+                outcome_homes.clone().reply_outcome(fleet.current.get(), *of, replier)
+            }
             other => replier.reply(fleet.answer(peer, other).unwrap_or_else(&report)),
         }),
     });
