--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! The fleet: its hosts and database groups.
+//! Shows the hosts and database groups of the fleet.
 
 use std::time::Duration;
 
@@ -17,12 +17,13 @@
     table::Table,
 };
 
+/// Interval between updates of `status --watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Moves to the top of the terminal and clears it.
+/// Escape sequence that moves the cursor to the top of the terminal and clears it.
 const CLEAR: &str = "\x1b[H\x1b[2J";
 
-/// Prints the whole fleet, once or again and again.
+/// Prints the whole fleet, once or every [`WATCH_INTERVAL`].
 pub fn run(args: &StatusArgs) -> Result<(), Failure> {
     let mut remote = Remote::new(&args.remote)?;
     loop {
@@ -53,11 +54,11 @@
 pub fn groups(args: &RemoteArgs) -> Result<(), Failure> {
     let mut remote = Remote::new(args)?;
     let page: StatusPage = remote.get("/status")?;
-    let homes: Vec<_> = homes(&page.hosts).collect();
+    let homes: Vec<_> = group_homes(&page.hosts).collect();
     remote.print(&homes, |_| print!("{}", group_table(&page.hosts)))
 }
 
-/// The fleet and what is not as it should be.
+/// The status page and the problems found in it.
 #[derive(Serialize)]
 struct Fleet {
     concerns: Vec<String>,
@@ -118,8 +119,8 @@
     age.map_or("never".to_owned(), |age| format!("{:.1}s", age.as_secs_f64()))
 }
 
-/// The groups and the hosts that are their homes.
-fn homes(hosts: &[HostLine]) -> impl Iterator<Item = (&HostLine, &GroupReport)> {
+/// Returns each database group with the hosts that are its homes.
+fn group_homes(hosts: &[HostLine]) -> impl Iterator<Item = (&HostLine, &GroupReport)> {
     let reports = hosts.iter().filter_map(|line| Some((line, line.report.as_ref()?)));
     reports.flat_map(|(line, report)| report.groups.iter().map(move |group| (line, group)))
 }
@@ -139,7 +140,7 @@
         "HOME",
     ];
     let mut table = Table::new(headings);
-    for (line, group) in homes(hosts) {
+    for (line, group) in group_homes(hosts) {
         let newest = group.servers.iter().map(|server| server.applied.position.0).max();
         for server in &group.servers {
             table.row([
@@ -160,7 +161,8 @@
     table
 }
 
-/// What a server does; a server that says it leads in a term that is over does not.
+/// Returns the role of a server in words. A server that still reports itself as primary
+/// after another one has replaced it is shown as `replaced`.
 fn role(group: &GroupReport, server: &ServerReport) -> String {
     let leads = group.primary.as_ref() == Some(&server.server);
     let role = match server.role {
