--- a/src/cmd/stop.rs
+++ b/src/cmd/stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop: the host serves what it has, takes nothing new, and hands on.
+//! Planned stop of an entry host: it accepts no new work, finishes running requests and
+//! transactions, and leaves the roster.
 
 use std::{
     rc::Rc,
@@ -18,30 +19,32 @@
 };
 use tracing::{info, warn};
 
-/// How often signals and what still runs are looked at.
+/// Interval at which signals and running work are polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long nothing must have run for other hosts. Longer than it takes them to
-/// hear that this host leaves, so nothing more is on its way here.
+/// Duration without activity for other hosts before the drain ends. It exceeds the time
+/// in which other hosts learn that this host is leaving, so no more requests are in transit.
 const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
-/// How long the host waits for its way out of the roster.
+/// Timeout of the removal of this host from the roster.
 const LEAVE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The exit code of a second signal: what ran is cut.
+/// Exit code after a second signal, which aborts running work.
 const FORCED_EXIT: i32 = 130;
 
-/// The signals that ask for a stop.
+/// The signals that request a stop.
 pub struct Signals {
     stop_requested: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// From now on SIGTERM or SIGINT asks for a stop; a second one ends the process at once.
+    /// Registers SIGTERM and SIGINT: the first signal requests a stop, a second one ends the
+    /// process immediately.
     pub fn register() -> anyhow::Result<Self> {
         let stop_requested = Arc::new(AtomicBool::new(false));
         for signal in [SIGTERM, SIGINT] {
-            // Looked at before the flag is raised, so only the second signal ends the process.
+            // This handler is registered first and so runs before the flag is set: only the second
+            // signal ends the process.
             flag::register_conditional_shutdown(signal, FORCED_EXIT, stop_requested.clone())
                 .and_then(|_| flag::register(signal, stop_requested.clone()))
                 .with_context(|| format!("catching signal {signal}"))?;
@@ -49,7 +52,7 @@
         Ok(Self { stop_requested })
     }
 
-    /// Waits for the first signal.
+    /// Waits until the first signal requests a stop.
     pub async fn stop_requested(&self) {
         while !self.stop_requested.load(Ordering::Relaxed) {
             monoio::time::sleep(POLL_INTERVAL).await;
@@ -57,26 +60,29 @@
     }
 }
 
-/// Reads the certificate for callers again at each SIGHUP, until the process ends.
+/// Reloads the certificate for callers on each SIGHUP; returns only if SIGHUP cannot be
+/// registered.
 pub async fn reload(tls: Rc<Tls>) -> anyhow::Result<()> {
-    let stop_requested = Arc::new(AtomicBool::new(false));
-    flag::register(SIGHUP, stop_requested.clone()).context("catching SIGHUP")?;
+    let reload_requested = Arc::new(AtomicBool::new(false));
+    flag::register(SIGHUP, reload_requested.clone()).context("catching SIGHUP")?;
     loop {
-        if stop_requested.swap(false, Ordering::Relaxed) {
+        if reload_requested.swap(false, Ordering::Relaxed) {
             match tls.reload() {
-                Ok(()) => info!("serve: the certificate for callers was read again."),
-                Err(error) => warn!("serve: the old certificate stays: {error:#}."),
+                Ok(()) => info!("serve: certificate for callers reloaded"),
+                Err(error) => {
+                    warn!("serve: reload failed, the old certificate stays in use: {error:#}")
+                }
             }
         }
         monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Serves what still runs here, for callers and for other hosts, to its end;
-/// at most for `within`.
-pub async fn drain(entry: &Rc<Entry>, fleet: &Rc<Fleet>, within: Duration) {
-    info!("serve: stopping; {} callers are there.", entry.callers.count());
-    let deadline = Instant::now() + within;
+/// Finishes running work of callers and of other hosts, for at most `timeout`, and leaves
+/// the roster.
+pub async fn drain(entry: &Rc<Entry>, fleet: &Rc<Fleet>, timeout: Duration) {
+    info!("serve: stopping, {} callers connected", entry.callers.count());
+    let deadline = Instant::now() + timeout;
     fleet.begin_leaving();
     entry.callers.drain();
     let began = Instant::now();
@@ -85,14 +91,14 @@
         && began.elapsed() > QUIET_PERIOD)
     {
         if Instant::now() > deadline {
-            warn!("serve: some requests did not end in {within:?} and are cut.");
+            warn!("serve: drain timed out after {timeout:?}, remaining requests are aborted");
             break;
         }
         monoio::time::sleep(POLL_INTERVAL).await;
     }
     match monoio::time::timeout(LEAVE_TIMEOUT, fleet.leave()).await {
-        Ok(Ok(())) => info!("serve: stopped; this host has left the roster."),
-        Ok(Err(error)) => info!("serve: stopped without leaving the roster: {error:#}."),
-        Err(_) => info!("serve: stopped without leaving the roster."),
+        Ok(Ok(())) => info!("serve: stopped and left the roster"),
+        Ok(Err(error)) => info!("serve: stopped, leaving the roster failed: {error:#}"),
+        Err(_) => info!("serve: stopped, leaving the roster timed out"),
     }
 }
