--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration in force.
+//! Shows and submits changes of the configuration in force.
 
 use bergamottrack_contract::{Change, Config, diff, show};
 use bergamottrack_coordination::{Revision, SubmitId};
@@ -15,18 +15,18 @@
     failure::Failure,
 };
 
-/// What files would change.
+/// Difference between the files and the configuration in force.
 #[derive(Serialize)]
 struct Difference {
-    /// The revision in force, which a submit names as the one it was made against.
+    /// Revision in force, which a submit of these files gives as its base.
     against: Revision,
-    /// The revision that brought the configuration in force.
+    /// Revision that put the current configuration in force.
     since: Revision,
-    /// Who made it.
+    /// Author of the revision in force.
     author: Box<str>,
-    /// When, in seconds since 1970.
+    /// Time of the revision in force, in seconds since 1970.
     at: u64,
-    /// What differs.
+    /// Changes that a submit of the files would make.
     changes: Vec<Change>,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// Shows what files would change of the configuration in force.
+/// Prints the difference between the files and the configuration in force.
 pub fn diff(args: &DiffArgs) -> Result<(), Failure> {
     let merged = files::read(&args.files)?;
     let mut remote = Remote::new(&args.remote)?;
@@ -65,9 +65,9 @@
 pub fn run(args: &SubmitArgs) -> Result<(), Failure> {
     let merged = files::read(&args.files)?;
     let mut remote = Remote::new(&args.remote)?;
-    let against = against(&mut remote, &args.change, &merged.config, args.remote.json)?;
+    let against = base_revision(&mut remote, &args.change, &merged.config, args.remote.json)?;
     let content = serde_json::to_vec(&merged.config).map_err(anyhow::Error::from)?;
-    let mut path = path("/submit", &args.change, against, &content);
+    let mut path = change_path("/submit", &args.change, against, &content);
     if args.restore_keys {
         path += "&restore=true";
     }
@@ -83,16 +83,16 @@
         Failure::Refused(anyhow::anyhow!(message))
     })?;
     let content = format!("rollback {}", args.to);
-    let path = path("/rollback", &args.change, against, content.as_bytes());
+    let path = change_path("/rollback", &args.change, against, content.as_bytes());
     remote.change(&format!("{path}&to={}", args.to), "")
 }
 
-/// The revision that a submit is made against.
+/// Returns the revision that a submit is based on.
 ///
-/// Guards against undoing a change that its operator has not seen: it shows as a
-/// rate or key that silently went back. So the revision is never looked up for
-/// the submit, it must be the one that the operator saw when deciding.
-fn against(
+/// A submit based on a revision looked up on the spot could revert a change that the
+/// operator has not seen, such as a rate or key silently set back. The revision must
+/// therefore be the one that the operator saw when deciding, given by `--against`.
+fn base_revision(
     remote: &mut Remote,
     change: &ChangeArgs,
     config: &Config,
@@ -110,9 +110,11 @@
     })
 }
 
-/// The page of a change. Its submit id follows from what is asked, so that the
-/// same command run again is the same submit.
-fn path(page: &str, change: &ChangeArgs, against: Revision, content: &[u8]) -> String {
+/// Returns the request path of a change.
+///
+/// The submit id is a hash of the request, so that a repeated command is recognized as
+/// the same submit.
+fn change_path(page: &str, change: &ChangeArgs, against: Revision, content: &[u8]) -> String {
     let author = &change.author;
     let mut hash = Sha256::new();
     hash.update(format!("{page} {against} {author}\n"));
