--- a/src/cmd/remote.rs
+++ b/src/cmd/remote.rs
@@ -83,7 +83,7 @@
     page.notes.iter().for_each(|note| println!("{note}"));
 }
 
-/// Formats the age of a Unix timestamp in seconds, such as `5m ago`.
+/// Formats the age of a timestamp in seconds since 1970, such as `5m ago`.
 pub fn ago(at: u64) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     match now.saturating_sub(at) {
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -135,7 +135,7 @@
 async fn accept_peers(listener: TcpListener, operator: Rc<Operator>, entry: Rc<Entry>) {
     let (fleet, homes) = (operator.fleet.clone(), operator.homes.clone());
     let (mesh, current) = (fleet.mesh.clone(), fleet.current.clone());
-    let (connection_homes, outcome_homes) = (homes.clone(), homes);
+    let (connection_homes, homes) = (homes.clone(), homes);
     let report = move || Answer::Report(Box::new(operator.report()));
     let service = Rc::new(Service {
         secret: mesh.secret.clone(),
@@ -148,9 +148,7 @@
                 entry.cancel(pid, secret);
                 replier.reply(Answer::Pong);
             }
-            Question::Outcome(of) => {
-                outcome_homes.clone().reply_outcome(fleet.current.get(), *of, replier)
-            }
+            Question::Outcome(of) => homes.clone().reply_outcome(fleet.current.get(), *of, replier),
             other => replier.reply(fleet.answer(peer, other).unwrap_or_else(&report)),
         }),
     });
--- a/src/cmd/stop.rs
+++ b/src/cmd/stop.rs
@@ -69,9 +69,7 @@
         if reload_requested.swap(false, Ordering::Relaxed) {
             match tls.reload() {
                 Ok(()) => info!("serve: certificate for callers reloaded"),
-                Err(error) => {
-                    warn!("serve: reload failed, the old certificate stays in use: {error:#}")
-                }
+                Err(error) => warn!("serve: reload failed, the old certificate stays: {error:#}"),
             }
         }
         monoio::time::sleep(POLL_INTERVAL).await;
