--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! What a person reads: help, faults, merged configuration and tables.
+//! Output of the commands: help, faults, merged configuration and tables.
 
 use std::process::{Command, Output};
 
@@ -13,8 +13,8 @@
         .unwrap()
 }
 
-/// Exit code, output and errors of a command, as a person sees them.
-fn seen(args: &[&str]) -> String {
+/// Runs a command and returns its exit code, standard output and standard error as text.
+fn transcript(args: &[&str]) -> String {
     let output = bergamottrack(args);
     format!(
         "exit code {}\n{}{}",
@@ -25,60 +25,59 @@
 }
 
 #[test]
-fn help_names_every_command() {
-    assert_snapshot!(seen(&["--help"]));
+fn help_lists_every_command() {
+    assert_snapshot!(transcript(&["--help"]));
 }
 
 #[test]
-fn help_shows_the_flag_and_the_variable_of_each_setting() {
-    assert_snapshot!(seen(&["serve", "--help"]));
+fn serve_help_shows_flag_and_variable_of_each_setting() {
+    assert_snapshot!(transcript(&["serve", "--help"]));
 }
 
 #[test]
-fn all_faulty_settings_are_told_at_once() {
+fn serve_reports_all_invalid_settings_together() {
     let mut args = vec!["serve", "--listen=5432", "--log===", "--via=a", "--secret-file=missing"];
     args.extend(["--peer=127.0.0.1:5433", "--operator=127.0.0.1:5433"]);
-    assert_snapshot!(seen(&args));
+    assert_snapshot!(transcript(&args));
 }
 
 #[test]
-fn the_merged_text_names_file_and_line_of_each_value() {
-    assert_snapshot!(seen(&["config", "show", "--base=base.toml", "--overlay=dakar.toml"]));
+fn config_show_prints_file_and_line_of_each_value() {
+    assert_snapshot!(transcript(&["config", "show", "--base=base.toml", "--overlay=dakar.toml"]));
 }
 
 #[test]
-fn all_faults_of_a_configuration_are_told_at_once() {
-    assert_snapshot!(seen(&["check", "--base=faulty.toml"]));
+fn check_reports_all_configuration_faults_together() {
+    assert_snapshot!(transcript(&["check", "--base=faulty.toml"]));
 }
 
 #[test]
-fn an_overlay_may_not_name_what_the_base_lacks() {
-    assert_snapshot!(seen(&["check", "--base=base.toml", "--overlay=misnamed.toml"]));
+fn check_rejects_overlay_ids_that_do_not_fit_the_base() {
+    assert_snapshot!(transcript(&["check", "--base=base.toml", "--overlay=misnamed.toml"]));
 }
 
 #[test]
-fn a_sound_configuration_is_counted() {
-    assert_snapshot!(seen(&["check", "--base=base.toml", "--overlay=dakar.toml"]));
+fn check_counts_the_parts_of_a_valid_configuration() {
+    assert_snapshot!(transcript(&["check", "--base=base.toml", "--overlay=dakar.toml"]));
 }
 
 #[test]
-fn keys_are_listed() {
-    assert_snapshot!(seen(&["key", "list", "--base=base.toml", "--overlay=dakar.toml"]));
+fn key_list_prints_the_keys_of_the_configuration() {
+    assert_snapshot!(transcript(&["key", "list", "--base=base.toml", "--overlay=dakar.toml"]));
 }
 
-/// A secret given in a wrong place ends up in a log or on a screen: the operator
-/// pastes a key where its verifier belongs, or gives a secret twice, and the
-/// fault quotes what was given.
+/// Guards against secrets in logs or on screens: an operator pastes a key where its
+/// verifier belongs, or gives a secret twice, and the fault quotes the given value.
 #[test]
-fn a_fault_never_quotes_a_key_or_a_secret() {
-    let config = seen(&["check", "--base=faulty.toml"]);
+fn faults_never_quote_keys_or_secrets() {
+    let config = transcript(&["check", "--base=faulty.toml"]);
     assert!(config.contains("verifier: given") && !config.contains("hunter2"), "{config}");
-    let settings = seen(&["serve", "--secret=hunter2", "--secret-file=base.toml"]);
+    let settings = transcript(&["serve", "--secret=hunter2", "--secret-file=base.toml"]);
     assert!(settings.contains("--secret ") && !settings.contains("hunter2"), "{settings}");
 }
 
 #[test]
-fn completions_and_manual_are_written() {
-    assert!(seen(&["completions", "bash"]).contains("_bergamottrack"));
-    assert!(seen(&["man"]).contains(".TH bergamottrack"));
+fn completions_and_manual_are_printed() {
+    assert!(transcript(&["completions", "bash"]).contains("_bergamottrack"));
+    assert!(transcript(&["man"]).contains(".TH bergamottrack"));
 }
