--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's commands against a running system.
+//! Operator commands against a running system.
 
 use std::{
     path::PathBuf,
@@ -12,17 +12,17 @@
     system::{self, OPERATOR_KEY, PATIENCE, Plan, SECRET, System},
 };
 
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a command answered.
+/// Exit code, standard output and standard error of a command.
 #[derive(Debug)]
-struct Answered {
+struct Answer {
     code: i32,
     out: String,
     error: String,
 }
 
-impl Answered {
+impl Answer {
     fn of(command: &mut Command) -> Self {
         let output = command.output().unwrap();
         Self {
@@ -33,13 +33,14 @@
     }
 }
 
-struct Desk {
+/// A running system, with its configuration in a file for the commands.
+struct OperatorCli {
     system: System,
     file: PathBuf,
 }
 
-impl Desk {
-    /// A system, and its configuration in a file.
+impl OperatorCli {
+    /// Starts a system and writes its configuration to a file.
     async fn new() -> Self {
         let system = System::start(Plan::default()).await.unwrap();
         let file = system.dir().join("base.toml");
@@ -47,7 +48,7 @@
         Self { system, file }
     }
 
-    /// A command against a host.
+    /// Prepares a command against a host.
     fn command(&self, host: usize, author: &str, args: &[&str]) -> Command {
         let mut command = Command::new(env!("CARGO_BIN_EXE_bergamottrack"));
         command
@@ -61,11 +62,12 @@
     }
 
     /// Runs a command against a host.
-    fn run(&self, host: usize, author: &str, args: &[&str]) -> Answered {
-        Answered::of(&mut self.command(host, author, args))
+    fn run(&self, host: usize, author: &str, args: &[&str]) -> Answer {
+        Answer::of(&mut self.command(host, author, args))
     }
 
-    /// The submit of the file with a text replaced.
+    /// Prepares the submit of the configuration file with the first occurrence of `from`
+    /// replaced by `to`.
     fn submission(&self, host: usize, author: &str, against: u64, from: &str, to: &str) -> Command {
         let file = self.file.with_file_name(format!("{author}.toml"));
         let text = std::fs::read_to_string(&self.file).unwrap();
@@ -74,32 +76,32 @@
         self.command(host, author, &["submit", &base, &format!("--against={against}")])
     }
 
-    /// Submits the file with a text replaced.
-    fn submit(&self, host: usize, author: &str, against: u64, from: &str, to: &str) -> Answered {
-        Answered::of(&mut self.submission(host, author, against, from, to))
+    /// Submits the configuration file with the first occurrence of `from` replaced by `to`.
+    fn submit(&self, host: usize, author: &str, against: u64, from: &str, to: &str) -> Answer {
+        Answer::of(&mut self.submission(host, author, against, from, to))
     }
 
-    /// A field of the JSON that `status` prints.
+    /// Returns the JSON that `status` prints.
     fn status(&self, host: usize) -> serde_json::Value {
-        let answered = self.run(host, "nobody", &["status", "--json"]);
-        serde_json::from_str(&answered.out).unwrap_or_else(|_| panic!("{answered:?}"))
+        let output = self.run(host, "nobody", &["status", "--json"]);
+        serde_json::from_str(&output.out).unwrap_or_else(|_| panic!("{output:?}"))
     }
 
-    /// Waits until `status` says something.
-    fn until_status(&self, wanted: &str) {
+    /// Waits until the text of `status` contains `wanted`.
+    fn wait_for_status(&self, wanted: &str) {
         let deadline = Instant::now() + PATIENCE;
         loop {
             let status = self.run(0, "ana", &["status"]).out;
             if status.contains(wanted) {
                 return;
             }
-            assert!(Instant::now() < deadline, "{wanted:?} in vain: {status}");
-            std::thread::sleep(PAUSE);
+            assert!(Instant::now() < deadline, "status lacks {wanted:?}: {status}");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Checks that baobab's key lets nobody in.
-    async fn is_denied(&self) {
+    /// Asserts that a connection with baobab's key is refused.
+    async fn assert_key_refused(&self) {
         let error = system::connect(&self.system.caller(0, "baobab", "g1")).await.unwrap_err();
         let text = format!("{error:#}");
         assert!(text.contains("key"), "{text}");
@@ -109,8 +111,8 @@
         self.status(0)["revision"].as_u64().unwrap()
     }
 
-    /// Waits until all hosts are of the roster and act on the same revision.
-    fn settle(&self) {
+    /// Waits until all hosts are in the roster and serve under the same revision.
+    fn wait_until_settled(&self) {
         let deadline = Instant::now() + PATIENCE;
         loop {
             let status = self.status(0);
@@ -122,126 +124,126 @@
                 return;
             }
             assert!(Instant::now() < deadline, "the hosts did not settle: {status}");
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-/// One operator's change disappears: two terminals show the same revision, both
-/// change a rate, and the second submit carries the first one's old value.
+/// Guards against a lost update: two operators start from the same revision, each submits
+/// a change, and the second submit carries the old value of the first one's setting.
 #[tokio::test]
-async fn the_second_of_two_racing_operators_is_told_who_was_first() {
-    let desk = Desk::new().await;
-    desk.settle();
-    let against = desk.revision();
-    let first = desk.submit(0, "ana", against, "rate = 1000.0", "rate = \"2000/s\"");
+async fn concurrent_submit_is_refused_and_names_the_first_author() {
+    let cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    let against = cli.revision();
+    let first = cli.submit(0, "ana", against, "rate = 1000.0", "rate = \"2000/s\"");
     assert_eq!(first.code, 0, "{first:?}");
     assert!(first.out.contains("in force at h1, h2, h3"), "{first:?}");
-    let second = desk.submit(1, "ben", against, "burst = 1000.0", "burst = 500");
+    let second = cli.submit(1, "ben", against, "burst = 1000.0", "burst = 500");
     assert_eq!(second.code, 1, "{second:?}");
     assert!(second.error.contains("account baobab, rate: 1000/s -> 2000/s"), "{second:?}");
     assert!(
         second.error.contains("nothing changed") && second.error.contains("by ana"),
         "{second:?}"
     );
-    let ahead = desk.submit(1, "ben", against + 1_000, "burst = 1000.0", "burst = 500");
+    let ahead = cli.submit(1, "ben", against + 1_000, "burst = 1000.0", "burst = 500");
     assert_eq!(ahead.code, 1, "{ahead:?}");
-    let accounts = desk.run(2, "ben", &["accounts"]).out;
+    let accounts = cli.run(2, "ben", &["accounts"]).out;
     assert!(accounts.contains("2000/s  1000"), "{accounts}");
 }
 
-/// The operator's terminal dies and nobody knows whether the change was made: the
-/// platform takes the change, its answers are lost. The same command is run again.
+/// Guards against a submit of unknown outcome: the platform stores the change, but its
+/// answers are lost. The same command run again must report the acceptance.
 #[tokio::test]
-async fn a_submit_run_again_after_a_lost_answer_says_that_it_was_accepted() {
-    let desk = Desk::new().await;
-    desk.settle();
-    let against = desk.revision();
-    desk.system.platform_faults(r#"{"lose_answers": 2}"#).await.unwrap();
-    let first = desk.submit(0, "ana", against, "rate = 1000.0", "rate = \"2000/s\"");
+async fn submit_repeated_after_a_lost_answer_reports_acceptance() {
+    let cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    let against = cli.revision();
+    cli.system.platform_faults(r#"{"lose_answers": 2}"#).await.unwrap();
+    let first = cli.submit(0, "ana", against, "rate = 1000.0", "rate = \"2000/s\"");
     assert!(matches!(first.code, 0 | 3), "{first:?}");
-    desk.system.platform_faults("{}").await.unwrap();
-    let again = desk.submit(1, "ana", against, "rate = 1000.0", "rate = \"2000/s\"");
+    cli.system.platform_faults("{}").await.unwrap();
+    let again = cli.submit(1, "ana", against, "rate = 1000.0", "rate = \"2000/s\"");
     assert_eq!(again.code, 0, "{again:?}");
-    let history = desk.run(2, "ana", &["history"]).out;
+    let history = cli.run(2, "ana", &["history"]).out;
     assert_eq!(history.matches("configuration").count(), 2, "{history}");
 }
 
-/// Nobody knows whether a change was made: the terminal is killed while the submit
-/// runs, at whatever step, with a slow platform. Run again, it is in force, once.
+/// Guards against lost or doubled changes: the submit is killed at different steps, with a
+/// slow platform. Run again, the change is in force exactly once.
 #[tokio::test]
-async fn a_submit_that_was_killed_and_is_run_again_is_accepted_once() {
-    let desk = Desk::new().await;
-    desk.settle();
-    desk.system.platform_faults(r#"{"slow_ms": 100}"#).await.unwrap();
+async fn killed_and_repeated_submit_is_accepted_once() {
+    let cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    cli.system.platform_faults(r#"{"slow_ms": 100}"#).await.unwrap();
     for (step, killed_after) in [20, 150, 350, 550, 750].into_iter().enumerate() {
-        let against = desk.revision();
+        let against = cli.revision();
         let rate = format!("rate = {}", 2_000 + step);
-        let mut child = desk.submission(0, "ana", against, "rate = 1000.0", &rate).spawn().unwrap();
+        let mut child = cli.submission(0, "ana", against, "rate = 1000.0", &rate).spawn().unwrap();
         std::thread::sleep(Duration::from_millis(killed_after));
         child.kill().unwrap();
         child.wait().unwrap();
-        let again = desk.submit(1, "ana", against, "rate = 1000.0", &rate);
+        let again = cli.submit(1, "ana", against, "rate = 1000.0", &rate);
         assert_eq!(again.code, 0, "killed after {killed_after} ms: {again:?}");
-        let history = desk.run(2, "ana", &["history"]).out;
+        let history = cli.run(2, "ana", &["history"]).out;
         assert_eq!(history.matches("ana ").count(), step + 1, "{history}");
-        desk.settle();
+        cli.wait_until_settled();
     }
 }
 
-/// In a platform outage the operator must know that a submit changed nothing, and
-/// still see the fleet; the log tells of the outage once and not each second.
+/// In a platform outage, a submit must report that it changed nothing and the fleet must
+/// stay visible; the log reports the outage once and not every second.
 #[tokio::test]
-async fn a_platform_outage_refuses_a_submit_and_shows_the_fleet() {
-    let desk = Desk::new().await;
-    desk.settle();
-    let against = desk.revision();
-    desk.system.platform_faults(r#"{"down": true}"#).await.unwrap();
-    let refused = desk.submit(0, "ana", against, "rate = 1000.0", "rate = \"2000/s\"");
+async fn platform_outage_refuses_a_submit_but_shows_the_fleet() {
+    let cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    let against = cli.revision();
+    cli.system.platform_faults(r#"{"down": true}"#).await.unwrap();
+    let refused = cli.submit(0, "ana", against, "rate = 1000.0", "rate = \"2000/s\"");
     assert_eq!(refused.code, 1, "{refused:?}");
     assert!(refused.error.contains("not accepted"), "{refused:?}");
-    assert_eq!(desk.run(1, "ana", &["hosts"]).code, 0);
-    assert_eq!(desk.revision(), against);
-    desk.system.platform_faults("{}").await.unwrap();
+    assert_eq!(cli.run(1, "ana", &["hosts"]).code, 0);
+    assert_eq!(cli.revision(), against);
+    cli.system.platform_faults("{}").await.unwrap();
     let deadline = Instant::now() + PATIENCE;
-    while !desk.system.hosts[0].log().contains("the platform can be used again") {
-        assert!(Instant::now() < deadline, "{}", desk.system.hosts[0].log());
-        std::thread::sleep(PAUSE);
+    while !cli.system.hosts[0].log().contains("the platform can be used again") {
+        assert!(Instant::now() < deadline, "{}", cli.system.hosts[0].log());
+        std::thread::sleep(POLL_INTERVAL);
     }
-    let log = desk.system.hosts[0].log();
+    let log = cli.system.hosts[0].log();
     assert_eq!(log.matches("WARN fleet: the platform cannot be used").count(), 1, "{log}");
 }
 
-/// A withdrawn key works again: it was withdrawn by phone, the files still have it
-/// standing, and the next submit of the files, or a rollback, brings it back.
+/// Guards against a withdrawn key that works again: it was withdrawn by command, the files
+/// still list it as valid, and the next submit of the files, or a rollback, restores it.
 #[tokio::test]
-async fn a_key_withdrawn_by_phone_stays_withdrawn() {
-    let desk = Desk::new().await;
-    desk.settle();
-    let withdrawn = desk.run(1, "ana", &["key", "withdraw", "--account=baobab", "--id=k1"]);
+async fn withdrawn_key_stays_withdrawn_after_submit_and_rollback() {
+    let cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    let withdrawn = cli.run(1, "ana", &["key", "withdraw", "--account=baobab", "--id=k1"]);
     assert_eq!(withdrawn.code, 0, "{withdrawn:?}");
-    desk.is_denied().await;
-    let against = desk.revision();
-    let history = desk.run(2, "ben", &["history", "--changes", "-n1"]).out;
+    cli.assert_key_refused().await;
+    let against = cli.revision();
+    let history = cli.run(2, "ben", &["history", "--changes", "-n1"]).out;
     let change = "  ~ account baobab, key k1, standing: stands -> withdrawn";
     assert!(history.contains(change), "{history}");
-    let refused = desk.submit(2, "ben", against, "burst = 1000.0", "burst = 500");
+    let refused = cli.submit(2, "ben", against, "burst = 1000.0", "burst = 500");
     assert_eq!(refused.code, 1, "{refused:?}");
     assert!(refused.error.contains("baobab.k1"), "{refused:?}");
     let (to, against) = (format!("{}", against - 1), format!("--against={against}"));
-    let rolled = desk.run(0, "ben", &["rollback", &to, &against]);
+    let rolled = cli.run(0, "ben", &["rollback", &to, &against]);
     assert_eq!(rolled.code, 0, "{rolled:?}");
     assert!(rolled.out.contains("baobab.k1 stays withdrawn"), "{rolled:?}");
-    desk.is_denied().await;
+    cli.assert_key_refused().await;
 }
 
-/// Whoever reaches the operator's port could change the configuration: a host is
-/// asked without a key, with a wrong one, or was given none itself.
+/// Guards against configuration changes by anyone who can reach the operator port: the
+/// request has a wrong key, or the host has no operator key configured.
 #[tokio::test]
-async fn the_operator_interface_is_closed_without_its_key() {
-    let desk = Desk::new().await;
+async fn operator_interface_requires_its_key() {
+    let cli = OperatorCli::new().await;
     for key in ["--operator-key=wrong", "--operator-key=x"] {
-        let refused = desk.run(0, "eve", &["hosts", key]);
+        let refused = cli.run(0, "eve", &["hosts", key]);
         assert_eq!(refused.code, 1, "{refused:?}");
         assert!(refused.error.contains("key is missing or wrong"), "{refused:?}");
     }
@@ -250,67 +252,67 @@
     let operator = address("operator");
     let mut args = vec!["serve".into(), "--host=h9".into(), "--domain=d9".into()];
     args.extend([address("listen"), address("peer"), operator.clone()]);
-    args.push(format!("--platform={}", desk.system.platform_address));
+    args.push(format!("--platform={}", cli.system.platform_address));
     args.push(format!("--secret={SECRET}"));
     let program = std::path::Path::new(env!("CARGO_BIN_EXE_bergamottrack"));
-    let mut host = Process::new("h9", program, args, desk.system.dir());
+    let mut host = Process::new("h9", program, args, cli.system.dir());
     host.start().unwrap();
     let at = operator.replace("operator", "at");
     let deadline = Instant::now() + PATIENCE;
     loop {
-        let refused = desk.run(0, "ana", &["hosts", &at]);
+        let refused = cli.run(0, "ana", &["hosts", &at]);
         assert_eq!(refused.code, 1, "{refused:?}");
         if refused.error.contains("was given no operator key") {
             break;
         }
         assert!(Instant::now() < deadline, "{refused:?}");
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// An operator reads the tables while a host is dead: every command works against
-/// any host that lives, and the dead one is named.
+/// While a host is dead, the tables are available from every live host and report the
+/// dead one.
 #[tokio::test]
-async fn any_host_shows_the_fleet_and_names_a_dead_one() {
-    let mut desk = Desk::new().await;
-    desk.settle();
-    desk.until_status("all is well");
-    desk.system.hosts[2].kill();
-    desk.system.servers.get_mut("g1s3").unwrap().kill();
-    desk.until_status("! host h3: no answer\n! group g1: server g1s3 does not answer\n");
-    desk.system.servers.get_mut("g1s2").unwrap().kill();
-    desk.until_status("! group g1: no majority of its servers answers, so nothing is written\n");
+async fn any_live_host_shows_the_fleet_and_reports_a_dead_one() {
+    let mut cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    cli.wait_for_status("all is well");
+    cli.system.hosts[2].kill();
+    cli.system.servers.get_mut("g1s3").unwrap().kill();
+    cli.wait_for_status("! host h3: no answer\n! group g1: server g1s3 does not answer\n");
+    cli.system.servers.get_mut("g1s2").unwrap().kill();
+    cli.wait_for_status("! group g1: no majority of its servers answers, so nothing is written\n");
     for host in 0..2 {
-        let hosts = desk.run(host, "ana", &["hosts"]);
+        let hosts = cli.run(host, "ana", &["hosts"]);
         assert_eq!(hosts.code, 0, "{hosts:?}");
         let dead = hosts.out.lines().find(|line| line.starts_with("h3")).unwrap();
         assert!(dead.contains("no answer"), "{hosts:?}");
     }
-    let unreached = desk.run(2, "ana", &["hosts"]);
+    let unreached = cli.run(2, "ana", &["hosts"]);
     assert_eq!(unreached.code, 1, "{unreached:?}");
     assert!(unreached.error.contains("cannot be reached"), "{unreached:?}");
 }
 
-/// An operator asks how an account fares: each host measures what it served, the
-/// table adds it up, and a scraper reads it without the key. No key or secret shows
-/// in it, nor in the logs at their most talkative.
+/// Each host measures the requests of an account, the table sums them up, and a scraper
+/// reads them without the key. Neither the metrics nor the logs at their most verbose
+/// level contain a key or secret.
 #[tokio::test]
-async fn what_an_account_was_served_and_refused_is_measured() {
-    let desk = Desk::new().await;
-    desk.settle();
+async fn account_requests_are_measured_without_exposing_secrets() {
+    let cli = OperatorCli::new().await;
+    cli.wait_until_settled();
     let mut clients = Vec::new();
     for host in 0..2 {
-        let client = desk.system.connect(host, "baobab", "g1").await.unwrap();
+        let client = cli.system.connect(host, "baobab", "g1").await.unwrap();
         system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id TEXT)").await.unwrap();
         system::rows(&client, "SELECT id FROM visit").await.unwrap();
         clients.push(client);
     }
-    let mut wrong = desk.system.caller(0, "baobab", "g1");
+    let mut wrong = cli.system.caller(0, "baobab", "g1");
     assert!(system::connect(wrong.password("wrong")).await.is_err());
     let lines: serde_json::Value =
-        serde_json::from_str(&desk.run(2, "ana", &["accounts", "--json"]).out).unwrap();
+        serde_json::from_str(&cli.run(2, "ana", &["accounts", "--json"]).out).unwrap();
     assert!(lines[0]["served"].as_u64().unwrap() >= 4, "{lines}");
-    let address = desk.system.addresses[0].operator;
+    let address = cli.system.addresses[0].operator;
     let (status, text) = system::request(address, "GET", "/metrics", "").await.unwrap();
     assert_eq!(status, 200);
     for part in [
@@ -322,7 +324,7 @@
     ] {
         assert!(text.contains(part), "{part} in {text}");
     }
-    let logs = desk.system.hosts.iter().map(Process::log);
+    let logs = cli.system.hosts.iter().map(Process::log);
     for shown in logs.chain([text]) {
         for secret in ["wrong", &system::key_of("baobab"), OPERATOR_KEY, SECRET] {
             assert!(!shown.contains(secret), "{secret} in {shown}");
@@ -330,65 +332,65 @@
     }
 }
 
-/// An operator takes a host out by hand: it finishes, ends well and leaves the
-/// fleet, and the others say so.
+/// A host drained by an operator finishes its work, exits with code 0 and leaves the
+/// fleet; the other hosts no longer list it.
 #[tokio::test]
-async fn a_drained_host_ends_and_leaves_the_fleet() {
-    let mut desk = Desk::new().await;
-    desk.settle();
-    let drained = desk.run(2, "ana", &["drain"]);
+async fn drained_host_exits_and_leaves_the_fleet() {
+    let mut cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    let drained = cli.run(2, "ana", &["drain"]);
     assert_eq!(drained.code, 0, "{drained:?}");
     assert!(drained.out.starts_with("h3 drains"), "{drained:?}");
     let deadline = Instant::now() + PATIENCE;
-    while desk.system.hosts[2].is_running() {
-        assert!(Instant::now() < deadline, "{}", desk.system.hosts[2].log());
-        std::thread::sleep(PAUSE);
+    while cli.system.hosts[2].is_running() {
+        assert!(Instant::now() < deadline, "{}", cli.system.hosts[2].log());
+        std::thread::sleep(POLL_INTERVAL);
     }
-    assert_eq!(desk.system.hosts[2].wait().unwrap(), Some(0));
-    let hosts = desk.run(0, "ana", &["hosts"]).out;
+    assert_eq!(cli.system.hosts[2].wait().unwrap(), Some(0));
+    let hosts = cli.run(0, "ana", &["hosts"]).out;
     assert!(!hosts.contains("h3"), "{hosts}");
 }
 
-/// Callers of a host are cut off although all its servers are well: somebody opens
-/// more connections to it than the process may have files, accepting one fails, and
-/// the host gives up.
+/// Guards against a host that stops although all its servers are up: clients open more
+/// connections than the process may have file descriptors, and accepting one fails.
 #[tokio::test]
-async fn a_host_that_runs_out_of_files_recovers() {
-    let mut desk = Desk::new().await;
-    desk.settle();
-    limit_files(desk.system.hosts[0].pid().unwrap(), 64);
-    let address = desk.system.addresses[0].operator;
-    let crowd: Vec<_> = (0..100).map(|_| std::net::TcpStream::connect(address)).collect();
+async fn host_recovers_after_running_out_of_file_descriptors() {
+    let mut cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    limit_files(cli.system.hosts[0].pid().unwrap(), 64);
+    let address = cli.system.addresses[0].operator;
+    let connections: Vec<_> = (0..100).map(|_| std::net::TcpStream::connect(address)).collect();
     let deadline = Instant::now() + PATIENCE;
-    while !desk.system.hosts[0].log().contains("cannot be accepted") {
-        assert!(desk.system.hosts[0].is_running(), "{}", desk.system.hosts[0].log());
-        assert!(Instant::now() < deadline, "the files never ran out");
-        std::thread::sleep(PAUSE);
+    while !cli.system.hosts[0].log().contains("cannot be accepted") {
+        assert!(cli.system.hosts[0].is_running(), "{}", cli.system.hosts[0].log());
+        assert!(Instant::now() < deadline, "the host did not run out of file descriptors");
+        std::thread::sleep(POLL_INTERVAL);
     }
-    drop(crowd);
-    while desk.run(0, "ana", &["hosts"]).code != 0 {
-        assert!(desk.system.hosts[0].is_running(), "{}", desk.system.hosts[0].log());
+    drop(connections);
+    while cli.run(0, "ana", &["hosts"]).code != 0 {
+        assert!(cli.system.hosts[0].is_running(), "{}", cli.system.hosts[0].log());
         assert!(Instant::now() < deadline, "the host did not recover");
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Limits how many files a process may have open.
+/// Limits the number of open file descriptors of a process.
 fn limit_files(pid: u32, files: u64) {
     let limit = libc::rlimit { rlim_cur: files, rlim_max: files };
-    // The process is a child that has not been waited for, so its number is its own.
+    // The process is a child that has not been waited for, so its pid cannot be reused.
     #[allow(unsafe_code)]
     let set =
         unsafe { libc::prlimit(pid as i32, libc::RLIMIT_NOFILE, &limit, std::ptr::null_mut()) };
     assert_eq!(set, 0);
 }
 
-/// What a person reads, but for what differs from run to run.
+/// Compares the printed tables with snapshots; filters replace values that differ between
+/// runs.
 #[tokio::test]
-async fn the_tables_read_as_they_should() {
-    let desk = Desk::new().await;
-    desk.settle();
-    let client = desk.system.connect(0, "baobab", "g1").await.unwrap();
+async fn tables_match_their_snapshots() {
+    let cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    let client = cli.system.connect(0, "baobab", "g1").await.unwrap();
     system::until_runs(&client, "SELECT 1").await.unwrap();
     let mut settings = insta::Settings::clone_current();
     settings.add_filter(r"[0-9a-f]{12,}", "[id]");
@@ -403,33 +405,33 @@
     settings.add_filter(r"(?m)^(g1 g1s\d d\d \S+) .* (\d/5) .*$", "$1 ... $2 ...");
     settings.bind(|| {
         for command in ["hosts", "groups", "accounts", "history"] {
-            insta::assert_snapshot!(command, desk.run(1, "ana", &[command]).out);
+            insta::assert_snapshot!(command, cli.run(1, "ana", &[command]).out);
         }
     });
 }
 
-/// "Did my booking go through?" A caller is on the phone, its answer was lost. The
-/// operator asks any host, and a mistyped group or account must not pass for "not run".
+/// The caller's answer was lost, and an operator looks up the outcome of the request at any
+/// host. A mistyped group or account must not be reported as "not run".
 #[tokio::test]
-async fn the_outcome_of_a_booking_is_told_by_any_host() {
-    let desk = Desk::new().await;
-    desk.settle();
-    let client = desk.system.connect(0, "baobab", "g1").await.unwrap();
+async fn any_host_reports_the_outcome_of_a_request() {
+    let cli = OperatorCli::new().await;
+    cli.wait_until_settled();
+    let client = cli.system.connect(0, "baobab", "g1").await.unwrap();
     system::until_runs(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
     client.simple_query("SET bergamottrack.request = 'b-17'").await.unwrap();
     client.simple_query("INSERT INTO booking VALUES ('chapel')").await.unwrap();
     for host in 0..3 {
-        let ask_of = |id, account, group| {
-            desk.run(host, "ana", &["outcome", id, account, group, "--wait=30"])
+        let outcome_of = |id, account, group| {
+            cli.run(host, "ana", &["outcome", id, account, group, "--wait=30"])
         };
-        let ask = |id, group| ask_of(id, "--account=baobab", group);
-        let done = ask("b-17", "--group=g1");
+        let outcome = |id, group| outcome_of(id, "--account=baobab", group);
+        let done = outcome("b-17", "--group=g1");
         assert!(done.code == 0 && done.out.contains(": done;"), "{done:?}");
-        let not_run = ask("b-18", "--group=g1");
+        let not_run = outcome("b-18", "--group=g1");
         assert!(not_run.code == 0 && not_run.out.contains(": not run;"), "{not_run:?}");
-        let mistyped = ask("b-17", "--group=g7");
+        let mistyped = outcome("b-17", "--group=g7");
         assert_eq!(mistyped.code, 2, "{mistyped:?}");
-        let mistyped = ask_of("b-17", "--account=boabab", "--group=g1");
+        let mistyped = outcome_of("b-17", "--account=boabab", "--group=g1");
         assert_eq!(mistyped.code, 2, "{mistyped:?}");
     }
 }
