--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a caller's session: its token, stated age, deadline and what drivers ask for.
+//! Settings of a caller's session: token, maximum age, deadline and settings sent by drivers.
 
 use lab::system::{self, Plan, System};
 use tokio_postgres::{Client, error::SqlState};
@@ -14,13 +14,13 @@
     system::rows(client, &format!("SHOW {name}")).await.unwrap().remove(0)
 }
 
-/// The SQLSTATE and the detail of the error that a statement gives.
+/// Returns the SQLSTATE and the detail of the error of a statement.
 async fn refusal(client: &Client, sql: &str) -> (String, String) {
     let error = client.simple_query(sql).await.unwrap_err();
-    answer_of(&error)
+    code_and_detail(&error)
 }
 
-fn answer_of(error: &tokio_postgres::Error) -> (String, String) {
+fn code_and_detail(error: &tokio_postgres::Error) -> (String, String) {
     let code = error.code().map_or("none", SqlState::code).to_owned();
     let detail = error.as_db_error().and_then(|e| e.detail()).unwrap_or_default();
     (code, detail.to_owned())
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn a_session_token_is_given_shown_and_taken_elsewhere() {
+async fn session_token_is_accepted_by_other_hosts() {
     let (system, client) = start().await;
     client.simple_query("INSERT INTO visit VALUES (1)").await.unwrap();
     let token = show(&client, "bergamottrack.session").await;
@@ -49,10 +49,10 @@
     assert_eq!(show(&third, "bergamottrack.session").await, token);
 }
 
-/// A caller presents a token that it made up, or that another account was
-/// given. Taken in, it would show one account what another has been told of.
+/// A caller presents a forged token, or one issued to another account. If it were accepted,
+/// it would reveal to one account what another one has seen.
 #[tokio::test]
-async fn a_token_that_was_not_given_to_the_account_is_refused() {
+async fn token_not_issued_to_the_account_is_refused() {
     let (system, client) = start().await;
     let token = show(&client, "bergamottrack.session").await;
     let set = |token: &str| format!("SET bergamottrack.session = '{token}'");
@@ -65,14 +65,14 @@
     let mut config = system.caller(0, "hartwell", "g1");
     config.options(format!("-c bergamottrack.session={token}"));
     let Err(error) = config.connect(tokio_postgres::NoTls).await else {
-        panic!("the token was taken")
+        panic!("the token was accepted")
     };
-    assert_eq!(answer_of(&error), not_run("42501"));
+    assert_eq!(code_and_detail(&error), not_run("42501"));
     client.simple_query("SELECT 1").await.unwrap();
 }
 
 #[tokio::test]
-async fn own_settings_are_checked_and_shown() {
+async fn proxy_settings_are_validated_and_shown() {
     let (_system, client) = start().await;
     let cases = [
         ("bergamottrack.max_age", "2s", "2000ms"),
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn what_drivers_ask_for_at_their_start_is_answered() {
+async fn startup_settings_of_drivers_are_answered() {
     let (system, _client) = start().await;
     let mut config = system.caller(0, "baobab", "g1");
     config.application_name("van 3").options("-c extra_float_digits=3 --statement-timeout=4000");
@@ -111,7 +111,7 @@
     let settings = "SET application_name = 'x'; SET client_encoding TO 'utf-8'; \
         SET SESSION TIME ZONE 'UTC'; SET DateStyle = ISO; SET NAMES 'UTF8'";
     client.batch_execute(settings).await.unwrap();
-    // Prepared, as some drivers send them.
+    // Sent as a prepared statement, as some drivers do.
     client.execute("SET extra_float_digits = 3", &[]).await.unwrap();
     let level = client.query_one("SHOW TRANSACTION ISOLATION LEVEL", &[]).await.unwrap();
     assert_eq!(level.get::<_, &str>(0), "read committed");
@@ -121,10 +121,10 @@
     }
 }
 
-/// A caller sets state of its session, which a pooled connection would lose, or
-/// show to the next caller. It is told so, and that nothing ran.
+/// A caller sets session state that a pooled connection would lose or expose to the next
+/// caller. The statement is refused and reported as not run.
 #[tokio::test]
-async fn session_state_that_is_not_carried_is_refused() {
+async fn unsupported_session_state_is_refused() {
     let (_system, client) = start().await;
     let refused = [
         "SET search_path = other",
@@ -148,16 +148,16 @@
     client.simple_query("SELECT 1").await.unwrap();
 }
 
-/// Within a transaction the same refusal fails the transaction, as any error does.
+/// A refused statement within a transaction fails the transaction, as any error does.
 #[tokio::test]
-async fn a_refused_statement_fails_its_transaction() {
+async fn refused_statement_fails_its_transaction() {
     let (_system, client) = start().await;
     client.batch_execute("BEGIN; INSERT INTO visit VALUES (1)").await.unwrap();
     assert_eq!(refusal(&client, "LISTEN news").await, not_run("0A000"));
     assert_eq!(refusal(&client, "INSERT INTO visit VALUES (2)").await, not_run("25P02"));
     client.batch_execute("COMMIT").await.unwrap();
     assert!(system::rows(&client, "SELECT id FROM visit").await.unwrap().is_empty());
-    // There is no transaction any more: answered with a notice, as by any server.
+    // No transaction is open any more, which gives only a notice, as on any server.
     client.batch_execute("COMMIT").await.unwrap();
     client.batch_execute("ROLLBACK").await.unwrap();
     assert_eq!(refusal(&client, "SET LOCAL statement_timeout = 5").await, not_run("25P01"));
