--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations that are large for the links that they travel over.
+//! Configurations that are large for the links that carry them.
 
 mod hosts;
 
@@ -14,60 +14,60 @@
     },
 };
 
-/// The bound of the settings: how soon an acknowledged configuration is in force.
-const APPLY: Duration = Duration::from_millis(3000);
+/// Maximum time, by the settings, until an acknowledged configuration is in force.
+const APPLY_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// The bound of the settings: how soon a leaving server gets no new work.
-const DRAIN: Duration = Duration::from_millis(7000);
+/// Maximum time, by the settings, until a leaving server gets no new work.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(7000);
 
-/// A server that does not lead.
+/// Index of a server that is a replica.
 const REPLICA: usize = 1;
 
-/// Bytes a second of a link over which the list of servers here takes 0.6 s.
-const CRAWLING: u64 = 2_500;
+/// Bytes per second of a link over which the list of servers takes 0.6 s.
+const VERY_SLOW_RATE: u64 = 2_500;
 
-/// How soon hosts serve again that were all down.
-const RECOVERY: Duration = Duration::from_secs(12);
+/// Maximum time until hosts serve again after all of them were down.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Bytes a second of a link of 2 Mbit/s, and what it leaves for the store.
-const SLOW: u64 = 250_000;
-const LEFT: u64 = 100_000;
+/// Bytes per second of a link of 2 Mbit/s, and the share of it that is left for the store.
+const SLOW_RATE: u64 = 250_000;
+const STORE_RATE: u64 = 100_000;
 
-/// Bytes a second of a link over which the configurations here need twice the bound.
-const HOPELESS: u64 = 5_000;
+/// Bytes per second of a link over which the configurations here take twice the bound.
+const INSUFFICIENT_RATE: u64 = 5_000;
 
-/// Databases whose description has 320 KB: 1.3 s of such a link.
-const MANY: usize = 2000;
+/// Number of databases whose description has 320 KB, which take 1.3 s on a link of 2 Mbit/s.
+const ADDED_DATABASES: usize = 2000;
 
-/// How long hosts take to leave reading the store to others: a call that one began before
-/// its links were up may still bring it a change.
-const SETTLED: u64 = 2500;
+/// Time in ms after which hosts leave reading the store to their hubs. Before that, a call
+/// that a host began before its links were up may still return a change.
+const SETTLE_MS: u64 = 2500;
 
-fn at_most(bytes_per_sec: u64) -> Fault {
+fn rate_limit(bytes_per_sec: u64) -> Fault {
     Fault { bytes_per_sec, ..Fault::default() }
 }
 
 /// An operator adds many databases at once. Callers of small hosts were told for the rest of
-/// the day that there are none, and most of all other statements failed too. The new version
-/// came in one answer that took longer than it was waited for; it was dropped and asked for
-/// again while the first copy was still under way, so that the link was full of copies and
-/// nothing else came through. Proved by lines of questions not answered in 400 ms, each of
-/// them, from the moment of the change on; fetched in pieces, it comes in the time of its bytes.
+/// the day that there are no databases, and most other statements failed as well. The new
+/// version came in one answer that took longer than its timeout. It was dropped and requested
+/// again while the first copy was still in transit, so that copies filled the link and blocked
+/// everything else. From the change on, the log reported each request as not answered within
+/// 400 ms. Fetched in pieces, the version arrives in the time that its bytes take.
 #[test]
-fn a_large_configuration_comes_in_time_over_slow_links() {
+fn large_configuration_is_in_force_in_time_over_slow_links() {
     on_runtime(async {
         let world = serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
-        pause(SETTLED).await;
-        world.borrow().links.set("peer*", &at_most(SLOW));
+        pause(SETTLE_MS).await;
+        world.borrow().links.set("peer*", &rate_limit(SLOW_RATE));
         for store in ["store2", "store3"] {
-            world.borrow().links.set(store, &at_most(LEFT));
+            world.borrow().links.set(store, &rate_limit(STORE_RATE));
         }
-        let added = world.borrow().add_databases(MANY);
+        let added = world.borrow().add_databases(ADDED_DATABASES);
         let began = Instant::now();
         let callers = world.borrow().callers.clone();
         for address in callers {
             while !knows(address, &added).await {
-                assert!(began.elapsed() < APPLY, "{added} is not known at {address}");
+                assert!(began.elapsed() < APPLY_TIMEOUT, "{added} is unknown at {address}");
                 pause(50).await;
             }
         }
@@ -75,82 +75,86 @@
 }
 
 /// A key is withdrawn together with a change that is too large for the links of a small host.
-/// Its callers went on with the withdrawn key for seconds after the bound: the host was told
-/// that there is a newer version and, hearing most hosts, took its own for good enough. Seen
-/// in the version that statements were served by, 5.6 s after the next was acknowledged.
+/// Its callers kept using the withdrawn key for seconds after the bound: the host was notified
+/// of a newer version, but treated its own as current because it was in contact with most
+/// hosts. Statements ran under the old version 5.6 s after the next one was acknowledged.
 #[test]
-fn a_host_that_cannot_fetch_what_is_newer_serves_nobody() {
+fn host_that_cannot_fetch_a_newer_version_refuses_requests() {
     on_runtime(async {
         let world = serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
-        pause(SETTLED).await;
+        pause(SETTLE_MS).await;
         let small = world.borrow().callers[2];
         let mut line = Line::start(small, "db0", "key-h").await.unwrap();
-        world.borrow().links.set("peer*", &at_most(HOPELESS));
+        world.borrow().links.set("peer*", &rate_limit(INSUFFICIENT_RATE));
         for store in ["store2", "store3"] {
-            world.borrow().links.set(store, &at_most(HOPELESS));
+            world.borrow().links.set(store, &rate_limit(INSUFFICIENT_RATE));
         }
-        world.borrow().add_databases(MANY);
+        world.borrow().add_databases(ADDED_DATABASES);
         world.borrow().withdraw();
         let began = Instant::now();
-        assert_eq!(line.short("READ k1").await, "DONE I", "it serves as long as it may");
-        let until = APPLY + Duration::from_secs(5);
+        assert_eq!(line.short("READ k1").await, "DONE I", "the host serves within the bound");
+        let until = APPLY_TIMEOUT + Duration::from_secs(5);
         while began.elapsed() < until {
             let asked = began.elapsed();
             let told = line.short("READ k1").await;
-            let may = asked <= APPLY || told != "DONE I";
+            let may = asked <= APPLY_TIMEOUT || told != "DONE I";
             assert!(may, "{told} for a withdrawn key, {asked:?} after its withdrawal");
             pause(50).await;
         }
     });
 }
 
-/// A server leaves, and the list of servers is too large for the link of a small host to come
-/// in the time that an answer is waited for. The host went on sending work to the server after
-/// it had ended: the list was asked for again each 0.4 s, while copies were under way.
+/// A server leaves, and over the link of a small host the list of servers takes longer than
+/// the timeout of an answer. The host kept sending work to the server after it had ended: the
+/// list was requested again every 0.4 s while earlier copies were still in transit.
 #[test]
-fn a_list_of_servers_comes_over_a_slow_link() {
+fn list_of_servers_arrives_over_a_slow_link() {
     on_runtime(async {
         let world = serving(World::start_sized(4, LARGE_HOSTS).unwrap()).await;
-        pause(SETTLED).await;
-        world.borrow().links.set("peer*", &at_most(CRAWLING));
+        pause(SETTLE_MS).await;
+        world.borrow().links.set("peer*", &rate_limit(VERY_SLOW_RATE));
         for store in ["store2", "store3"] {
             world.borrow().links.set(store, &Fault { cut_up: true, ..Fault::default() });
         }
         world.borrow().leave(REPLICA);
         let began = Instant::now();
         while !world.borrow().hosts[2].log().contains(r#""role":"Replica","leaving":true"#) {
-            assert!(began.elapsed() < DRAIN, "the host does not know that the server leaves");
+            assert!(
+                began.elapsed() < DRAIN_TIMEOUT,
+                "the host has not learned that the server leaves"
+            );
             pause(50).await;
         }
     });
 }
 
-/// A host starts while the configuration is large for its link, and no other host is there to
-/// tell it. It was never ready: each read of the store was given up after a second, begun anew,
-/// and took longer than that.
+/// A host starts with a configuration that is large for its link, and no other host can
+/// provide it. The host never became ready: each read of the store took longer than its
+/// timeout of one second and was started again from the beginning.
 #[test]
-fn a_host_reads_a_large_configuration_over_a_slow_link() {
+fn starting_host_reads_a_large_configuration_over_a_slow_link() {
     on_runtime(async {
         let world = serving(World::start(1).unwrap()).await;
-        let added = world.borrow().add_databases(MANY);
+        let added = world.borrow().add_databases(ADDED_DATABASES);
         let address = world.borrow().callers[0];
         while !knows(address, &added).await {
             pause(50).await;
         }
-        world.borrow().links.set("store0", &at_most(SLOW));
+        world.borrow().links.set("store0", &rate_limit(SLOW_RATE));
         world.borrow_mut().hosts[0].kill();
         world.borrow_mut().hosts[0].start().unwrap();
         let began = Instant::now();
         while !knows(address, &added).await {
-            assert!(began.elapsed() < RECOVERY, "the host does not serve");
+            assert!(began.elapsed() < RECOVERY_TIMEOUT, "the host does not serve");
             pause(50).await;
         }
     });
 }
 
-/// The configuration grows again and again over slow links, so that a host has the last
-/// version but one most of the time. Its callers were refused for seconds: it counted from when
-/// its own version had been the newest as it knew, which is before the first of them.
+/// The configuration grows repeatedly over slow links, so that a host has the second newest
+/// version most of the time. Its callers were refused for seconds: the host measured the age
+/// of its version from the last time that it was known to be the newest, which is before the
+/// first of the newer versions.
 #[test]
 fn versions_that_come_faster_than_they_travel_are_in_force_in_time() {
     for seed in [9407, 9410] {
