--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -95,10 +95,10 @@
         assert_eq!(line.short("READ k1").await, "DONE I", "the host serves within the bound");
         let until = APPLY_TIMEOUT + Duration::from_secs(5);
         while began.elapsed() < until {
-            let asked = began.elapsed();
-            let told = line.short("READ k1").await;
-            let may = asked <= APPLY_TIMEOUT || told != "DONE I";
-            assert!(may, "{told} for a withdrawn key, {asked:?} after its withdrawal");
+            let sent = began.elapsed();
+            let outcome = line.short("READ k1").await;
+            let allowed = sent <= APPLY_TIMEOUT || outcome != "DONE I";
+            assert!(allowed, "{outcome} for a withdrawn key, {sent:?} after its withdrawal");
             pause(50).await;
         }
     });
