--- a/lab/src/soak/caller.rs
+++ b/lab/src/soak/caller.rs
@@ -15,13 +15,13 @@
 };
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 
-use super::group::{Asked, Groups, Must};
+use super::group::{Groups, Must, Sent};
 
 /// The longest that a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(12);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Words by which a caller is promised that nothing of its statement is kept.
-const PROMISES: [&str; 6] = ["BUSY", "ABORTED", "BEHIND", "READONLY", "MISROUTED", "TOOMANY"];
+const NOT_KEPT_CODES: [&str; 6] = ["BUSY", "ABORTED", "BEHIND", "READONLY", "MISROUTED", "TOOMANY"];
 
 /// A database as callers know it.
 #[derive(Clone, Debug)]
@@ -71,7 +71,7 @@
 }
 
 /// What came back.
-enum Told {
+enum Response {
     Done { rows: Vec<Box<str>>, signature: Box<str> },
     Error { code: Box<str> },
 }
@@ -107,7 +107,7 @@
         let start = format!("START {} {}\r\n", session.database.name, self.key);
         session.io.write_all(start.as_bytes()).await?;
         let mut line = String::new();
-        monoio::time::timeout(PATIENCE, session.io.read_line(&mut line)).await??;
+        monoio::time::timeout(ANSWER_TIMEOUT, session.io.read_line(&mut line)).await??;
         anyhow::ensure!(line.starts_with("READY I"), "no session: {line}");
         for _ in 0..rand::random_range(1..30) {
             if stop.get() {
@@ -123,7 +123,7 @@
 }
 
 /// Whether a host knows a database and an account's key.
-pub async fn knows(host: SocketAddr, database: &str) -> bool {
+pub async fn serves_database(host: SocketAddr, database: &str) -> bool {
     let ask = async {
         let mut io = BufReader::new(TcpStream::connect(host).await?.into_poll_io()?);
         io.write_all(format!("START {database} key-b\r\n").as_bytes()).await?;
@@ -131,8 +131,8 @@
         io.read_line(&mut line).await?;
         anyhow::Ok(line)
     };
-    let told = monoio::time::timeout(PATIENCE, ask).await;
-    matches!(told, Ok(Ok(line)) if line.starts_with("READY"))
+    let response = monoio::time::timeout(ANSWER_TIMEOUT, ask).await;
+    matches!(response, Ok(Ok(line)) if line.starts_with("READY"))
 }
 
 impl Session<'_> {
@@ -141,7 +141,9 @@
             0 => {
                 let (name, value) = (rand::random_range(0..3), rand::random_range(0..3));
                 let (name, value) = (format!("v{name}"), format!("x{value}"));
-                if let Told::Done { .. } = self.ask(number, &format!("SET {name} {value}")).await? {
+                if let Response::Done { .. } =
+                    self.ask(number, &format!("SET {name} {value}")).await?
+                {
                     self.values.insert(name.into(), value.into());
                 }
             }
@@ -149,8 +151,8 @@
                 let kind = if rand::random_bool(0.5) { "READ" } else { "WRITE" };
                 let name: Box<str> = format!("p{}", rand::random_range(0..3)).into();
                 let shape = format!("{kind} q{}", rand::random_range(0..4));
-                let told = self.ask(number, &format!("PREPARE {name} {shape}")).await?;
-                if let Told::Done { .. } = told {
+                let response = self.ask(number, &format!("PREPARE {name} {shape}")).await?;
+                if let Response::Done { .. } = response {
                     self.prepared.retain(|(other, _)| *other != name);
                     self.prepared.push((name, shape.into()));
                 }
@@ -187,15 +189,15 @@
 
     async fn single(&mut self, number: u64, text: &str) -> anyhow::Result<()> {
         let writes = self.writes(text);
-        let told = self.ask(number, text).await?;
+        let response = self.ask(number, text).await?;
         let id = self.last_id();
-        if let (true, Told::Done { .. }) = (writes, &told) {
+        if let (true, Response::Done { .. }) = (writes, &response) {
             self.keep(std::slice::from_ref(&id));
         }
-        if let Told::Error { code } = &told
-            && PROMISES.contains(&&**code)
+        if let Response::Error { code } = &response
+            && NOT_KEPT_CODES.contains(&&**code)
         {
-            self.caller.groups.borrow_mut().promise(&id);
+            self.caller.groups.borrow_mut().record_not_kept(&id);
         }
         Ok(())
     }
@@ -205,7 +207,7 @@
         self.began = Some(Instant::now());
         let begin = if read_only { "BEGIN READ" } else { "BEGIN" };
         let mut writes = Vec::new();
-        if let Told::Error { .. } = self.ask(number, begin).await? {
+        if let Response::Error { .. } = self.ask(number, begin).await? {
             return Ok(());
         }
         for _ in 0..rand::random_range(1..5) {
@@ -214,13 +216,13 @@
             if write && read_only {
                 continue;
             }
-            let told = self.ask(number, &text).await?;
+            let response = self.ask(number, &text).await?;
             if write {
                 writes.push(self.last_id());
             }
-            if let Told::Error { .. } = told {
+            if let Response::Error { .. } = response {
                 // All of it is over; the promise holds for every write in it.
-                writes.iter().for_each(|id| self.caller.groups.borrow_mut().promise(id));
+                writes.iter().for_each(|id| self.caller.groups.borrow_mut().record_not_kept(id));
                 self.ask(number, "ROLLBACK").await?;
                 return Ok(());
             }
@@ -228,14 +230,14 @@
         }
         let end = if rand::random_bool(0.85) { "COMMIT" } else { "ROLLBACK" };
         match self.ask(number, end).await? {
-            Told::Done { .. } if end == "COMMIT" => self.keep(&writes),
-            Told::Done { .. } => {
-                writes.iter().for_each(|id| self.caller.groups.borrow_mut().promise(id));
+            Response::Done { .. } if end == "COMMIT" => self.keep(&writes),
+            Response::Done { .. } => {
+                writes.iter().for_each(|id| self.caller.groups.borrow_mut().record_not_kept(id));
             }
-            Told::Error { code } if PROMISES.contains(&&*code) => {
-                writes.iter().for_each(|id| self.caller.groups.borrow_mut().promise(id));
+            Response::Error { code } if NOT_KEPT_CODES.contains(&&*code) => {
+                writes.iter().for_each(|id| self.caller.groups.borrow_mut().record_not_kept(id));
             }
-            Told::Error { .. } => {}
+            Response::Error { .. } => {}
         }
         Ok(())
     }
@@ -254,10 +256,10 @@
         format!("{:x}", self.id).into()
     }
 
-    async fn ask(&mut self, number: u64, text: &str) -> anyhow::Result<Told> {
+    async fn ask(&mut self, number: u64, text: &str) -> anyhow::Result<Response> {
         self.id += 1;
         let id = self.last_id();
-        let asked = Asked {
+        let sent = Sent {
             account: self.caller.account.clone(),
             text: self.canonical(text).into(),
             values: self.values.clone(),
@@ -267,11 +269,12 @@
         let from = self.began.unwrap_or_else(Instant::now);
         let since = from.checked_sub(self.database.age.unwrap_or_default());
         let since = since.filter(|_| !self.writes(text));
-        self.caller.groups.borrow_mut().ask(&id, asked, self.database.group, since);
+        self.caller.groups.borrow_mut().ask(&id, sent, self.database.group, since);
         self.io.write_all(format!("QUERY {id} {text}\r\n").as_bytes()).await?;
-        let told = monoio::time::timeout(PATIENCE, self.answer()).await.context("no answer")??;
-        self.check(&id, text, &told);
-        Ok(told)
+        let response =
+            monoio::time::timeout(ANSWER_TIMEOUT, self.answer()).await.context("no answer")??;
+        self.check(&id, text, &response);
+        Ok(response)
     }
 
     /// The text as servers see it, whatever a prepared name is called there.
@@ -282,8 +285,8 @@
         format!("EXECUTE {} {args}", shape.map_or("", |(_, shape)| shape))
     }
 
-    async fn answer(&mut self) -> anyhow::Result<Told> {
-        let (mut rows, mut told) = (Vec::new(), None);
+    async fn answer(&mut self) -> anyhow::Result<Response> {
+        let (mut rows, mut response) = (Vec::new(), None);
         loop {
             let mut line = String::new();
             anyhow::ensure!(self.io.read_line(&mut line).await? > 0, "cut off");
@@ -292,21 +295,21 @@
                 "ROW" => rows.push(rest.into()),
                 "DONE" => {
                     let rows = std::mem::take(&mut rows);
-                    told = Some(Told::Done { rows, signature: rest.into() });
+                    response = Some(Response::Done { rows, signature: rest.into() });
                 }
                 "ERROR" => {
                     let code = rest.split(' ').next().unwrap_or_default().into();
-                    told = Some(Told::Error { code });
+                    response = Some(Response::Error { code });
                 }
-                "READY" => return told.context("no outcome"),
+                "READY" => return response.context("no outcome"),
                 _ => bail!("an unknown line: {line}"),
             }
         }
     }
 
     /// An answer must be the one that a server gave to this very statement.
-    fn check(&self, id: &str, text: &str, told: &Told) {
-        let Told::Done { rows, signature } = told else {
+    fn check(&self, id: &str, text: &str, response: &Response) {
+        let Response::Done { rows, signature } = response else {
             return self.caller.refused.set(self.caller.refused.get() + 1);
         };
         let verb = text.split(' ').next().unwrap_or_default();
@@ -315,9 +318,9 @@
         }
         self.caller.served.set(self.caller.served.get() + 1);
         let mut groups = self.caller.groups.borrow_mut();
-        let runs = groups.runs.get(id).into_iter().flatten();
-        let mut same = runs.filter(|signed| signed.signature == *signature);
-        if same.next().is_none_or(|signed| signed.rows != *rows) {
+        let answers = groups.answers.get(id).into_iter().flatten();
+        let mut same = answers.filter(|answer| answer.signature == *signature);
+        if same.next().is_none_or(|answer| answer.rows != *rows) {
             groups
                 .broken
                 .push(format!("{id} {text} was answered {rows:?} {signature}, not so run"));
--- a/lab/src/soak/gaps.rs
+++ b/lab/src/soak/gaps.rs
@@ -44,21 +44,21 @@
 }
 
 /// How long a leader is out of order.
-const LASTS: Duration = Duration::from_secs(4);
+const FAILURE_DURATION: Duration = Duration::from_secs(4);
 
 /// The same for one that only stalls.
-const STALL: Duration = Duration::from_millis(300);
+const STALL_DURATION: Duration = Duration::from_millis(300);
 
 /// How long all is well before the next one.
-const CALM: Duration = Duration::from_millis(1500);
+const RECOVERY_PAUSE: Duration = Duration::from_millis(1500);
 
 /// How long a new leader may take.
-const REPLACED_WITHIN: Duration = Duration::from_secs(20);
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Measures, and prints what was seen.
 pub async fn run(args: GapsArgs) -> anyhow::Result<()> {
     let world = Rc::new(RefCell::new(World::start(args.hosts)?));
-    monoio::spawn(World::keep(world.clone()));
+    monoio::spawn(World::maintain(world.clone()));
     let stop = Rc::new(Cell::new(false));
     for caller in world.borrow().make_callers(args.callers) {
         monoio::spawn(caller.run(stop.clone()));
@@ -66,8 +66,8 @@
     until_served(&world).await?;
     let mut gaps = Vec::new();
     for time in 0..args.times {
-        monoio::time::sleep(CALM).await;
-        gaps.push(strike(&world, time % super::world::GROUPS, args.cause).await?);
+        monoio::time::sleep(RECOVERY_PAUSE).await;
+        gaps.push(measure_gap(&world, time % super::world::GROUPS, args.cause).await?);
         until_served(&world).await?;
     }
     stop.set(true);
@@ -91,17 +91,22 @@
 }
 
 /// Has a group's leader fail, and mends it; the longest gap meanwhile.
-async fn strike(
+async fn measure_gap(
     world: &Rc<RefCell<World>>,
     group: usize,
     cause: Cause,
 ) -> anyhow::Result<Duration> {
     let leader = world.borrow().groups.borrow().leader(group);
-    let place = leader.ok_or_else(|| anyhow::anyhow!("group {group} has no leader"))?;
+    let index = leader.ok_or_else(|| anyhow::anyhow!("group {group} has no leader"))?;
     let began = Instant::now();
-    break_leader(&world.borrow(), place, cause);
-    monoio::time::sleep(if matches!(cause, Cause::Stalled) { STALL } else { LASTS }).await;
-    mend_leader(&world.borrow(), place, cause);
+    fail_leader(&world.borrow(), index, cause);
+    monoio::time::sleep(if matches!(cause, Cause::Stalled) {
+        STALL_DURATION
+    } else {
+        FAILURE_DURATION
+    })
+    .await;
+    restore_leader(&world.borrow(), index, cause);
     loop {
         monoio::time::sleep(Duration::from_millis(50)).await;
         let world = world.borrow();
@@ -111,31 +116,31 @@
         if groups.longest_gap(group, gap) < gap && began.elapsed() > gap {
             return Ok(gap);
         }
-        anyhow::ensure!(began.elapsed() < REPLACED_WITHIN, "group {group} takes no write");
+        anyhow::ensure!(began.elapsed() < FAILOVER_TIMEOUT, "group {group} takes no write");
     }
 }
 
-fn break_leader(world: &World, place: usize, cause: Cause) {
+fn fail_leader(world: &World, index: usize, cause: Cause) {
     let dark = Fault { cut_up: true, cut_down: true, ..Fault::default() };
     match cause {
-        Cause::Killed => world.standins[place].stop(),
+        Cause::Killed => world.standins[index].stop(),
         Cause::Silent => {
-            world.links.set(&format!("s{place}"), &dark);
-            world.groups.borrow_mut().servers[place].cut = true;
+            world.links.set(&format!("s{index}"), &dark);
+            world.groups.borrow_mut().servers[index].isolated = true;
         }
-        Cause::Cut => world.groups.borrow_mut().servers[place].cut = true,
-        Cause::Leaves => world.leave(place),
-        Cause::Stalled => world.links.set(&format!("s{place}"), &dark),
+        Cause::Cut => world.groups.borrow_mut().servers[index].isolated = true,
+        Cause::Leaves => world.start_draining(index),
+        Cause::Stalled => world.links.set(&format!("s{index}"), &dark),
     }
 }
 
-fn mend_leader(world: &World, place: usize, cause: Cause) {
+fn restore_leader(world: &World, index: usize, cause: Cause) {
     match cause {
-        Cause::Killed => world.groups.borrow_mut().servers[place].up = true,
-        Cause::Leaves => world.stay(place),
+        Cause::Killed => world.groups.borrow_mut().servers[index].up = true,
+        Cause::Leaves => world.stop_draining(index),
         Cause::Silent | Cause::Cut | Cause::Stalled => {
-            world.links.set(&format!("s{place}"), &Fault::default());
-            world.groups.borrow_mut().servers[place].cut = false;
+            world.links.set(&format!("s{index}"), &Fault::default());
+            world.groups.borrow_mut().servers[index].isolated = false;
         }
     }
 }
--- a/lab/src/soak/group.rs
+++ b/lab/src/soak/group.rs
@@ -7,10 +7,10 @@
 };
 
 /// How long a promotion takes.
-const PROMOTE: Duration = Duration::from_millis(150);
+const PROMOTION_DURATION: Duration = Duration::from_millis(150);
 
 /// How long an old leader goes on beside a new one that it can reach.
-const OLD_LEADER: Duration = Duration::from_millis(400);
+const DEMOTION_DELAY: Duration = Duration::from_millis(400);
 
 /// A write in a log.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// Whether its process runs.
     pub up: bool,
     /// Whether it leads, as it sees itself.
-    pub leads: bool,
+    pub is_leader: bool,
     /// Its term.
     pub term: u64,
     /// Its log.
@@ -44,13 +44,13 @@
     /// How late it shows what it has received.
     pub lag: Duration,
     /// Part of its answers that are lost.
-    pub lose: f64,
+    pub loss: f64,
     /// Whether nothing passes between it and the other servers of its group.
-    pub cut: bool,
+    pub isolated: bool,
     /// Whether it says that it leaves.
-    pub leaving: bool,
+    pub draining: bool,
     /// Statements of callers that it has run.
-    pub ran: usize,
+    pub statements_run: usize,
 }
 
 /// What a read must show: the number and the term of the newest commit.
@@ -62,7 +62,7 @@
 
 /// What a server answered.
 #[derive(Clone, Debug)]
-pub struct Signed {
+pub struct Answer {
     /// Drawn for each answer.
     pub signature: Box<str>,
     /// Its rows.
@@ -71,7 +71,7 @@
 
 /// What a caller was about when it sent a statement.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct Sent {
     /// The account of its key.
     pub account: Box<str>,
     /// Its text, with the definition in place of a prepared name.
@@ -96,9 +96,9 @@
     /// The servers of all groups.
     pub servers: Vec<Server>,
     /// What callers asked, by statement id.
-    pub asked: HashMap<Box<str>, Asked>,
+    pub sent: HashMap<Box<str>, Sent>,
     /// What each statement was answered, by its id.
-    pub runs: HashMap<Box<str>, Vec<Signed>>,
+    pub answers: HashMap<Box<str>, Vec<Answer>>,
     /// Broken promises, each with its story.
     pub broken: Vec<String>,
     /// Operations that ran: when, and for which account.
@@ -108,18 +108,18 @@
     /// Promotions.
     pub promotions: usize,
     acks: HashMap<usize, Vec<Ack>>,
-    promised: HashSet<Box<str>>,
+    not_kept: HashSet<Box<str>>,
     /// Servers that are about to lead, and when.
-    rising: Vec<(usize, Instant)>,
+    pending: Vec<(usize, Instant)>,
     /// Statements committed by a leader that had been replaced.
-    stale: HashSet<Box<str>>,
+    replaced_commits: HashSet<Box<str>>,
 }
 
 impl Groups {
     /// The newest leader of a group.
     pub fn leader(&self, group: usize) -> Option<usize> {
-        let leads = |i: &usize| self.servers[*i].group == group && self.servers[*i].leads;
-        (0..self.servers.len()).filter(leads).max_by_key(|i| self.servers[*i].term)
+        let is_leader = |i: &usize| self.servers[*i].group == group && self.servers[*i].is_leader;
+        (0..self.servers.len()).filter(is_leader).max_by_key(|i| self.servers[*i].term)
     }
 
     /// The longest time within the last `window` without an acknowledged write of a
@@ -141,8 +141,9 @@
     pub fn promote(&mut self, id: &str) -> bool {
         match self.find(id) {
             Some(i) if self.servers[i].up => {
-                if !self.servers[i].leads && !self.rising.iter().any(|(other, _)| *other == i) {
-                    self.rising.push((i, Instant::now() + PROMOTE));
+                if !self.servers[i].is_leader && !self.pending.iter().any(|(other, _)| *other == i)
+                {
+                    self.pending.push((i, Instant::now() + PROMOTION_DURATION));
                 }
                 true
             }
@@ -155,10 +156,10 @@
         let now = Instant::now();
         let mut changed = false;
         let due: Vec<usize> =
-            self.rising.iter().filter(|(_, at)| *at <= now).map(|(i, _)| *i).collect();
-        self.rising.retain(|(_, at)| *at > now);
+            self.pending.iter().filter(|(_, at)| *at <= now).map(|(i, _)| *i).collect();
+        self.pending.retain(|(_, at)| *at > now);
         for i in due {
-            changed |= self.rise(i);
+            changed |= self.complete_promotion(i);
         }
         for i in 0..self.servers.len() {
             changed |= self.replicate(i, now);
@@ -166,7 +167,7 @@
         changed
     }
 
-    fn rise(&mut self, i: usize) -> bool {
+    fn complete_promotion(&mut self, i: usize) -> bool {
         let group = self.servers[i].group;
         if !self.servers[i].up {
             return false;
@@ -174,14 +175,14 @@
         let of_group = self.servers.iter().filter(|server| server.group == group);
         let term = of_group.map(|server| server.term).max().unwrap_or(0) + 1;
         let server = &mut self.servers[i];
-        (server.term, server.leads, server.applied) = (term, true, server.log.len());
+        (server.term, server.is_leader, server.applied) = (term, true, server.log.len());
         let kept = server.log.len();
         let acks = self.acks.entry(group).or_default();
         let before = acks.len();
         acks.retain(|ack| ack.must.number <= kept);
         self.rolled_back += before - acks.len();
-        for asked in self.asked.values_mut().filter(|asked| asked.must.number > kept) {
-            asked.must = Must::default();
+        for sent in self.sent.values_mut().filter(|sent| sent.must.number > kept) {
+            sent.must = Must::default();
         }
         self.promotions += 1;
         true
@@ -192,18 +193,18 @@
         if leader == i || !self.servers[leader].up || !self.servers[i].up {
             return false;
         }
-        if self.servers[leader].cut || self.servers[i].cut {
+        if self.servers[leader].isolated || self.servers[i].isolated {
             return false;
         }
         let (from, term) = (self.servers[leader].log.clone(), self.servers[leader].term);
         let server = &mut self.servers[i];
         let mut changed = false;
-        if server.leads {
-            let newest = from.last().is_some_and(|entry| now > entry.at + OLD_LEADER);
+        if server.is_leader {
+            let newest = from.last().is_some_and(|entry| now > entry.at + DEMOTION_DELAY);
             if !newest {
                 return false;
             }
-            server.leads = false;
+            server.is_leader = false;
             changed = true;
         }
         let same = server.log.iter().zip(&from).take_while(|(a, b)| a.id == b.id).count();
@@ -218,21 +219,21 @@
 
     /// Notes what a caller is about to send. A read must show what was acknowledged
     /// before `since`, if that is given.
-    pub fn ask(&mut self, id: &str, mut asked: Asked, group: usize, since: Option<Instant>) {
+    pub fn ask(&mut self, id: &str, mut sent: Sent, group: usize, since: Option<Instant>) {
         if let Some(since) = since {
             let acks = self.acks.get(&group).into_iter().flatten();
             let old = acks.filter(|ack| ack.at < since).map(|ack| ack.must);
             let newest = old.max_by_key(|must| (must.term, must.number)).unwrap_or_default();
-            if newest.number > asked.must.number {
-                asked.must = newest;
+            if newest.number > sent.must.number {
+                sent.must = newest;
             }
         }
-        self.asked.insert(id.into(), asked);
+        self.sent.insert(id.into(), sent);
     }
 
     /// Notes that a caller was told that its write is kept; what it must see from now on.
     pub fn acknowledge(&mut self, id: &str, group: usize) -> Must {
-        if self.stale.contains(id) {
+        if self.replaced_commits.contains(id) {
             self.broken.push(format!("{id} was acknowledged by a replaced leader"));
         }
         let Some(leader) = self.leader(group) else { return Must::default() };
@@ -246,47 +247,47 @@
     }
 
     /// Notes that a caller was promised that nothing of a statement is kept.
-    pub fn promise(&mut self, id: &str) {
-        self.promised.insert(id.into());
+    pub fn record_not_kept(&mut self, id: &str) {
+        self.not_kept.insert(id.into());
         let kept = self
             .servers
             .iter()
-            .any(|server| server.leads && server.log.iter().any(|entry| &*entry.id == id));
+            .any(|server| server.is_leader && server.log.iter().any(|entry| &*entry.id == id));
         if kept {
             self.broken.push(format!("{id} is kept, its caller was told that nothing is"));
         }
     }
 
     /// Checks a statement that a server runs, and notes it.
-    pub fn run(&mut self, i: usize, run: &Run<'_>) {
-        let Run { id, account, text, values, rows, signature } = run;
-        self.servers[i].ran += 1;
-        let Some(asked) = self.asked.get(*id).cloned() else {
+    pub fn run(&mut self, i: usize, run: &Execution<'_>) {
+        let Execution { id, account, text, values, rows, signature } = run;
+        self.servers[i].statements_run += 1;
+        let Some(sent) = self.sent.get(*id).cloned() else {
             return self.broken.push(format!("{id} was run and never asked: {text}"));
         };
-        if *asked.account != **account {
-            self.broken.push(format!("{id} of {} ran for {account}", asked.account));
+        if *sent.account != **account {
+            self.broken.push(format!("{id} of {} ran for {account}", sent.account));
         }
-        if *asked.text != **text {
-            self.broken.push(format!("{id} asked {:?} and ran as {text:?}", asked.text));
+        if *sent.text != **text {
+            self.broken.push(format!("{id} asked {:?} and ran as {text:?}", sent.text));
         }
-        if asked.values != **values {
-            let wanted = &asked.values;
+        if sent.values != **values {
+            let wanted = &sent.values;
             self.broken.push(format!("{id} ran with values {values:?} instead of {wanted:?}"));
         }
         let server = &self.servers[i];
-        let must = asked.must;
+        let must = sent.must;
         if server.applied < must.number || (must.number > 0 && server.term < must.term) {
             let (shown, term) = (server.applied, server.term);
             let story = format!("{id} read {term}.{shown} at {}, it must see {must:?}", server.id);
             self.broken.push(story);
         }
         let account = (*account).into();
-        self.operations.entry(asked.operation).or_insert((Instant::now(), account));
-        self.runs
+        self.operations.entry(sent.operation).or_insert((Instant::now(), account));
+        self.answers
             .entry((*id).into())
             .or_default()
-            .push(Signed { signature: (*signature).into(), rows: rows.to_vec() });
+            .push(Answer { signature: (*signature).into(), rows: rows.to_vec() });
     }
 
     /// Keeps writes at a leader.
@@ -296,11 +297,11 @@
             if self.servers[i].log.iter().any(|entry| entry.id == *id) {
                 self.broken.push(format!("{id} was kept twice"));
             }
-            if self.promised.contains(id) {
+            if self.not_kept.contains(id) {
                 self.broken.push(format!("{id} was kept after its caller was told it is not"));
             }
             if replaced {
-                self.stale.insert(id.clone());
+                self.replaced_commits.insert(id.clone());
             }
             let (id, item, data) = (id.clone(), item.clone(), data.clone());
             let term = self.servers[i].term;
@@ -310,7 +311,7 @@
     }
 
     /// The most operations of an account within any such window.
-    pub fn most_within(&self, account: &str, window: Duration) -> usize {
+    pub fn max_operations(&self, account: &str, window: Duration) -> usize {
         let of_account = self.operations.values().filter(|(_, of)| &**of == account);
         let mut times: Vec<Instant> = of_account.map(|(at, _)| *at).collect();
         times.sort();
@@ -323,7 +324,7 @@
 }
 
 /// A statement as a server runs it.
-pub struct Run<'a> {
+pub struct Execution<'a> {
     /// Its id.
     pub id: &'a str,
     /// Whose connection it runs on.
--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -21,7 +21,7 @@
 pub mod store;
 pub mod world;
 
-use schedule::{Act, Step};
+use schedule::{Action, Step};
 use world::World;
 
 /// Settings of a soak.
@@ -63,14 +63,14 @@
 }
 
 /// How long hosts may take to serve at the start, and again after the last fault.
-const SERVES_WITHIN: Duration = Duration::from_secs(20);
+const SERVING_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// After a key's withdrawal: how soon nothing may run for it any more. The bound
 /// of the settings, and a second for what was already on its way.
-const WITHDRAWN_WITHIN: Duration = Duration::from_millis(4500);
+const WITHDRAWAL_TIMEOUT: Duration = Duration::from_millis(4500);
 
 /// How soon all hosts must know a configuration: the bound of the settings.
-const KNOWN_WITHIN: Duration = Duration::from_millis(3000);
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// What a soak showed.
 #[derive(Debug, Default)]
@@ -125,12 +125,12 @@
     }
     let (length, servers) = (Duration::from_secs(args.secs), world::GROUPS * 3);
     let mut steps = match (args.herd, args.grow) {
-        (true, _) => schedule::herd(length, servers),
-        (_, true) => schedule::draw_growth(seed, length, args.hosts),
-        _ => schedule::draw(seed, length, args.hosts, servers),
+        (true, _) => schedule::mass_restarts(length, servers),
+        (_, true) => schedule::generate_growth(seed, length, args.hosts),
+        _ => schedule::generate(seed, length, args.hosts, servers),
     };
     if args.links {
-        steps.extend(schedule::draw_links(seed, length, args.hosts, servers));
+        steps.extend(schedule::generate_link_faults(seed, length, args.hosts, servers));
         steps.sort_by_key(|step| step.at);
     }
     steps
@@ -139,7 +139,7 @@
 async fn play(seed: u64, steps: &[Step], args: &SoakArgs) -> anyhow::Result<Outcome> {
     let large = if args.grow { world::LARGE_HOSTS } else { 0 };
     let world = Rc::new(RefCell::new(World::start_sized(args.hosts, large)?));
-    monoio::spawn(World::keep(world.clone()));
+    monoio::spawn(World::maintain(world.clone()));
     let stop = Rc::new(Cell::new(false));
     for caller in world.borrow().make_callers(args.callers) {
         monoio::spawn(caller.run(stop.clone()));
@@ -160,8 +160,8 @@
     (outcome.promotions, outcome.rolled_back) = (groups.promotions, groups.rolled_back);
     drop(groups);
     (outcome.served, outcome.refused) = (world.served.get(), world.refused.get());
-    outcome.broken.extend(world.over_rates());
-    let stale = world.store.borrow().stale_tokens;
+    outcome.broken.extend(world.rate_violations());
+    let stale = world.store.borrow().lower_tokens;
     if stale > 0 {
         outcome.broken.push(format!("{stale} promotions with a token lower than one before"));
     }
@@ -175,26 +175,26 @@
 /// Makes the faults, each undone when its time is over.
 async fn make(world: &Rc<RefCell<World>>, steps: &[Step]) -> anyhow::Result<()> {
     let began = Instant::now();
-    let mut undo: Vec<(Duration, Step)> = Vec::new();
+    let mut revert: Vec<(Duration, Step)> = Vec::new();
     let mut withdrawn: Option<Instant> = None;
     let mut next = steps.iter().peekable();
-    while next.peek().is_some() || !undo.is_empty() {
+    while next.peek().is_some() || !revert.is_empty() {
         monoio::time::sleep(Duration::from_millis(20)).await;
         let now = began.elapsed();
         let all = world.clone();
         let mut world = world.borrow_mut();
         while let Some(step) = next.next_if(|step| step.at <= now) {
             step.make(&mut world)?;
-            if let (Act::Grow(_), Some(database)) = (step.act, world.newest_database()) {
-                monoio::spawn(check_known(all.clone(), database));
+            if let (Action::Grow(_), Some(database)) = (step.action, world.newest_database()) {
+                monoio::spawn(check_database_served(all.clone(), database));
             }
-            undo.push((step.at + step.lasts, *step));
+            revert.push((step.at + step.duration, *step));
         }
         let due: Vec<Step> =
-            undo.iter().filter(|(at, _)| *at <= now).map(|(_, step)| *step).collect();
-        undo.retain(|(at, _)| *at > now);
-        due.iter().try_for_each(|step| step.undo(&mut world))?;
-        world.start_ended()?;
+            revert.iter().filter(|(at, _)| *at <= now).map(|(_, step)| *step).collect();
+        revert.retain(|(at, _)| *at > now);
+        due.iter().try_for_each(|step| step.revert(&mut world))?;
+        world.restart_ended()?;
         check_withdrawn(&world, &mut withdrawn);
     }
     Ok(())
@@ -206,7 +206,7 @@
         *since = None;
         return;
     }
-    let end = *since.get_or_insert_with(Instant::now) + WITHDRAWN_WITHIN;
+    let end = *since.get_or_insert_with(Instant::now) + WITHDRAWAL_TIMEOUT;
     let mut groups = world.groups.borrow_mut();
     let late = groups.operations.values();
     let late = late.filter(|(at, account)| &**account == "hartwell" && *at > end).count();
@@ -216,12 +216,13 @@
 }
 
 /// Checks that all hosts know a database within the bound after it was added.
-async fn check_known(world: Rc<RefCell<World>>, database: String) {
-    monoio::time::sleep(KNOWN_WITHIN).await;
+async fn check_database_served(world: Rc<RefCell<World>>, database: String) {
+    monoio::time::sleep(CONFIGURATION_TIMEOUT).await;
     let (hosts, groups) = (world.borrow().callers.clone(), world.borrow().groups.clone());
     for host in hosts {
-        if !caller::knows(host, &database).await {
-            let story = format!("{database} is not known at {host} after {KNOWN_WITHIN:?}");
+        if !caller::serves_database(host, &database).await {
+            let story =
+                format!("{database} is not known at {host} after {CONFIGURATION_TIMEOUT:?}");
             groups.borrow_mut().broken.push(story);
         }
     }
@@ -232,8 +233,8 @@
     let served = world.borrow().served.clone();
     let (before, began) = (served.get(), Instant::now());
     while served.get() < before + 100 {
-        let late = began.elapsed() > SERVES_WITHIN;
-        anyhow::ensure!(!late, "{} statements in {SERVES_WITHIN:?}", served.get() - before);
+        let late = began.elapsed() > SERVING_TIMEOUT;
+        anyhow::ensure!(!late, "{} statements in {SERVING_TIMEOUT:?}", served.get() - before);
         monoio::time::sleep(Duration::from_millis(50)).await;
     }
     Ok(())
--- a/lab/src/soak/schedule.rs
+++ b/lab/src/soak/schedule.rs
@@ -9,11 +9,11 @@
 
 /// The least and the most time between two steps, in milliseconds. Faults last
 /// longer, so that they overlap.
-const PAUSE_MS: std::ops::Range<u64> = 100..1300;
+const STEP_INTERVAL_MS: std::ops::Range<u64> = 100..1300;
 
 /// What is done to the system.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// A host's process is killed, and started again.
     KillHost(usize),
     /// All hosts' processes are killed at once, and started again.
@@ -74,9 +74,9 @@
     /// Since the start of the load.
     pub at: Duration,
     /// How long it lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What is done.
-    pub act: Act,
+    pub action: Action,
 }
 
 impl fmt::Display for Step {
@@ -85,43 +85,43 @@
             f,
             "{:6.2} s, for {:.2} s: {:?}",
             self.at.as_secs_f64(),
-            self.lasts.as_secs_f64(),
-            self.act
+            self.duration.as_secs_f64(),
+            self.action
         )
     }
 }
 
 /// Draws the steps of a seed: the same seed, the same steps.
-pub fn draw(seed: u64, length: Duration, hosts: usize, servers: usize) -> Vec<Step> {
+pub fn generate(seed: u64, length: Duration, hosts: usize, servers: usize) -> Vec<Step> {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut at = Duration::from_millis(random.random_range(PAUSE_MS));
+    let mut at = Duration::from_millis(random.random_range(STEP_INTERVAL_MS));
     let mut steps = Vec::new();
     while at < length {
-        let lasts = Duration::from_millis(random.random_range(200..4500));
+        let duration = Duration::from_millis(random.random_range(200..4500));
         let (host, server) = (random.random_range(0..hosts), random.random_range(0..servers));
-        let act = match random.random_range(0..22) {
-            0 | 1 => Act::KillHost(host),
-            2 => Act::KillAll,
-            3 | 4 => Act::PauseHost(host),
-            5 => Act::StopHost(host),
-            6 => Act::Reload(host),
-            7 => Act::KillServer(server),
-            8 | 9 => Act::KillLeader(server / 3),
-            10 => Act::CutServer(server),
-            11 => Act::SilenceServer(server),
-            12 => Act::DelayServer(server),
-            13 => Act::ResetServer(server),
-            14 => Act::Lag(server),
-            15 => Act::LoseAnswers(server),
-            16 => Act::CutStore(host),
-            17 => Act::StoreDown,
-            18 => Act::StoreSlow,
-            19 => Act::StoreLoses,
-            20 => Act::Configure,
-            _ => Act::Withdraw,
+        let action = match random.random_range(0..22) {
+            0 | 1 => Action::KillHost(host),
+            2 => Action::KillAll,
+            3 | 4 => Action::PauseHost(host),
+            5 => Action::StopHost(host),
+            6 => Action::Reload(host),
+            7 => Action::KillServer(server),
+            8 | 9 => Action::KillLeader(server / 3),
+            10 => Action::CutServer(server),
+            11 => Action::SilenceServer(server),
+            12 => Action::DelayServer(server),
+            13 => Action::ResetServer(server),
+            14 => Action::Lag(server),
+            15 => Action::LoseAnswers(server),
+            16 => Action::CutStore(host),
+            17 => Action::StoreDown,
+            18 => Action::StoreSlow,
+            19 => Action::StoreLoses,
+            20 => Action::Configure,
+            _ => Action::Withdraw,
         };
-        steps.push(Step { at, lasts, act });
-        at += Duration::from_millis(random.random_range(PAUSE_MS));
+        steps.push(Step { at, duration, action });
+        at += Duration::from_millis(random.random_range(STEP_INTERVAL_MS));
     }
     steps
 }
@@ -129,133 +129,140 @@
 /// All hosts die together and come back at once, again and again, while an account asks
 /// for more than its rate. In between replicas fall behind and leaders die, the second
 /// one soon after it has begun to lead.
-pub fn herd(length: Duration, servers: usize) -> Vec<Step> {
+pub fn mass_restarts(length: Duration, servers: usize) -> Vec<Step> {
     let ms = Duration::from_millis;
     let mut steps = Vec::new();
     let mut round = ms(1500);
     while round < length {
-        let mut add = |at: u64, lasts: u64, act| {
-            steps.push(Step { at: round + ms(at), lasts: ms(lasts), act });
+        let mut add = |at: u64, duration: u64, action| {
+            steps.push(Step { at: round + ms(at), duration: ms(duration), action });
         };
-        add(0, 300, Act::KillAll);
+        add(0, 300, Action::KillAll);
         for group in 0..servers / 3 {
-            (0..3).for_each(|n| add(1300, 2500, Act::Lag(group * 3 + n)));
-            add(1800, 2200, Act::KillLeader(group));
-            add(2600, 900, Act::KillLeader(group));
+            (0..3).for_each(|n| add(1300, 2500, Action::Lag(group * 3 + n)));
+            add(1800, 2200, Action::KillLeader(group));
+            add(2600, 900, Action::KillLeader(group));
         }
-        add(3300, 500, Act::KillAll);
+        add(3300, 500, Action::KillAll);
         round += ms(5500);
     }
     steps
 }
 
 /// Draws the steps of a seed that disturb links between hosts and have servers leave.
-pub fn draw_links(seed: u64, length: Duration, hosts: usize, servers: usize) -> Vec<Step> {
+pub fn generate_link_faults(
+    seed: u64,
+    length: Duration,
+    hosts: usize,
+    servers: usize,
+) -> Vec<Step> {
     let mut random = StdRng::seed_from_u64(!seed);
-    let mut at = Duration::from_millis(random.random_range(PAUSE_MS));
+    let mut at = Duration::from_millis(random.random_range(STEP_INTERVAL_MS));
     let mut steps = Vec::new();
     while at < length {
-        let lasts = Duration::from_millis(random.random_range(300..6000));
+        let duration = Duration::from_millis(random.random_range(300..6000));
         let (host, server) = (random.random_range(0..hosts), random.random_range(0..servers));
-        let act = match random.random_range(0..6) {
-            0 | 1 => Act::CutHost(host),
-            2 => Act::SilenceHost(host),
-            3 => Act::DelayHost(host),
-            4 => Act::ResetHost(host),
-            _ => Act::Leave(server),
+        let action = match random.random_range(0..6) {
+            0 | 1 => Action::CutHost(host),
+            2 => Action::SilenceHost(host),
+            3 => Action::DelayHost(host),
+            4 => Action::ResetHost(host),
+            _ => Action::Leave(server),
         };
-        steps.push(Step { at, lasts, act });
-        at += Duration::from_millis(random.random_range(PAUSE_MS)) * 2;
+        steps.push(Step { at, duration, action });
+        at += Duration::from_millis(random.random_range(STEP_INTERVAL_MS)) * 2;
     }
     steps
 }
 
 /// Draws the steps of a seed that let the configuration grow, over links that are slow all
 /// the while and are reset now and then.
-pub fn draw_growth(seed: u64, length: Duration, hosts: usize) -> Vec<Step> {
+pub fn generate_growth(seed: u64, length: Duration, hosts: usize) -> Vec<Step> {
     let mut random = StdRng::seed_from_u64(seed.rotate_left(32));
-    let mut steps = vec![Step { at: Duration::ZERO, lasts: length, act: Act::SlowLinks }];
-    let mut at = Duration::from_millis(random.random_range(PAUSE_MS));
+    let mut steps = vec![Step { at: Duration::ZERO, duration: length, action: Action::SlowLinks }];
+    let mut at = Duration::from_millis(random.random_range(STEP_INTERVAL_MS));
     while at < length {
-        let lasts = Duration::from_millis(random.random_range(500..5000));
-        let act = match random.random_range(0..2) {
-            0 => Act::Grow(random.random_range(100..1500)),
-            _ => Act::ResetHost(random.random_range(0..hosts)),
+        let duration = Duration::from_millis(random.random_range(500..5000));
+        let action = match random.random_range(0..2) {
+            0 => Action::Grow(random.random_range(100..1500)),
+            _ => Action::ResetHost(random.random_range(0..hosts)),
         };
-        steps.push(Step { at, lasts, act });
-        at += Duration::from_millis(random.random_range(PAUSE_MS));
+        steps.push(Step { at, duration, action });
+        at += Duration::from_millis(random.random_range(STEP_INTERVAL_MS));
     }
     steps
 }
 
 impl Step {
-    /// Makes the fault; it is undone by [`Step::undo`].
+    /// Makes the fault; it is undone by [`Step::revert`].
     pub fn make(&self, world: &mut World) -> anyhow::Result<()> {
         let link = |server: usize| format!("s{server}");
         let peer = |host: usize| format!("peer{host}");
-        match self.act {
-            Act::KillHost(host) => world.hosts[host].kill(),
-            Act::KillAll => world.hosts.iter_mut().for_each(|host| host.kill()),
+        match self.action {
+            Action::KillHost(host) => world.hosts[host].kill(),
+            Action::KillAll => world.hosts.iter_mut().for_each(|host| host.kill()),
             // A host that another step has ended cannot be signalled: nothing to do.
-            Act::PauseHost(host) => drop(world.hosts[host].signal(libc::SIGSTOP)),
-            Act::StopHost(host) => drop(world.hosts[host].signal(libc::SIGTERM)),
-            Act::Reload(host) => drop(world.hosts[host].signal(libc::SIGHUP)),
-            Act::KillServer(server) => world.standins[server].stop(),
-            Act::KillLeader(group) => world.stop_leader(group),
-            Act::CutServer(server) => world.links.set(&link(server), &cut()),
-            Act::SilenceServer(server) => world.links.set(&link(server), &silence()),
-            Act::DelayServer(server) => world.links.set(&link(server), &delay()),
-            Act::CutHost(host) => world.links.set(&peer(host), &cut()),
-            Act::SilenceHost(host) => world.links.set(&peer(host), &silence()),
-            Act::DelayHost(host) => world.links.set(&peer(host), &delay()),
-            Act::ResetHost(host) => world.links.reset(&peer(host)),
-            Act::Leave(server) => world.leave(server),
-            Act::Grow(count) => drop(world.add_databases(count)),
-            Act::SlowLinks => set_slow(world, &slow()),
-            Act::ResetServer(server) => world.links.reset(&link(server)),
-            Act::Lag(server) => {
+            Action::PauseHost(host) => drop(world.hosts[host].signal(libc::SIGSTOP)),
+            Action::StopHost(host) => drop(world.hosts[host].signal(libc::SIGTERM)),
+            Action::Reload(host) => drop(world.hosts[host].signal(libc::SIGHUP)),
+            Action::KillServer(server) => world.standins[server].stop(),
+            Action::KillLeader(group) => world.stop_leader(group),
+            Action::CutServer(server) => world.links.set(&link(server), &cut()),
+            Action::SilenceServer(server) => world.links.set(&link(server), &silence()),
+            Action::DelayServer(server) => world.links.set(&link(server), &delay()),
+            Action::CutHost(host) => world.links.set(&peer(host), &cut()),
+            Action::SilenceHost(host) => world.links.set(&peer(host), &silence()),
+            Action::DelayHost(host) => world.links.set(&peer(host), &delay()),
+            Action::ResetHost(host) => world.links.reset(&peer(host)),
+            Action::Leave(server) => world.start_draining(server),
+            Action::Grow(count) => drop(world.add_databases(count)),
+            Action::SlowLinks => set_slow(world, &slow()),
+            Action::ResetServer(server) => world.links.reset(&link(server)),
+            Action::Lag(server) => {
                 world.groups.borrow_mut().servers[server].lag = Duration::from_millis(2500);
             }
-            Act::LoseAnswers(server) => world.groups.borrow_mut().servers[server].lose = 0.1,
-            Act::CutStore(host) => world.links.set(&format!("store{host}"), &cut()),
-            Act::StoreDown => world.store.borrow_mut().faults.down = true,
-            Act::StoreSlow => world.store.borrow_mut().faults.slow = Duration::from_millis(250),
-            Act::StoreLoses => world.store.borrow_mut().faults.lose = 2,
-            Act::Configure => world.configure(),
-            Act::Withdraw => world.withdraw(),
+            Action::LoseAnswers(server) => world.groups.borrow_mut().servers[server].loss = 0.1,
+            Action::CutStore(host) => world.links.set(&format!("store{host}"), &cut()),
+            Action::StoreDown => world.store.borrow_mut().faults.down = true,
+            Action::StoreSlow => world.store.borrow_mut().faults.delay = Duration::from_millis(250),
+            Action::StoreLoses => world.store.borrow_mut().faults.lost_answers = 2,
+            Action::Configure => world.configure(),
+            Action::Withdraw => world.withdraw_key(),
         }
         Ok(())
     }
 
     /// Undoes the fault.
-    pub fn undo(&self, world: &mut World) -> anyhow::Result<()> {
-        match self.act {
-            Act::KillHost(host) => world.hosts[host].start()?,
-            Act::KillAll => world.hosts.iter_mut().try_for_each(|host| host.start())?,
-            Act::PauseHost(host) => drop(world.hosts[host].signal(libc::SIGCONT)),
-            Act::StopHost(_) => {}
-            Act::KillServer(server) => world.groups.borrow_mut().servers[server].up = true,
-            Act::KillLeader(group) => world.start_group(group),
-            Act::CutServer(server) | Act::SilenceServer(server) | Act::DelayServer(server) => {
+    pub fn revert(&self, world: &mut World) -> anyhow::Result<()> {
+        match self.action {
+            Action::KillHost(host) => world.hosts[host].start()?,
+            Action::KillAll => world.hosts.iter_mut().try_for_each(|host| host.start())?,
+            Action::PauseHost(host) => drop(world.hosts[host].signal(libc::SIGCONT)),
+            Action::StopHost(_) => {}
+            Action::KillServer(server) => world.groups.borrow_mut().servers[server].up = true,
+            Action::KillLeader(group) => world.start_group(group),
+            Action::CutServer(server)
+            | Action::SilenceServer(server)
+            | Action::DelayServer(server) => {
                 world.links.set(&format!("s{server}"), &Fault::default());
             }
-            Act::CutHost(host) | Act::SilenceHost(host) | Act::DelayHost(host) => {
+            Action::CutHost(host) | Action::SilenceHost(host) | Action::DelayHost(host) => {
                 world.links.set(&format!("peer{host}"), &Fault::default());
             }
-            Act::Leave(server) => world.stay(server),
-            Act::SlowLinks => set_slow(world, &Fault::default()),
-            Act::ResetHost(_) => {}
-            Act::Lag(server) => world.groups.borrow_mut().servers[server].lag = Duration::ZERO,
-            Act::LoseAnswers(server) => world.groups.borrow_mut().servers[server].lose = 0.0,
-            Act::CutStore(host) => world.links.set(&format!("store{host}"), &Fault::default()),
-            Act::StoreDown => world.store.borrow_mut().faults.down = false,
-            Act::StoreSlow => world.store.borrow_mut().faults.slow = Duration::ZERO,
-            Act::Withdraw => world.give_back(),
-            Act::Reload(_)
-            | Act::ResetServer(_)
-            | Act::StoreLoses
-            | Act::Configure
-            | Act::Grow(_) => {}
+            Action::Leave(server) => world.stop_draining(server),
+            Action::SlowLinks => set_slow(world, &Fault::default()),
+            Action::ResetHost(_) => {}
+            Action::Lag(server) => world.groups.borrow_mut().servers[server].lag = Duration::ZERO,
+            Action::LoseAnswers(server) => world.groups.borrow_mut().servers[server].loss = 0.0,
+            Action::CutStore(host) => world.links.set(&format!("store{host}"), &Fault::default()),
+            Action::StoreDown => world.store.borrow_mut().faults.down = false,
+            Action::StoreSlow => world.store.borrow_mut().faults.delay = Duration::ZERO,
+            Action::Withdraw => world.restore_key(),
+            Action::Reload(_)
+            | Action::ResetServer(_)
+            | Action::StoreLoses
+            | Action::Configure
+            | Action::Grow(_) => {}
         }
         Ok(())
     }
--- a/lab/src/soak/server.rs
+++ b/lab/src/soak/server.rs
@@ -18,23 +18,23 @@
     sync::{Notify, Semaphore},
 };
 
-use super::group::{Groups, Run};
+use super::group::{Execution, Groups};
 
 /// Statements that a server runs at once.
 pub const SLOTS: usize = 5;
 
 /// Connections that a server takes.
-pub const CONNECTIONS: usize = 34;
+pub const MAX_CONNECTIONS: usize = 34;
 
 /// How long a new connection takes a slot.
-const CONNECT: Duration = Duration::from_millis(4);
+const CONNECT_DURATION: Duration = Duration::from_millis(4);
 
 type Values = BTreeMap<Box<str>, Box<str>>;
 
 /// A stand-in server.
 pub struct Standin {
     /// Its place among all servers.
-    pub place: usize,
+    pub index: usize,
     /// Its name, and that of its group.
     pub names: [Box<str>; 2],
     groups: Rc<RefCell<Groups>>,
@@ -68,13 +68,13 @@
 
 impl Standin {
     /// A server that does not listen yet.
-    pub fn new(place: usize, names: [Box<str>; 2], groups: Rc<RefCell<Groups>>) -> Rc<Self> {
+    pub fn new(index: usize, names: [Box<str>; 2], groups: Rc<RefCell<Groups>>) -> Rc<Self> {
         Rc::new(Self {
-            place,
+            index,
             names,
             groups,
             slots: Semaphore::new(SLOTS),
-            open: Semaphore::new(CONNECTIONS),
+            open: Semaphore::new(MAX_CONNECTIONS),
             stopped: Notify::new(),
         })
     }
@@ -82,7 +82,7 @@
     /// Listens while the server is up, for ever: connections are refused in between.
     pub async fn run(self: Rc<Self>, address: SocketAddr) {
         loop {
-            if !self.groups.borrow().servers[self.place].up {
+            if !self.groups.borrow().servers[self.index].up {
                 monoio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             }
@@ -104,7 +104,7 @@
 
     /// Ends its process: all connections with it.
     pub fn stop(&self) {
-        self.groups.borrow_mut().servers[self.place].up = false;
+        self.groups.borrow_mut().servers[self.index].up = false;
         self.stopped.notify_waiters();
     }
 
@@ -139,7 +139,7 @@
             failed: false,
         };
         if let Ok(_slot) = self.slots.acquire().await {
-            monoio::time::sleep(CONNECT).await;
+            monoio::time::sleep(CONNECT_DURATION).await;
         }
         io.write_all(self.ready("I").as_bytes()).await?;
         loop {
@@ -175,7 +175,7 @@
 
     fn ready(&self, state: &str) -> String {
         let groups = self.groups.borrow();
-        let server = &groups.servers[self.place];
+        let server = &groups.servers[self.index];
         format!("READY {state} {}.{}\r\n", server.term, server.applied)
     }
 }
@@ -205,8 +205,8 @@
             }
             "STATUS" => {
                 let groups = self.standin.groups.borrow();
-                let server = &groups.servers[self.standin.place];
-                let role = if server.leads { "primary" } else { "replica" };
+                let server = &groups.servers[self.standin.index];
+                let role = if server.is_leader { "primary" } else { "replica" };
                 let (term, received) = (server.term, server.log.len());
                 let row = format!("{role} {term} {term}.{received} {term} 0 0 0");
                 Reply::Done(vec![row.into()], "-".into())
@@ -222,7 +222,7 @@
                     return Reply::Error("BEHIND");
                 }
                 let writes_allowed = rest.is_empty();
-                if writes_allowed && !self.leads() {
+                if writes_allowed && !self.is_leader() {
                     return Reply::Error("READONLY");
                 }
                 let (session, writes) = (None, Vec::new());
@@ -235,7 +235,7 @@
 
     fn shows(&self, after: Option<&str>) -> bool {
         let groups = self.standin.groups.borrow();
-        let server = &groups.servers[self.standin.place];
+        let server = &groups.servers[self.standin.index];
         let point = after.and_then(|text| text.split_once('.'));
         let point = point.and_then(|(t, n)| Some((t.parse::<u64>().ok()?, n.parse().ok()?)));
         point.is_none_or(|(term, number): (u64, usize)| {
@@ -243,8 +243,8 @@
         })
     }
 
-    fn leads(&self) -> bool {
-        self.standin.groups.borrow().servers[self.standin.place].leads
+    fn is_leader(&self) -> bool {
+        self.standin.groups.borrow().servers[self.standin.index].is_leader
     }
 
     async fn work(&mut self, id: &str, verb: &str, rest: &str, after: Option<&str>) -> Reply {
@@ -265,7 +265,7 @@
         let write = verb == "WRITE" || text.starts_with("EXECUTE WRITE ");
         let allowed = self.transaction.as_ref().is_none_or(|open| open.writes_allowed);
         let plain = self.transaction.as_ref().is_some_and(|open| open.writes_allowed);
-        if (write || plain) && !(self.leads() && allowed) {
+        if (write || plain) && !(self.is_leader() && allowed) {
             return Reply::Error("READONLY");
         }
         if !self.same_session(id) {
@@ -279,31 +279,32 @@
         let mut groups = standin.groups.borrow_mut();
         let item = args.first().copied().unwrap_or_default();
         let own = self.transaction.iter().flat_map(|open| &open.writes);
-        let server = &groups.servers[standin.place];
+        let server = &groups.servers[standin.index];
         let kept = server.log[..server.applied].iter().map(|e| (&e.id, &e.item, &e.data));
         let seen = kept.chain(own.map(|(id, item, data)| (id, item, data)));
         let newest = seen.rev().find(|(_, of, _)| &***of == item);
         let read = !write && verb != "COMMIT";
         let rows: Vec<Box<str>> =
             newest.filter(|_| read).map(|(_, _, data)| data.clone()).into_iter().collect();
-        let signature = format!("{:x}.{}", rand::random::<u64>(), standin.place);
+        let signature = format!("{:x}.{}", rand::random::<u64>(), standin.index);
         let (account, values) = (&*self.account, &self.values);
-        let run = Run { id, account, text: &text, values, rows: &rows, signature: &signature };
-        groups.run(standin.place, &run);
+        let run =
+            Execution { id, account, text: &text, values, rows: &rows, signature: &signature };
+        groups.run(standin.index, &run);
         if write {
             let data = args.get(1).copied().unwrap_or_default();
             let write = (id.into(), item.into(), data.into());
             match &mut self.transaction {
                 Some(open) => open.writes.push(write),
-                None => groups.commit(standin.place, &[write]),
+                None => groups.commit(standin.index, &[write]),
             }
         }
         if verb == "COMMIT"
             && let Some(open) = self.transaction.take()
         {
-            groups.commit(standin.place, &open.writes);
+            groups.commit(standin.index, &open.writes);
         }
-        if rand::random_bool(groups.servers[standin.place].lose) {
+        if rand::random_bool(groups.servers[standin.index].loss) {
             return Reply::Lost;
         }
         Reply::Done(rows, signature.into())
@@ -312,9 +313,9 @@
     /// Whether the transaction is of the session that asked for the statement.
     fn same_session(&mut self, id: &str) -> bool {
         let groups = self.standin.groups.borrow();
-        let asked = groups.asked.get(id).map(|asked| asked.operation.0);
+        let sent = groups.sent.get(id).map(|sent| sent.operation.0);
         match &mut self.transaction {
-            Some(open) => *open.session.get_or_insert(asked.unwrap_or(0)) == asked.unwrap_or(0),
+            Some(open) => *open.session.get_or_insert(sent.unwrap_or(0)) == sent.unwrap_or(0),
             None => true,
         }
     }
--- a/lab/src/soak/store.rs
+++ b/lab/src/soak/store.rs
@@ -17,7 +17,7 @@
 use super::group::Groups;
 
 /// The longest that a caller is made to wait for a change.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
 /// What is wrong with the store.
 #[derive(Clone, Debug, Default)]
@@ -25,9 +25,9 @@
     /// Nothing is answered.
     pub down: bool,
     /// Each answer takes this long.
-    pub slow: Duration,
+    pub delay: Duration,
     /// So many answers to writes are lost after the change was made.
-    pub lose: u32,
+    pub lost_answers: u32,
 }
 
 #[derive(Clone)]
@@ -47,12 +47,12 @@
     /// The greatest token that the promotion call was made with.
     token: u64,
     /// Calls with a token lower than one before.
-    pub stale_tokens: usize,
+    pub lower_tokens: usize,
     /// Changes that hosts have asked for.
     pub changes: usize,
     /// Where hosts reach each other instead of where they listen: a host's row is
     /// kept with the address of a link to it.
-    pub moved: BTreeMap<SocketAddr, SocketAddr>,
+    pub peer_links: BTreeMap<SocketAddr, SocketAddr>,
 }
 
 impl Default for Store {
@@ -63,9 +63,9 @@
             rows: BTreeMap::new(),
             faults: Faults::default(),
             token: 0,
-            stale_tokens: 0,
+            lower_tokens: 0,
             changes: 0,
-            moved: BTreeMap::new(),
+            peer_links: BTreeMap::new(),
         }
     }
 }
@@ -86,7 +86,7 @@
         self.rows.insert((table.into(), key.into()), row);
     }
 
-    fn show(&self, table: &str, pick: impl Fn(&Row) -> bool) -> Value {
+    fn page(&self, table: &str, pick: impl Fn(&Row) -> bool) -> Value {
         let mut rows: Vec<_> =
             self.rows.iter().filter(|((of, _), row)| &**of == table && pick(row)).collect();
         rows.sort_by_key(|(_, row)| row.version);
@@ -117,7 +117,7 @@
         }
         self.version += 1;
         for entry in list("setKeys") {
-            let value = self.move_peer(entry["value"].as_str().unwrap_or_default());
+            let value = self.replace_peer_address(entry["value"].as_str().unwrap_or_default());
             let row = Row { value, version: self.version, removed: false };
             self.rows.insert(name(&entry), row);
         }
@@ -130,11 +130,11 @@
     }
 
     /// A row with the address of the link in place of the host's own.
-    fn move_peer(&self, value: &str) -> Box<str> {
+    fn replace_peer_address(&self, value: &str) -> Box<str> {
         let decoded = STANDARD.decode(value).unwrap_or_default();
         let Ok(mut row) = serde_json::from_slice::<Value>(&decoded) else { return value.into() };
         let peer = row["peer"].as_str().and_then(|text| text.parse().ok());
-        let Some(link) = peer.and_then(|peer: SocketAddr| self.moved.get(&peer)) else {
+        let Some(link) = peer.and_then(|peer: SocketAddr| self.peer_links.get(&peer)) else {
             return value.into();
         };
         row["peer"] = json!(link);
@@ -162,27 +162,27 @@
     if faults.down {
         monoio::time::sleep(Duration::from_secs(3600)).await;
     }
-    monoio::time::sleep(faults.slow.max(Duration::from_millis(1))).await;
+    monoio::time::sleep(faults.delay.max(Duration::from_millis(1))).await;
     let query: BTreeMap<&str, &str> =
         request.query.split('&').filter_map(|pair| pair.split_once('=')).collect();
     let table = query.get("table").copied().unwrap_or_default();
     match &*request.path {
-        "/-/rows-get" => Reply::json(StatusCode::OK, &store.borrow().show(table, |r| !r.removed)),
+        "/-/rows-get" => Reply::json(StatusCode::OK, &store.borrow().page(table, |r| !r.removed)),
         "/-/rows-feed" => {
             let number = |name| query.get(name).and_then(|text| text.parse::<u64>().ok());
             let after = number("after").unwrap_or(0);
-            let wait = Duration::from_millis(number("waitMs").unwrap_or(0)).min(LONGEST_WAIT);
+            let wait = Duration::from_millis(number("waitMs").unwrap_or(0)).min(MAX_WAIT);
             let end = Instant::now() + wait;
             while !store.borrow().changed(table, after) && Instant::now() < end {
                 monoio::time::sleep(Duration::from_millis(5)).await;
             }
-            Reply::json(StatusCode::OK, &store.borrow().show(table, |row| row.version > after))
+            Reply::json(StatusCode::OK, &store.borrow().page(table, |row| row.version > after))
         }
         "/-/rows-tx" => {
             let reply = store.borrow_mut().change(&body);
-            let lost = store.borrow().faults.lose > 0;
+            let lost = store.borrow().faults.lost_answers > 0;
             if lost {
-                store.borrow_mut().faults.lose -= 1;
+                store.borrow_mut().faults.lost_answers -= 1;
                 monoio::time::sleep(Duration::from_secs(3600)).await;
             }
             reply
@@ -200,7 +200,7 @@
     let mut store = store.borrow_mut();
     let token = request.header("x-fencing-token").and_then(|text| text.parse().ok()).unwrap_or(0);
     if token < store.token {
-        store.stale_tokens += 1;
+        store.lower_tokens += 1;
     }
     store.token = store.token.max(token);
     let id = body["instanceId"].as_str().unwrap_or_default();
--- a/lab/src/soak/world.rs
+++ b/lab/src/soak/world.rs
@@ -14,7 +14,7 @@
 use super::{
     caller::{Caller, Database},
     group::{Groups, Server},
-    server::{CONNECTIONS, SLOTS, Standin},
+    server::{MAX_CONNECTIONS, SLOTS, Standin},
     store::{self, Store},
 };
 use crate::{
@@ -35,11 +35,11 @@
 pub const LARGE_HOSTS: usize = 2;
 
 /// Processor shares of a host of the usual size, and of a large one.
-const SMALL: f64 = 0.25;
-const LARGE: f64 = 0.5;
+const SMALL_CPU_SHARE: f64 = 0.25;
+const LARGE_CPU_SHARE: f64 = 0.5;
 
 /// How long an entry stays after its server has ended: three heartbeats.
-const ENTRY_FOR: Duration = Duration::from_millis(1500);
+const ENTRY_TTL: Duration = Duration::from_millis(1500);
 
 /// The system.
 pub struct World {
@@ -67,10 +67,10 @@
     addresses: RefCell<Vec<SocketAddr>>,
     version: Cell<u64>,
     /// Databases beside those that callers use.
-    further: Cell<usize>,
+    extra_databases: Cell<usize>,
     withdrawn: Cell<bool>,
     /// Whether entries of servers that ended stay in the list.
-    pub keeps_entries: Cell<bool>,
+    pub retain_entries: Cell<bool>,
     dir: tempfile::TempDir,
     _ports: Ports,
 }
@@ -89,14 +89,14 @@
         let (links, groups) = (Links::default(), Rc::new(RefCell::new(Groups::default())));
         let mut standins = Vec::new();
         let mut addresses = Vec::new();
-        for place in 0..GROUPS * 3 {
-            let group = place / 3;
-            let id: Box<str> = format!("i-{place}").into();
+        for index in 0..GROUPS * 3 {
+            let group = index / 3;
+            let id: Box<str> = format!("i-{index}").into();
             let names = [id.clone(), format!("g{group}").into()];
-            groups.borrow_mut().servers.push(server(id, group, place % 3 == 0));
-            let standin = Standin::new(place, names, groups.clone());
+            groups.borrow_mut().servers.push(server(id, group, index % 3 == 0));
+            let standin = Standin::new(index, names, groups.clone());
             let (listen, to) = (ports.address()?, ports.address()?);
-            links.add(Add { name: format!("s{place}").into(), listen, to })?;
+            links.add(Add { name: format!("s{index}").into(), listen, to })?;
             monoio::spawn(standin.clone().run(to));
             standins.push(standin);
             addresses.push(listen);
@@ -120,22 +120,27 @@
             refused: Rc::default(),
             addresses: RefCell::new(addresses),
             version: Cell::new(1),
-            further: Cell::default(),
+            extra_databases: Cell::default(),
             withdrawn: Cell::default(),
-            keeps_entries: Cell::default(),
+            retain_entries: Cell::default(),
             dir,
             _ports: ports,
         };
         world.configure();
-        (0..GROUPS * 3).for_each(|place| world.list(place));
+        (0..GROUPS * 3).for_each(|index| world.list(index));
         for number in 0..hosts {
-            let power = if number < large { LARGE } else { SMALL };
-            world.add_host(number, power, platform)?;
+            let cpu_share = if number < large { LARGE_CPU_SHARE } else { SMALL_CPU_SHARE };
+            world.add_host(number, cpu_share, platform)?;
         }
         Ok(world)
     }
 
-    fn add_host(&mut self, number: usize, power: f64, platform: SocketAddr) -> anyhow::Result<()> {
+    fn add_host(
+        &mut self,
+        number: usize,
+        cpu_share: f64,
+        platform: SocketAddr,
+    ) -> anyhow::Result<()> {
         let ports = &mut self._ports;
         let (callers, readiness) = (ports.address()?, ports.address()?);
         let (peers, metrics, store) = (ports.address()?, ports.address()?, ports.address()?);
@@ -143,11 +148,11 @@
         self.links.add(Add { name, listen: store, to: platform })?;
         let between = ports.address()?;
         self.links.add(Add { name: format!("peer{number}").into(), listen: between, to: peers })?;
-        self.store.borrow_mut().moved.insert(peers, between);
+        self.store.borrow_mut().peer_links.insert(peers, between);
         let settings = format!(
             "nodeName=host-{number}\nzone=d{}\nipAddress=127.0.0.1\n\
             listenAddresses.front={callers}\nlistenAddresses.ready={readiness}\n\
-            internalPortRange={},{}\nlimits.cpuShare={power}\nbounds.graceS=4\n\
+            internalPortRange={},{}\nlimits.cpuShare={cpu_share}\nbounds.graceS=4\n\
             bounds.configurationApplyMs=3000\nbounds.drainMs=7000\nbounds.quotaOverage=0.1\n\
             bounds.strictRevocation=false\nbounds.revocationMs=5000\nbounds.quotaSlack=20\nbounds.quotaWindowS=5\nplatform.address={store}\ncloud.address={platform}\n",
             number % 2,
@@ -171,7 +176,7 @@
     pub fn configure(&self) {
         self.version.set(self.version.get() + 1);
         let kinds = ["primary", "bounded_staleness", "read_own_writes"];
-        let routes: Vec<_> = (0..GROUPS * kinds.len() + self.further.get())
+        let routes: Vec<_> = (0..GROUPS * kinds.len() + self.extra_databases.get())
             .map(|n| {
                 let group = format!("g{}", n / kinds.len() % GROUPS);
                 json!({"name": format!("r{n}"), "host": database(n), "prefix": "/",
@@ -180,7 +185,7 @@
             })
             .collect();
         let services: Vec<_> = (0..GROUPS)
-            .map(|n| json!({"name": format!("g{n}"), "maxConnections": CONNECTIONS}))
+            .map(|n| json!({"name": format!("g{n}"), "maxConnections": MAX_CONNECTIONS}))
             .collect();
         let accounts: Vec<_> = ACCOUNTS
             .iter()
@@ -197,25 +202,25 @@
 
     /// Adds databases; the name of the last one.
     pub fn add_databases(&self, count: usize) -> String {
-        self.further.set(self.further.get() + count);
+        self.extra_databases.set(self.extra_databases.get() + count);
         self.configure();
         self.newest_database().expect("databases were added")
     }
 
     /// The last database that was added; none before the first.
     pub fn newest_database(&self) -> Option<String> {
-        let further = self.further.get();
-        (further > 0).then(|| database(GROUPS * 3 + further - 1))
+        let extra_databases = self.extra_databases.get();
+        (extra_databases > 0).then(|| database(GROUPS * 3 + extra_databases - 1))
     }
 
     /// Withdraws a key from callers that are connected.
-    pub fn withdraw(&self) {
+    pub fn withdraw_key(&self) {
         self.withdrawn.set(true);
         self.configure();
     }
 
     /// Gives it back.
-    pub fn give_back(&self) {
+    pub fn restore_key(&self) {
         self.withdrawn.set(false);
         self.configure();
     }
@@ -231,73 +236,76 @@
     }
 
     /// Takes that back.
-    pub fn take_back(&self, domain: usize) {
+    pub fn end_evacuation(&self, domain: usize) {
         self.store.borrow_mut().remove("op", &format!("evacuate/d{domain}"));
     }
 
     /// Statements that servers of a failure domain have run.
-    pub fn ran_in(&self, domain: usize) -> usize {
-        (0..GROUPS * 3).filter(|place| place % 2 == domain).map(|place| self.ran(place)).sum()
+    pub fn statements_run_in(&self, domain: usize) -> usize {
+        (0..GROUPS * 3)
+            .filter(|index| index % 2 == domain)
+            .map(|index| self.statements_run(index))
+            .sum()
     }
 
-    fn list(&self, place: usize) {
+    fn list(&self, index: usize) {
         let groups = self.groups.borrow();
-        let server = &groups.servers[place];
-        let role = if server.leads { "primary" } else { "replica" };
-        let state = if server.leaving { "draining" } else { "ready" };
-        let entry = json!({"service": format!("g{}", server.group), "zone": format!("d{}", place % 2),
-            "address": self.addresses.borrow()[place], "version": "v1", "slots": SLOTS, "state": state,
+        let server = &groups.servers[index];
+        let role = if server.is_leader { "primary" } else { "replica" };
+        let state = if server.draining { "draining" } else { "ready" };
+        let entry = json!({"service": format!("g{}", server.group), "zone": format!("d{}", index % 2),
+            "address": self.addresses.borrow()[index], "version": "v1", "slots": SLOTS, "state": state,
             "coldRemainingMs": 0, "databaseRole": role, "sequence": 1, "born": 1});
         self.store.borrow_mut().put("servers", &server.id, &entry);
     }
 
     /// Has a server say that it leaves; it goes on serving.
-    pub fn leave(&self, place: usize) {
-        self.groups.borrow_mut().servers[place].leaving = true;
-        self.list(place);
+    pub fn start_draining(&self, index: usize) {
+        self.groups.borrow_mut().servers[index].draining = true;
+        self.list(index);
     }
 
     /// Has a server say that it stays.
-    pub fn stay(&self, place: usize) {
-        self.groups.borrow_mut().servers[place].leaving = false;
-        self.list(place);
+    pub fn stop_draining(&self, index: usize) {
+        self.groups.borrow_mut().servers[index].draining = false;
+        self.list(index);
     }
 
     /// Has a server say that it listens where another one does.
-    pub fn list_at(&self, place: usize, other: usize) {
+    pub fn advertise_address_of(&self, index: usize, other: usize) {
         let address = self.addresses.borrow()[other];
-        self.addresses.borrow_mut()[place] = address;
-        self.list(place);
+        self.addresses.borrow_mut()[index] = address;
+        self.list(index);
     }
 
     /// Statements of callers that a server has run.
-    pub fn ran(&self, place: usize) -> usize {
-        self.groups.borrow().servers[place].ran
+    pub fn statements_run(&self, index: usize) -> usize {
+        self.groups.borrow().servers[index].statements_run
     }
 
     /// Keeps logs travelling, entries listed and stopped hosts started, for ever.
-    pub async fn keep(world: Rc<RefCell<Self>>) {
+    pub async fn maintain(world: Rc<RefCell<Self>>) {
         let mut down: Vec<Option<Instant>> = vec![None; GROUPS * 3];
         loop {
             monoio::time::sleep(Duration::from_millis(3)).await;
             let Ok(world) = world.try_borrow() else { continue };
             let changed = world.groups.borrow_mut().tick();
-            for (place, down) in down.iter_mut().enumerate() {
-                let up = world.groups.borrow().servers[place].up;
+            for (index, down) in down.iter_mut().enumerate() {
+                let up = world.groups.borrow().servers[index].up;
                 match *down {
                     None if !up => *down = Some(Instant::now()),
                     Some(since)
-                        if !up && since.elapsed() > ENTRY_FOR && !world.keeps_entries.get() =>
+                        if !up && since.elapsed() > ENTRY_TTL && !world.retain_entries.get() =>
                     {
-                        let id = format!("i-{place}");
+                        let id = format!("i-{index}");
                         world.store.borrow_mut().remove("servers", &id);
                         *down = Some(Instant::now() + Duration::from_secs(3600));
                     }
                     Some(_) if up => {
                         *down = None;
-                        world.list(place);
+                        world.list(index);
                     }
-                    _ if changed && up => world.list(place),
+                    _ if changed && up => world.list(index),
                     _ => {}
                 }
             }
@@ -306,12 +314,12 @@
 
     /// Ends the leader of a group.
     pub fn stop_leader(&self, group: usize) {
-        let leads = |place: &usize| {
+        let is_leader = |index: &usize| {
             let groups = self.groups.borrow();
-            groups.servers[*place].leads && groups.servers[*place].group == group
+            groups.servers[*index].is_leader && groups.servers[*index].group == group
         };
-        let leader = (0..GROUPS * 3).find(leads);
-        leader.into_iter().for_each(|place| self.standins[place].stop());
+        let leader = (0..GROUPS * 3).find(is_leader);
+        leader.into_iter().for_each(|index| self.standins[index].stop());
     }
 
     /// Starts the servers of a group that do not run.
@@ -322,7 +330,7 @@
     }
 
     /// Starts hosts that have ended by themselves or by order.
-    pub fn start_ended(&mut self) -> anyhow::Result<()> {
+    pub fn restart_ended(&mut self) -> anyhow::Result<()> {
         for host in &mut self.hosts {
             if host.pid().is_some() && !host.is_running() {
                 host.kill();
@@ -357,10 +365,10 @@
     }
 
     /// What one account's callers were given beyond its rate.
-    pub fn over_rates(&self) -> Vec<String> {
+    pub fn rate_violations(&self) -> Vec<String> {
         let groups = self.groups.borrow();
         let over = |(name, _, rate): &(&str, &str, u64)| {
-            let most = groups.most_within(name, Duration::from_secs(5));
+            let most = groups.max_operations(name, Duration::from_secs(5));
             let allowed = (*rate as f64 * 6.0 * 1.1 + 20.0) as usize;
             (most > allowed).then(|| format!("{name} had {most} in 5 s, {allowed} are allowed"))
         };
@@ -387,8 +395,21 @@
     format!("db{:016x}", (number as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29))
 }
 
-fn server(id: Box<str>, group: usize, leads: bool) -> Server {
+fn server(id: Box<str>, group: usize, is_leader: bool) -> Server {
     let (log, lag) = (Vec::new(), Duration::ZERO);
-    let (up, cut, leaving) = (true, false, false);
-    Server { id, group, up, leads, term: 1, log, applied: 0, lag, lose: 0.0, cut, leaving, ran: 0 }
+    let (up, isolated, draining) = (true, false, false);
+    Server {
+        id,
+        group,
+        up,
+        is_leader,
+        term: 1,
+        log,
+        applied: 0,
+        lag,
+        loss: 0.0,
+        isolated,
+        draining,
+        statements_run: 0,
+    }
 }
--- a/lab/src/storm/callers.rs
+++ b/lab/src/storm/callers.rs
@@ -20,11 +20,11 @@
 ];
 
 /// Longer than any deadline: an answer that has not come by then never will.
-const ANSWER_WITHIN: Duration = Duration::from_secs(12);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// What a caller was told of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fate {
+pub enum WriteStatus {
     /// It was done.
     Done,
     /// It did not run.
@@ -35,13 +35,13 @@
 
 /// A write and what its caller was told.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct WriteResult {
     /// Id of the booking.
     pub id: String,
     /// Whether it was sent with a request id of the same text.
-    pub named: bool,
+    pub with_request_id: bool,
     /// What the caller was told.
-    pub fate: Fate,
+    pub status: WriteStatus,
     /// The answer, for the story.
     pub answer: String,
 }
@@ -50,12 +50,12 @@
 pub struct Writer {
     number: usize,
     configs: Vec<tokio_postgres::Config>,
-    told: Arc<Mutex<Vec<Told>>>,
+    writes: Arc<Mutex<Vec<WriteResult>>>,
     broken: Arc<Mutex<Vec<String>>>,
     rng: StdRng,
     token: Option<String>,
     /// The last booking that this session was told is done.
-    last: Option<String>,
+    last_booking: Option<String>,
 }
 
 impl Writer {
@@ -63,7 +63,7 @@
     pub fn new(
         system: &System,
         number: usize,
-        told: Arc<Mutex<Vec<Told>>>,
+        writes: Arc<Mutex<Vec<WriteResult>>>,
         broken: Arc<Mutex<Vec<String>>>,
     ) -> Self {
         let account = if number.is_multiple_of(2) { "baobab" } else { "hartwell" };
@@ -71,11 +71,11 @@
         Self {
             number,
             configs: hosts.map(|host| system.caller(host, account, "g1")).collect(),
-            told,
+            writes,
             broken,
             rng: StdRng::seed_from_u64(number as u64),
             token: None,
-            last: None,
+            last_booking: None,
         }
     }
 
@@ -96,7 +96,7 @@
                 continue;
             };
             count += 1;
-            if !self.book(connected, count).await {
+            if !self.write_booking(connected, count).await {
                 client = None;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -115,13 +115,13 @@
     }
 
     /// One booking and a look at the one before; false when the connection is to be left.
-    async fn book(&mut self, client: &Client, count: usize) -> bool {
-        if self.look(client).await == Some(false) {
+    async fn write_booking(&mut self, client: &Client, count: usize) -> bool {
+        if self.check_last_booking(client).await == Some(false) {
             return false;
         }
         let id = format!("w{}-{count}", self.number);
-        let named = self.rng.random_bool(0.5);
-        if named {
+        let with_request_id = self.rng.random_bool(0.5);
+        if with_request_id {
             let set = client.batch_execute(&format!("SET bergamottrack.request = '{id}'")).await;
             if set.is_err() {
                 return false;
@@ -131,19 +131,24 @@
             true => self.autocommit(client, &id).await,
             false => self.transaction(client, &id).await,
         };
-        let fate = result.as_ref().map_or_else(|answer| fate(answer), |()| Fate::Done);
+        let status = result.as_ref().map_or_else(|answer| status(answer), |()| WriteStatus::Done);
         let answer = result.err().unwrap_or_default();
-        self.told.lock().expect("not poisoned").push(Told { id: id.clone(), named, fate, answer });
-        if fate == Fate::Done {
-            self.last = Some(id);
-            self.keep_token(client).await;
+        self.writes.lock().expect("not poisoned").push(WriteResult {
+            id: id.clone(),
+            with_request_id,
+            status,
+            answer,
+        });
+        if status == WriteStatus::Done {
+            self.last_booking = Some(id);
+            self.refresh_token(client).await;
         }
-        fate == Fate::Done
+        status == WriteStatus::Done
     }
 
     async fn autocommit(&self, client: &Client, id: &str) -> Result<(), String> {
         let sql = format!("INSERT INTO booking VALUES ('{id}', {})", self.number);
-        within(client.batch_execute(&sql)).await
+        with_timeout(client.batch_execute(&sql)).await
     }
 
     /// Moves an amount from one side to the other, in the booking's transaction.
@@ -157,41 +162,42 @@
         ];
         for sql in &steps {
             // An error before the commit was sent means that nothing is kept.
-            let result = within(client.batch_execute(sql)).await;
+            let result = with_timeout(client.batch_execute(sql)).await;
             result.map_err(|answer| format!("before commit: {answer}"))?;
         }
-        within(client.batch_execute("COMMIT")).await
+        with_timeout(client.batch_execute("COMMIT")).await
     }
 
     /// Whether the last booking is seen; `None` when the read was refused.
-    async fn look(&self, client: &Client) -> Option<bool> {
-        let last = self.last.as_ref()?;
-        let sql = format!("SELECT id FROM booking WHERE id = '{last}'");
-        let read = tokio::time::timeout(ANSWER_WITHIN, system::rows(client, &sql)).await;
+    async fn check_last_booking(&self, client: &Client) -> Option<bool> {
+        let last_booking = self.last_booking.as_ref()?;
+        let sql = format!("SELECT id FROM booking WHERE id = '{last_booking}'");
+        let read = tokio::time::timeout(ANSWER_TIMEOUT, system::rows(client, &sql)).await;
         let rows = read.ok()?.ok()?;
         if rows.len() != 1 {
-            let story = format!("{last} was told done; the same session then reads {rows:?}");
+            let story =
+                format!("{last_booking} was told done; the same session then reads {rows:?}");
             self.broken.lock().expect("not poisoned").push(story);
             return Some(false);
         }
         Some(true)
     }
 
-    async fn keep_token(&mut self, client: &Client) {
+    async fn refresh_token(&mut self, client: &Client) {
         let show = system::rows(client, "SHOW bergamottrack.session");
-        if let Ok(Ok(rows)) = tokio::time::timeout(ANSWER_WITHIN, show).await {
+        if let Ok(Ok(rows)) = tokio::time::timeout(ANSWER_TIMEOUT, show).await {
             self.token = rows.into_iter().next().filter(|token| !token.is_empty());
         } else {
             // Without the token the session would promise nothing: start anew.
-            (self.token, self.last) = (None, None);
+            (self.token, self.last_booking) = (None, None);
         }
     }
 }
 
-async fn within(
+async fn with_timeout(
     run: impl Future<Output = Result<(), tokio_postgres::Error>>,
 ) -> Result<(), String> {
-    match tokio::time::timeout(ANSWER_WITHIN, run).await {
+    match tokio::time::timeout(ANSWER_TIMEOUT, run).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(error)) => Err(error.as_db_error().map_or_else(|| error.to_string(), describe)),
         Err(_) => Err("no answer".into()),
@@ -204,11 +210,11 @@
 }
 
 /// What an answer says of the write's fate; all that does not say is unknown.
-fn fate(answer: &str) -> Fate {
+fn status(answer: &str) -> WriteStatus {
     match answer {
-        _ if answer.starts_with("before commit") => Fate::NotRun,
-        _ if answer.contains("[not run]") => Fate::NotRun,
-        _ if answer.contains("[done]") => Fate::Done,
-        _ => Fate::Unknown,
+        _ if answer.starts_with("before commit") => WriteStatus::NotRun,
+        _ if answer.contains("[not run]") => WriteStatus::NotRun,
+        _ if answer.contains("[done]") => WriteStatus::Done,
+        _ => WriteStatus::Unknown,
     }
 }
--- a/lab/src/storm/checks.rs
+++ b/lab/src/storm/checks.rs
@@ -4,29 +4,29 @@
 
 use anyhow::Context;
 
-use super::callers::{Fate, Told};
+use super::callers::{WriteResult, WriteStatus};
 use crate::system::{self, System};
 
 /// Checks that no booking is lost, doubled or run in spite of "not run", and
 /// that no transaction is kept in part.
-pub async fn bookings(system: &System, told: &[Told]) -> anyhow::Result<Vec<String>> {
+pub async fn bookings(system: &System, writes: &[WriteResult]) -> anyhow::Result<Vec<String>> {
     let client = system.connect(0, "baobab", "g1").await?;
     system::until_runs(&client, "INSERT INTO booking VALUES ('last', -1)").await?;
     let ids = system::rows(&client, "SELECT id FROM booking").await.context("reading bookings")?;
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     ids.iter().for_each(|id| *counts.entry(id).or_default() += 1);
     let mut broken = Vec::new();
-    for write in told {
+    for write in writes {
         let count = counts.get(write.id.as_str()).copied().unwrap_or(0);
-        let wrong = match write.fate {
-            Fate::Done => count != 1,
-            Fate::NotRun => count != 0,
-            Fate::Unknown => count > 1,
+        let wrong = match write.status {
+            WriteStatus::Done => count != 1,
+            WriteStatus::NotRun => count != 0,
+            WriteStatus::Unknown => count > 1,
         };
         if wrong {
             broken.push(format!(
                 "booking {} (request id: {}) was told {:?} ({}) and stands {count} times",
-                write.id, write.named, write.fate, write.answer
+                write.id, write.with_request_id, write.status, write.answer
             ));
         }
     }
--- a/lab/src/storm/mod.rs
+++ b/lab/src/storm/mod.rs
@@ -18,7 +18,7 @@
 pub mod checks;
 pub mod schedule;
 
-use callers::{Told, Writer};
+use callers::{WriteResult, Writer};
 use schedule::Step;
 
 /// Settings of a storm.
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Outcome {
     /// Writes that were told done, not run and unknown.
-    pub told: [usize; 3],
+    pub writes: [usize; 3],
     /// Promises that were broken, each with its story.
     pub broken: Vec<String>,
 }
@@ -63,14 +63,14 @@
 
 /// Runs a storm and prints its story; an error when a promise was broken.
 pub async fn run(args: StormArgs) -> anyhow::Result<()> {
-    let steps = schedule::draw(args.seed, Duration::from_secs(args.secs), HOSTS);
+    let steps = schedule::generate(args.seed, Duration::from_secs(args.secs), HOSTS);
     println!("seed {}: {} steps in {} s", args.seed, steps.len(), args.secs);
     if args.dry {
         steps.iter().for_each(|step| println!("{step}"));
         return Ok(());
     }
     let outcome = storm(&steps, args.writers, true).await?;
-    let [done, not_run, unknown] = outcome.told;
+    let [done, not_run, unknown] = outcome.writes;
     println!("told done {done}, not run {not_run}, unknown {unknown}");
     for story in &outcome.broken {
         println!("BROKEN: {story}");
@@ -81,47 +81,49 @@
 }
 
 /// Runs the steps over a new system under load and checks it afterwards.
-pub async fn storm(steps: &[Step], writers: usize, talk: bool) -> anyhow::Result<Outcome> {
+pub async fn storm(steps: &[Step], writers: usize, verbose: bool) -> anyhow::Result<Outcome> {
     let mut system = System::start(plan()).await.context("starting the system")?;
     let setup = system.connect(0, "baobab", "g1").await?;
     for sql in callers::TABLES {
         system::until_runs(&setup, sql).await?;
     }
-    let told: Arc<Mutex<Vec<Told>>> = Arc::default();
+    let writes: Arc<Mutex<Vec<WriteResult>>> = Arc::default();
     let broken: Arc<Mutex<Vec<String>>> = Arc::default();
     let stop = Arc::new(AtomicBool::new(false));
     let mut tasks = Vec::new();
     for number in 0..writers {
-        let writer = Writer::new(&system, number, told.clone(), broken.clone());
+        let writer = Writer::new(&system, number, writes.clone(), broken.clone());
         tasks.push(tokio::spawn(writer.run(stop.clone())));
     }
     let started = Instant::now();
     for step in steps {
         tokio::time::sleep_until((started + step.at).into()).await;
-        if talk {
+        if verbose {
             println!("{step}");
         }
         step.fault.apply(&mut system).await.with_context(|| step.to_string())?;
     }
-    schedule::mend_all(&mut system).await?;
+    schedule::clear_all(&mut system).await?;
     // Some load after the last fault, so that the way back is under it too.
     tokio::time::sleep(Duration::from_secs(2)).await;
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
         tokio::time::timeout(PATIENCE, task).await.context("a writer hangs")??;
     }
-    let told = std::mem::take(&mut *told.lock().expect("no writer panicked"));
+    let writes = std::mem::take(&mut *writes.lock().expect("no writer panicked"));
     let mut broken = std::mem::take(&mut *broken.lock().expect("no writer panicked"));
-    match checks::bookings(&system, &told).await {
+    match checks::bookings(&system, &writes).await {
         Ok(found) => broken.extend(found),
         // A system that does not come back once all is mended breaks a promise too.
         Err(error) => broken.push(format!("the checks cannot be made: {error:#}")),
     }
-    let count = |fate| told.iter().filter(|t| t.fate == fate).count();
-    let told = [callers::Fate::Done, callers::Fate::NotRun, callers::Fate::Unknown].map(count);
+    let count = |status| writes.iter().filter(|t| t.status == status).count();
+    let writes =
+        [callers::WriteStatus::Done, callers::WriteStatus::NotRun, callers::WriteStatus::Unknown]
+            .map(count);
     if !broken.is_empty() {
         let kept = system.keep_logs()?;
         broken.push(format!("logs are kept in {}", kept.display()));
     }
-    Ok(Outcome { told, broken })
+    Ok(Outcome { writes, broken })
 }
--- a/lab/src/storm/schedule.rs
+++ b/lab/src/storm/schedule.rs
@@ -46,17 +46,17 @@
     [r#"{"down":true}"#, r#"{"slow_ms":2000}"#, r#"{"lose_answers":3}"#];
 
 /// Draws faults, two or three at a time, each with its end.
-pub fn draw(seed: u64, length: Duration, hosts: usize) -> Vec<Step> {
+pub fn generate(seed: u64, length: Duration, hosts: usize) -> Vec<Step> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut steps = Vec::new();
     let mut at = Duration::from_millis(500);
     while at < length {
         for _ in 0..rng.random_range(2..=3) {
             let start = at + Duration::from_millis(rng.random_range(0..400));
-            let lasts = Duration::from_millis(rng.random_range(200..2500));
+            let duration = Duration::from_millis(rng.random_range(200..2500));
             let (begin, end) = fault(&mut rng, hosts);
             steps.push(Step { at: start, fault: begin });
-            steps.extend(end.map(|fault| Step { at: start + lasts, fault }));
+            steps.extend(end.map(|fault| Step { at: start + duration, fault }));
         }
         at += Duration::from_millis(rng.random_range(2500..4500));
     }
@@ -133,7 +133,7 @@
 }
 
 /// Ends all faults.
-pub async fn mend_all(system: &mut System) -> anyhow::Result<()> {
+pub async fn clear_all(system: &mut System) -> anyhow::Result<()> {
     system.mend("*>*").await?;
     system.platform_faults("{}").await?;
     let names: Vec<String> = system.servers.keys().cloned().collect();
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -51,16 +51,16 @@
     on_runtime(async {
         let world = system(2).await;
         let stop = load(&world);
-        while world.borrow().ran(REPLICA) < 20 {
+        while world.borrow().statements_run(REPLICA) < 20 {
             served(&world, 50).await;
         }
-        world.borrow().leave(REPLICA);
+        world.borrow().start_draining(REPLICA);
         // What the hosts are told within this time, and what is open by then, may end there.
         pause(3000).await;
-        let before = world.borrow().ran(REPLICA);
+        let before = world.borrow().statements_run(REPLICA);
         served(&world, 400).await;
         stop.set(true);
-        assert_eq!(world.borrow().ran(REPLICA), before);
+        assert_eq!(world.borrow().statements_run(REPLICA), before);
         assert_kept(&world);
     });
 }
@@ -73,17 +73,17 @@
         let world = system(2).await;
         let stop = load(&world);
         served(&world, 200).await;
-        world.borrow().leave(LEADER);
+        world.borrow().start_draining(LEADER);
         let began = Instant::now();
         while world.borrow().groups.borrow().promotions == 0 {
             assert!(began.elapsed() < PATIENCE, "nobody else leads");
             pause(20).await;
         }
         pause(3000).await;
-        let before = world.borrow().ran(LEADER);
+        let before = world.borrow().statements_run(LEADER);
         served(&world, 400).await;
         stop.set(true);
-        assert_eq!(world.borrow().ran(LEADER), before);
+        assert_eq!(world.borrow().statements_run(LEADER), before);
         assert_eq!(world.borrow().groups.borrow().promotions, 1);
         assert_kept(&world);
     });
@@ -97,14 +97,14 @@
         let world = system(2).await;
         let stop = load(&world);
         served(&world, 200).await;
-        world.borrow().groups.borrow_mut().servers[LEADER].cut = true;
+        world.borrow().groups.borrow_mut().servers[LEADER].isolated = true;
         let began = Instant::now();
         while world.borrow().groups.borrow().promotions == 0 {
             assert!(began.elapsed() < PATIENCE, "nobody else leads");
             pause(20).await;
         }
         served(&world, 200).await;
-        world.borrow().groups.borrow_mut().servers[LEADER].cut = false;
+        world.borrow().groups.borrow_mut().servers[LEADER].isolated = false;
         served(&world, 200).await;
         stop.set(true);
         assert_eq!(world.borrow().groups.borrow().promotions, 1);
@@ -120,13 +120,13 @@
         let world = system(2).await;
         let stop = load(&world);
         served(&world, 200).await;
-        world.borrow().keeps_entries.set(true);
+        world.borrow().retain_entries.set(true);
         world.borrow().standins[REPLICA].stop();
-        world.borrow().list_at(REPLICA, STRANGER);
-        let before = world.borrow().ran(REPLICA);
+        world.borrow().advertise_address_of(REPLICA, STRANGER);
+        let before = world.borrow().statements_run(REPLICA);
         served(&world, 400).await;
         stop.set(true);
-        assert_eq!(world.borrow().ran(REPLICA), before);
+        assert_eq!(world.borrow().statements_run(REPLICA), before);
         assert_kept(&world);
     });
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -9,7 +9,7 @@
     link::Fault,
     soak::{
         self, SoakArgs,
-        caller::knows,
+        caller::serves_database,
         world::{LARGE_HOSTS, World},
     },
 };
@@ -66,7 +66,7 @@
         let began = Instant::now();
         let callers = world.borrow().callers.clone();
         for address in callers {
-            while !knows(address, &added).await {
+            while !serves_database(address, &added).await {
                 assert!(began.elapsed() < APPLY, "{added} is not known at {address}");
                 pause(50).await;
             }
@@ -90,7 +90,7 @@
             world.borrow().links.set(store, &at_most(HOPELESS));
         }
         world.borrow().add_databases(MANY);
-        world.borrow().withdraw();
+        world.borrow().withdraw_key();
         let began = Instant::now();
         assert_eq!(line.short("READ k1").await, "DONE I", "it serves as long as it may");
         let until = APPLY + Duration::from_secs(5);
@@ -116,7 +116,7 @@
         for store in ["store2", "store3"] {
             world.borrow().links.set(store, &Fault { cut_up: true, ..Fault::default() });
         }
-        world.borrow().leave(REPLICA);
+        world.borrow().start_draining(REPLICA);
         let began = Instant::now();
         while !world.borrow().hosts[2].log().contains(r#""role":"Replica","leaving":true"#) {
             assert!(began.elapsed() < DRAIN, "the host does not know that the server leaves");
@@ -134,14 +134,14 @@
         let world = serving(World::start(1).unwrap()).await;
         let added = world.borrow().add_databases(MANY);
         let address = world.borrow().callers[0];
-        while !knows(address, &added).await {
+        while !serves_database(address, &added).await {
             pause(50).await;
         }
         world.borrow().links.set("store0", &at_most(SLOW));
         world.borrow_mut().hosts[0].kill();
         world.borrow_mut().hosts[0].start().unwrap();
         let began = Instant::now();
-        while !knows(address, &added).await {
+        while !serves_database(address, &added).await {
             assert!(began.elapsed() < RECOVERY, "the host does not serve");
             pause(50).await;
         }
--- a/tests/hosts/mod.rs
+++ b/tests/hosts/mod.rs
@@ -46,7 +46,7 @@
 pub async fn serving(world: World) -> Rc<RefCell<World>> {
     let hosts = world.hosts.len();
     let world = Rc::new(RefCell::new(world));
-    monoio::spawn(World::keep(world.clone()));
+    monoio::spawn(World::maintain(world.clone()));
     let began = Instant::now();
     for host in 0..hosts {
         let address = world.borrow().callers[host];
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -52,8 +52,8 @@
 
 /// Waits until the servers of a failure domain run statements again.
 async fn is_used(world: &Rc<RefCell<World>>, domain: usize) {
-    let (began, before) = (Instant::now(), world.borrow().ran_in(domain));
-    while world.borrow().ran_in(domain) == before {
+    let (began, before) = (Instant::now(), world.borrow().statements_run_in(domain));
+    while world.borrow().statements_run_in(domain) == before {
         assert!(began.elapsed() < PATIENCE, "nothing runs in failure domain {domain}");
         // Its own hosts prefer servers that are near.
         round(world, domain).await;
@@ -81,15 +81,19 @@
                 round(&world, 1).await;
             }
             serves_all(&world, 3).await;
-            let ran = world.borrow().ran_in(domain);
+            let ran = world.borrow().statements_run_in(domain);
             for mut line in open {
                 // Ended as told, or at a server elsewhere.
                 let told = line.short("READ k1").await;
                 assert!(told == "ABORTED E" || told == "DONE T", "{told}");
             }
             serves_all(&world, 3).await;
-            assert_eq!(world.borrow().ran_in(domain), ran, "statements reached the domain");
-            world.borrow().take_back(domain);
+            assert_eq!(
+                world.borrow().statements_run_in(domain),
+                ran,
+                "statements reached the domain"
+            );
+            world.borrow().end_evacuation(domain);
             is_used(&world, domain).await;
         }
     });
@@ -107,15 +111,15 @@
         while evacuated.elapsed() < BOUND {
             round(&world, 0).await;
         }
-        let ran = world.borrow().ran_in(0) + world.borrow().ran_in(1);
+        let ran = world.borrow().statements_run_in(0) + world.borrow().statements_run_in(1);
         for text in ["READ k1", "WRITE k1 x"] {
             let mut line = line(&world, 2, 0).await;
             let told = line.ask(text).await.unwrap();
             assert!(told[0].contains("evacuated"), "{told:?}");
         }
-        assert_eq!(world.borrow().ran_in(0) + world.borrow().ran_in(1), ran);
-        world.borrow().take_back(0);
-        world.borrow().take_back(1);
+        assert_eq!(world.borrow().statements_run_in(0) + world.borrow().statements_run_in(1), ran);
+        world.borrow().end_evacuation(0);
+        world.borrow().end_evacuation(1);
         serves_all(&world, 3).await;
     });
 }
@@ -138,8 +142,8 @@
         pause(1500).await;
         world.borrow().store.borrow_mut().faults.down = false;
         serves_all(&world, 1).await;
-        let ran = world.borrow().ran_in(0);
+        let ran = world.borrow().statements_run_in(0);
         serves_all(&world, 3).await;
-        assert_eq!(world.borrow().ran_in(0), ran, "statements reached the domain");
+        assert_eq!(world.borrow().statements_run_in(0), ran, "statements reached the domain");
     });
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -161,7 +161,7 @@
         let address = world.borrow().callers[0];
         let mut line = Line::start(address, "db0", "key-h").await.unwrap();
         assert_eq!(line.short("READ k1").await, "DONE I");
-        world.borrow().withdraw();
+        world.borrow().withdraw_key();
         let began = Instant::now();
         while line.short("READ k1").await != "FORBIDDEN I" {
             assert!(began.elapsed() < Duration::from_secs(3), "the key still works");
@@ -194,8 +194,9 @@
         let world = system(1).await;
         let (address, ready) = (world.borrow().callers[0], world.borrow().readiness[0]);
         assert_eq!(readiness(ready).await, "200");
-        let ran = || (0..3).map(|place| world.borrow().ran(place)).sum::<usize>();
-        let before = ran();
+        let statements_run =
+            || (0..3).map(|place| world.borrow().statements_run(place)).sum::<usize>();
+        let before = statements_run();
         let cut = Rc::new(Cell::new(0));
         let answered = Rc::new(Cell::new(0));
         let ended = Rc::new(Cell::new(0));
@@ -230,7 +231,12 @@
             assert!(began.elapsed() < Duration::from_secs(8), "sessions were not ended");
             pause(20).await;
         }
-        assert_eq!(ran() - before, answered.get(), "{} were cut, some had run", cut.get());
+        assert_eq!(
+            statements_run() - before,
+            answered.get(),
+            "{} were cut, some had run",
+            cut.get()
+        );
     });
 }
 
@@ -279,7 +285,7 @@
 fn a_leader_that_closes_each_connection_is_replaced() {
     on_runtime(async {
         let world = system(3).await;
-        world.borrow().keeps_entries.set(true);
+        world.borrow().retain_entries.set(true);
         let address = world.borrow().callers[1];
         let mut line = Line::start(address, "db0", "key-b").await.unwrap();
         assert_eq!(line.short("WRITE k4 before").await, "DONE I");
--- a/tests/storm.rs
+++ b/tests/storm.rs
@@ -9,10 +9,10 @@
 const WRITERS: usize = 6;
 
 async fn play(seed: u64, secs: u64) {
-    let steps = schedule::draw(seed, Duration::from_secs(secs), storm::HOSTS);
+    let steps = schedule::generate(seed, Duration::from_secs(secs), storm::HOSTS);
     let outcome = storm::storm(&steps, WRITERS, false).await.unwrap();
     assert!(outcome.broken.is_empty(), "seed {seed}: {:#?}", outcome.broken);
-    assert!(outcome.told[0] > 0, "seed {seed}: nothing was done");
+    assert!(outcome.writes[0] > 0, "seed {seed}: nothing was done");
 }
 
 /// Bookings go in through four hosts while servers and hosts are killed and
