--- a/lab/src/soak/caller.rs
+++ b/lab/src/soak/caller.rs
@@ -245,9 +245,9 @@
     /// The writes were acknowledged.
     fn keep(&mut self, writes: &[Box<str>]) {
         for id in writes {
-            let must = self.caller.groups.borrow_mut().acknowledge(id, self.database.group);
-            if self.database.own && must != Must::default() {
-                self.own = must;
+            let required = self.caller.groups.borrow_mut().acknowledge(id, self.database.group);
+            if self.database.own && required != Must::default() {
+                self.own = required;
             }
         }
     }
@@ -264,12 +264,12 @@
             text: self.canonical(text).into(),
             values: self.values.clone(),
             operation: (number, self.operation),
-            must: self.own,
+            required: self.own,
         };
         let from = self.began.unwrap_or_else(Instant::now);
         let since = from.checked_sub(self.database.age.unwrap_or_default());
         let since = since.filter(|_| !self.writes(text));
-        self.caller.groups.borrow_mut().ask(&id, sent, self.database.group, since);
+        self.caller.groups.borrow_mut().record_sent(&id, sent, self.database.group, since);
         self.io.write_all(format!("QUERY {id} {text}\r\n").as_bytes()).await?;
         let response =
             monoio::time::timeout(ANSWER_TIMEOUT, self.answer()).await.context("no answer")??;
--- a/lab/src/soak/group.rs
+++ b/lab/src/soak/group.rs
@@ -1,129 +1,133 @@
-//! Stand-in for database groups: logs, terms and asynchronous replication, and
-//! what is checked of every statement that a server runs.
+//! Stand-in for database groups: logs, terms and asynchronous replication, with the
+//! checks of every statement that a server runs.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
     time::{Duration, Instant},
 };
 
-/// How long a promotion takes.
+/// Time from the promotion call until the server is leader.
 const PROMOTION_DURATION: Duration = Duration::from_millis(150);
 
-/// How long an old leader goes on beside a new one that it can reach.
+/// Age of the newest entry in the new leader's log from which a replaced leader that can reach the
+/// new one steps down. Until then both act as leader.
 const DEMOTION_DELAY: Duration = Duration::from_millis(400);
 
-/// A write in a log.
+/// A write in a server's log.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// The statement's id.
+    /// Id of the statement that wrote it.
     pub id: Box<str>,
-    /// What it wrote to.
+    /// Key of the item written.
     pub item: Box<str>,
-    /// What it wrote.
+    /// Value written.
     pub data: Box<str>,
     term: u64,
     at: Instant,
 }
 
-/// A server of a group.
+/// State of a server of a group.
 pub struct Server {
-    /// Its name.
+    /// Server id.
     pub id: Box<str>,
-    /// Its group.
+    /// Index of its group.
     pub group: usize,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub up: bool,
-    /// Whether it leads, as it sees itself.
+    /// Whether it acts as leader; a replaced leader may still do so.
     pub is_leader: bool,
-    /// Its term.
+    /// Replication term.
     pub term: u64,
-    /// Its log.
+    /// Writes received, in order.
     pub log: Vec<Entry>,
-    /// How much of its log its reads show.
+    /// Number of log entries visible to reads.
     pub applied: usize,
-    /// How late it shows what it has received.
+    /// Delay between the commit of an entry and its visibility on this replica.
     pub lag: Duration,
-    /// Part of its answers that are lost.
+    /// Fraction of answers that are lost, 0 to 1.
     pub loss: f64,
-    /// Whether nothing passes between it and the other servers of its group.
+    /// Whether it cannot replicate from or to the other servers of its group.
     pub isolated: bool,
-    /// Whether it says that it leaves.
+    /// Whether its entry in the store says that it is draining.
     pub draining: bool,
-    /// Statements of callers that it has run.
+    /// Number of callers' statements executed.
     pub statements_run: usize,
 }
 
-/// What a read must show: the number and the term of the newest commit.
+/// Position that a read must show: the log index, counted from 1, and the term of a commit. The
+/// default requires nothing.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Must {
     number: usize,
     term: u64,
 }
 
-/// What a server answered.
+/// A server's answer to a statement.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// Drawn for each answer.
+    /// Random value that identifies the answer.
     pub signature: Box<str>,
-    /// Its rows.
+    /// Rows returned.
     pub rows: Vec<Box<str>>,
 }
 
-/// What a caller was about when it sent a statement.
+/// A statement that a caller has sent, with the session state that its execution must match.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// The account of its key.
+    /// Client account of the caller's key.
     pub account: Box<str>,
-    /// Its text, with the definition in place of a prepared name.
+    /// Statement text, with the definition in place of a prepared name.
     pub text: Box<str>,
-    /// The values of its session.
+    /// Variables of the caller's session.
     pub values: BTreeMap<Box<str>, Box<str>>,
-    /// Which session, and which operation of it.
+    /// Session number, and the number of the operation within the session.
     pub operation: (u64, u64),
-    /// What it must be shown, if it reads.
-    pub must: Must,
+    /// Required position of a read.
+    pub required: Must,
 }
 
 #[derive(Debug)]
 struct Ack {
     at: Instant,
-    must: Must,
+    required: Must,
 }
 
-/// All groups, and all that was seen of them.
+/// State of all groups, and the record of statements that the checks compare.
 #[derive(Default)]
 pub struct Groups {
-    /// The servers of all groups.
+    /// Servers of all groups.
     pub servers: Vec<Server>,
-    /// What callers asked, by statement id.
+    /// Statements sent by callers, by statement id.
     pub sent: HashMap<Box<str>, Sent>,
-    /// What each statement was answered, by its id.
+    /// Answers that servers gave to each statement, by statement id.
     pub answers: HashMap<Box<str>, Vec<Answer>>,
-    /// Broken promises, each with its story.
+    /// Violated guarantees, one description each.
     pub broken: Vec<String>,
-    /// Operations that ran: when, and for which account.
+    /// Time of the first execution and client account of each operation.
     pub operations: BTreeMap<(u64, u64), (Instant, Box<str>)>,
-    /// Commits that promotions rolled back though they were acknowledged.
+    /// Number of acknowledged commits that promotions discarded.
     pub rolled_back: usize,
-    /// Promotions.
+    /// Number of completed promotions.
     pub promotions: usize,
+    /// Acknowledged writes by group.
     acks: HashMap<usize, Vec<Ack>>,
+    /// Statements whose callers were told that nothing of them is kept.
     not_kept: HashSet<Box<str>>,
-    /// Servers that are about to lead, and when.
+    /// Promotions in progress: server index and time of completion.
     pending: Vec<(usize, Instant)>,
-    /// Statements committed by a leader that had been replaced.
+    /// Ids of writes committed by a leader that had already been replaced.
     replaced_commits: HashSet<Box<str>>,
 }
 
 impl Groups {
-    /// The newest leader of a group.
+    /// Returns the index of the group's leader with the highest term.
     pub fn leader(&self, group: usize) -> Option<usize> {
         let is_leader = |i: &usize| self.servers[*i].group == group && self.servers[*i].is_leader;
         (0..self.servers.len()).filter(is_leader).max_by_key(|i| self.servers[*i].term)
     }
 
-    /// The longest time within the last `window` without an acknowledged write of a
-    /// group, its start and its end included.
+    /// Returns the longest interval without an acknowledged write of a group within the last
+    /// `window`. The start and the end of the window bound intervals too.
     pub fn longest_gap(&self, group: usize, window: Duration) -> Duration {
         let now = Instant::now();
         let acks = self.acks.get(&group).into_iter().flatten().map(|ack| ack.at);
@@ -137,7 +141,7 @@
         self.servers.iter().position(|server| &*server.id == id)
     }
 
-    /// Has a server lead soon; false when it does not run.
+    /// Starts the promotion of a server. Returns whether the server is running.
     pub fn promote(&mut self, id: &str) -> bool {
         match self.find(id) {
             Some(i) if self.servers[i].up => {
@@ -151,7 +155,7 @@
         }
     }
 
-    /// Lets time pass: promotions take effect and logs travel. True when a role changed.
+    /// Completes due promotions and replicates logs. Returns whether a role changed.
     pub fn tick(&mut self) -> bool {
         let now = Instant::now();
         let mut changed = false;
@@ -167,27 +171,30 @@
         changed
     }
 
+    /// Makes a server the leader of a new term. Acknowledged commits that its log lacks count as
+    /// rolled back, and reads no longer require them.
     fn complete_promotion(&mut self, i: usize) -> bool {
         let group = self.servers[i].group;
         if !self.servers[i].up {
             return false;
         }
-        let of_group = self.servers.iter().filter(|server| server.group == group);
-        let term = of_group.map(|server| server.term).max().unwrap_or(0) + 1;
+        let members = self.servers.iter().filter(|server| server.group == group);
+        let term = members.map(|server| server.term).max().unwrap_or(0) + 1;
         let server = &mut self.servers[i];
         (server.term, server.is_leader, server.applied) = (term, true, server.log.len());
         let kept = server.log.len();
         let acks = self.acks.entry(group).or_default();
         let before = acks.len();
-        acks.retain(|ack| ack.must.number <= kept);
+        acks.retain(|ack| ack.required.number <= kept);
         self.rolled_back += before - acks.len();
-        for sent in self.sent.values_mut().filter(|sent| sent.must.number > kept) {
-            sent.must = Must::default();
+        for sent in self.sent.values_mut().filter(|sent| sent.required.number > kept) {
+            sent.required = Must::default();
         }
         self.promotions += 1;
         true
     }
 
+    /// Copies the leader's log to a server. Returns whether the server stopped being leader.
     fn replicate(&mut self, i: usize, now: Instant) -> bool {
         let Some(leader) = self.leader(self.servers[i].group) else { return false };
         if leader == i || !self.servers[leader].up || !self.servers[i].up {
@@ -196,42 +203,43 @@
         if self.servers[leader].isolated || self.servers[i].isolated {
             return false;
         }
-        let (from, term) = (self.servers[leader].log.clone(), self.servers[leader].term);
+        let (leader_log, term) = (self.servers[leader].log.clone(), self.servers[leader].term);
         let server = &mut self.servers[i];
         let mut changed = false;
         if server.is_leader {
-            let newest = from.last().is_some_and(|entry| now > entry.at + DEMOTION_DELAY);
-            if !newest {
+            let due = leader_log.last().is_some_and(|entry| now > entry.at + DEMOTION_DELAY);
+            if !due {
                 return false;
             }
             server.is_leader = false;
             changed = true;
         }
-        let same = server.log.iter().zip(&from).take_while(|(a, b)| a.id == b.id).count();
-        server.log.truncate(same);
-        server.log.extend_from_slice(&from[same..]);
+        let common = server.log.iter().zip(&leader_log).take_while(|(a, b)| a.id == b.id).count();
+        server.log.truncate(common);
+        server.log.extend_from_slice(&leader_log[common..]);
         server.term = term;
         let lag = server.lag;
-        let shown = server.log.iter().take_while(|entry| now >= entry.at + lag).count();
-        server.applied = server.applied.min(same).max(shown);
+        let visible = server.log.iter().take_while(|entry| now >= entry.at + lag).count();
+        server.applied = server.applied.min(common).max(visible);
         changed
     }
 
-    /// Notes what a caller is about to send. A read must show what was acknowledged
-    /// before `since`, if that is given.
-    pub fn ask(&mut self, id: &str, mut sent: Sent, group: usize, since: Option<Instant>) {
+    /// Records a statement before its caller sends it. If `since` is given, the statement must
+    /// show all writes that were acknowledged before that time.
+    pub fn record_sent(&mut self, id: &str, mut sent: Sent, group: usize, since: Option<Instant>) {
         if let Some(since) = since {
             let acks = self.acks.get(&group).into_iter().flatten();
-            let old = acks.filter(|ack| ack.at < since).map(|ack| ack.must);
+            let old = acks.filter(|ack| ack.at < since).map(|ack| ack.required);
             let newest = old.max_by_key(|must| (must.term, must.number)).unwrap_or_default();
-            if newest.number > sent.must.number {
-                sent.must = newest;
+            if newest.number > sent.required.number {
+                sent.required = newest;
             }
         }
         self.sent.insert(id.into(), sent);
     }
 
-    /// Notes that a caller was told that its write is kept; what it must see from now on.
+    /// Records that a write was acknowledged to its caller. Returns the position that the caller's
+    /// later reads must show, or the default if the leader's log lacks the write.
     pub fn acknowledge(&mut self, id: &str, group: usize) -> Must {
         if self.replaced_commits.contains(id) {
             self.broken.push(format!("{id} was acknowledged by a replaced leader"));
@@ -241,12 +249,12 @@
         let Some(at) = log.iter().position(|entry| &*entry.id == id) else {
             return Must::default();
         };
-        let must = Must { number: at + 1, term: log[at].term };
-        self.acks.entry(group).or_default().push(Ack { at: Instant::now(), must });
-        must
+        let required = Must { number: at + 1, term: log[at].term };
+        self.acks.entry(group).or_default().push(Ack { at: Instant::now(), required });
+        required
     }
 
-    /// Notes that a caller was promised that nothing of a statement is kept.
+    /// Records that a caller received an error guaranteeing that nothing of a statement is kept.
     pub fn record_not_kept(&mut self, id: &str) {
         self.not_kept.insert(id.into());
         let kept = self
@@ -258,9 +266,10 @@
         }
     }
 
-    /// Checks a statement that a server runs, and notes it.
-    pub fn run(&mut self, i: usize, run: &Execution<'_>) {
-        let Execution { id, account, text, values, rows, signature } = run;
+    /// Checks a server's execution of a statement against the statement sent, and records the
+    /// answer.
+    pub fn check_execution(&mut self, i: usize, execution: &Execution<'_>) {
+        let Execution { id, account, text, values, rows, signature } = execution;
         self.servers[i].statements_run += 1;
         let Some(sent) = self.sent.get(*id).cloned() else {
             return self.broken.push(format!("{id} was run and never asked: {text}"));
@@ -276,10 +285,12 @@
             self.broken.push(format!("{id} ran with values {values:?} instead of {wanted:?}"));
         }
         let server = &self.servers[i];
-        let must = sent.must;
-        if server.applied < must.number || (must.number > 0 && server.term < must.term) {
+        let required = sent.required;
+        if server.applied < required.number || (required.number > 0 && server.term < required.term)
+        {
             let (shown, term) = (server.applied, server.term);
-            let story = format!("{id} read {term}.{shown} at {}, it must see {must:?}", server.id);
+            let story =
+                format!("{id} read {term}.{shown} at {}, it must see {required:?}", server.id);
             self.broken.push(story);
         }
         let account = (*account).into();
@@ -290,7 +301,7 @@
             .push(Answer { signature: (*signature).into(), rows: rows.to_vec() });
     }
 
-    /// Keeps writes at a leader.
+    /// Appends writes, as (statement id, item, data), to the log of a server.
     pub fn commit(&mut self, i: usize, writes: &[(Box<str>, Box<str>, Box<str>)]) {
         let replaced = self.leader(self.servers[i].group) != Some(i);
         for (id, item, data) in writes {
@@ -310,10 +321,11 @@
         self.servers[i].applied = self.servers[i].log.len();
     }
 
-    /// The most operations of an account within any such window.
+    /// Returns the highest number of operations of a client account within any interval of length
+    /// `window`.
     pub fn max_operations(&self, account: &str, window: Duration) -> usize {
-        let of_account = self.operations.values().filter(|(_, of)| &**of == account);
-        let mut times: Vec<Instant> = of_account.map(|(at, _)| *at).collect();
+        let operations = self.operations.values().filter(|(_, of)| &**of == account);
+        let mut times: Vec<Instant> = operations.map(|(at, _)| *at).collect();
         times.sort();
         let within = |from: Instant| {
             let until = from + window;
@@ -323,18 +335,18 @@
     }
 }
 
-/// A statement as a server runs it.
+/// A server's execution of a statement.
 pub struct Execution<'a> {
-    /// Its id.
+    /// Statement id.
     pub id: &'a str,
-    /// Whose connection it runs on.
+    /// Client account of the connection.
     pub account: &'a str,
-    /// Its text, with the definition in place of a prepared name.
+    /// Statement text, with the definition in place of a prepared name.
     pub text: &'a str,
-    /// The values of the connection.
+    /// Session variables of the connection.
     pub values: &'a BTreeMap<Box<str>, Box<str>>,
-    /// What it answers.
+    /// Rows of the answer.
     pub rows: &'a [Box<str>],
-    /// What it signs the answer with.
+    /// Signature of the answer.
     pub signature: &'a str,
 }
--- a/lab/src/soak/server.rs
+++ b/lab/src/soak/server.rs
@@ -290,7 +290,7 @@
         let (account, values) = (&*self.account, &self.values);
         let run =
             Execution { id, account, text: &text, values, rows: &rows, signature: &signature };
-        groups.run(standin.index, &run);
+        groups.check_execution(standin.index, &run);
         if write {
             let data = args.get(1).copied().unwrap_or_default();
             let write = (id.into(), item.into(), data.into());
