--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -184,7 +184,7 @@
         let all = world.clone();
         let mut world = world.borrow_mut();
         while let Some(step) = next.next_if(|step| step.at <= now) {
-            step.make(&mut world)?;
+            step.apply(&mut world)?;
             if let (Action::Grow(_), Some(database)) = (step.action, world.newest_database()) {
                 monoio::spawn(check_database_served(all.clone(), database));
             }
--- a/lab/src/soak/schedule.rs
+++ b/lab/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Faults of a soak, drawn from a seed.
+//! Fault schedules of a soak, generated from a seed.
 
 use std::{fmt, time::Duration};
 
@@ -7,75 +7,75 @@
 use super::world::{self, World};
 use crate::link::Fault;
 
-/// The least and the most time between two steps, in milliseconds. Faults last
-/// longer, so that they overlap.
+/// Range of the interval between the starts of two steps, in milliseconds. Faults last longer, so
+/// that they overlap.
 const STEP_INTERVAL_MS: std::ops::Range<u64> = 100..1300;
 
-/// What is done to the system.
+/// A fault or an operator's action. Variants are printed under their own names by `--dry`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// A host's process is killed, and started again.
+    /// Kill a host's process, then restart it.
     KillHost(usize),
-    /// All hosts' processes are killed at once, and started again.
+    /// Kill the processes of all hosts at once, then restart them.
     KillAll,
-    /// A host's process is paused, and goes on.
+    /// Pause a host's process with SIGSTOP, then resume it.
     PauseHost(usize),
-    /// A host is told to stop, and started again when it has ended.
+    /// Stop a host with SIGTERM; it is restarted once its process has exited.
     StopHost(usize),
-    /// A host is told to read its settings again.
+    /// Send SIGHUP to a host, so that it reloads its settings.
     Reload(usize),
-    /// A server's process ends, and comes back with its log.
+    /// Stop a server, then restart it with its log intact.
     KillServer(usize),
-    /// The leader of a group ends, and comes back.
+    /// Stop the leader of a group, then restart it.
     KillLeader(usize),
-    /// Nothing passes to or from a server on open and new connections.
+    /// Block traffic to and from a server, on open and on new connections.
     CutServer(usize),
-    /// Nothing comes back from a server, though all arrives.
+    /// Block traffic from a server; traffic to it still arrives.
     SilenceServer(usize),
-    /// All that passes to and from a server is late.
+    /// Delay traffic to and from a server.
     DelayServer(usize),
-    /// All connections to a server are ended.
+    /// Reset all connections to a server.
     ResetServer(usize),
-    /// A replica shows late what it has received.
+    /// Delay the visibility of replicated writes on a replica.
     Lag(usize),
-    /// A server loses a part of its answers.
+    /// Have a server lose a fraction of its answers.
     LoseAnswers(usize),
-    /// A host does not reach the store.
+    /// Block traffic between a host and the store.
     CutStore(usize),
-    /// The store answers nobody.
+    /// Have the store answer no request.
     StoreDown,
-    /// The store answers late.
+    /// Delay the store's answers.
     StoreSlow,
-    /// The store loses answers to changes that it made.
+    /// Have the store apply write transactions and lose the answers.
     StoreLoses,
-    /// A new version of the configuration.
+    /// Publish a new configuration version.
     Configure,
-    /// A key is withdrawn from callers that are connected, and given back.
+    /// Withdraw the key of connected callers, then restore it.
     Withdraw,
-    /// A host is reached by no other one, though it reaches them.
+    /// Block other hosts' connections to a host; its own connections to them still work.
     CutHost(usize),
-    /// Other hosts' words to a host arrive, and no answer comes back.
+    /// Deliver other hosts' requests to a host and block its answers.
     SilenceHost(usize),
-    /// All that passes to a host from others is late.
+    /// Delay traffic on other hosts' connections to a host.
     DelayHost(usize),
-    /// All connections of other hosts to a host are ended.
+    /// Reset other hosts' connections to a host.
     ResetHost(usize),
-    /// A server says that it leaves, and stays after all.
+    /// Mark a server as draining, then as ready again.
     Leave(usize),
-    /// The configuration grows by so many databases.
+    /// Add this number of databases to the configuration.
     Grow(usize),
-    /// All that hosts tell each other passes slowly, and what the store tells small ones.
+    /// Throttle all traffic between hosts, and between the store and hosts of the usual size.
     SlowLinks,
 }
 
-/// A fault at its time.
+/// A scheduled action.
 #[derive(Clone, Copy, Debug)]
 pub struct Step {
-    /// Since the start of the load.
+    /// Start of the action, from the start of the schedule.
     pub at: Duration,
-    /// How long it lasts.
+    /// Time until the action is reverted.
     pub duration: Duration,
-    /// What is done.
+    /// The action.
     pub action: Action,
 }
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// Draws the steps of a seed: the same seed, the same steps.
+/// Generates the steps for a seed. The same arguments give the same steps.
 pub fn generate(seed: u64, length: Duration, hosts: usize, servers: usize) -> Vec<Step> {
     let mut random = StdRng::seed_from_u64(seed);
     let mut at = Duration::from_millis(random.random_range(STEP_INTERVAL_MS));
@@ -126,9 +126,9 @@
     steps
 }
 
-/// All hosts die together and come back at once, again and again, while an account asks
-/// for more than its rate. In between replicas fall behind and leaders die, the second
-/// one soon after it has begun to lead.
+/// Returns a schedule that kills and restarts all hosts together, repeatedly, while an account
+/// exceeds its rate. In between, replicas lag and each group's leader is stopped twice, the second
+/// time soon after a promotion.
 pub fn mass_restarts(length: Duration, servers: usize) -> Vec<Step> {
     let ms = Duration::from_millis;
     let mut steps = Vec::new();
@@ -149,7 +149,7 @@
     steps
 }
 
-/// Draws the steps of a seed that disturb links between hosts and have servers leave.
+/// Generates the steps for a seed that disturb links between hosts and drain servers.
 pub fn generate_link_faults(
     seed: u64,
     length: Duration,
@@ -175,8 +175,8 @@
     steps
 }
 
-/// Draws the steps of a seed that let the configuration grow, over links that are slow all
-/// the while and are reset now and then.
+/// Generates the steps for a seed that grow the configuration, over links that are throttled
+/// throughout and reset at times.
 pub fn generate_growth(seed: u64, length: Duration, hosts: usize) -> Vec<Step> {
     let mut random = StdRng::seed_from_u64(seed.rotate_left(32));
     let mut steps = vec![Step { at: Duration::ZERO, duration: length, action: Action::SlowLinks }];
@@ -194,14 +194,14 @@
 }
 
 impl Step {
-    /// Makes the fault; it is undone by [`Step::revert`].
-    pub fn make(&self, world: &mut World) -> anyhow::Result<()> {
+    /// Applies the action; [`Step::revert`] ends it.
+    pub fn apply(&self, world: &mut World) -> anyhow::Result<()> {
         let link = |server: usize| format!("s{server}");
         let peer = |host: usize| format!("peer{host}");
         match self.action {
             Action::KillHost(host) => world.hosts[host].kill(),
             Action::KillAll => world.hosts.iter_mut().for_each(|host| host.kill()),
-            // A host that another step has ended cannot be signalled: nothing to do.
+            // Signalling fails if another step has killed the host; nothing is left to do then.
             Action::PauseHost(host) => drop(world.hosts[host].signal(libc::SIGSTOP)),
             Action::StopHost(host) => drop(world.hosts[host].signal(libc::SIGTERM)),
             Action::Reload(host) => drop(world.hosts[host].signal(libc::SIGHUP)),
@@ -232,7 +232,8 @@
         Ok(())
     }
 
-    /// Undoes the fault.
+    /// Reverts the action. Databases that were added stay, and [`World::restart_ended`] restarts a
+    /// stopped host.
     pub fn revert(&self, world: &mut World) -> anyhow::Result<()> {
         match self.action {
             Action::KillHost(host) => world.hosts[host].start()?,
@@ -268,6 +269,8 @@
     }
 }
 
+/// Sets the fault of all links between hosts, and of those from hosts of the usual size to the
+/// store.
 fn set_slow(world: &World, fault: &Fault) {
     world.links.set("peer*", fault);
     for host in world::LARGE_HOSTS..world.hosts.len() {
@@ -275,7 +278,8 @@
     }
 }
 
-/// A link of 1.6 Mbit/s: up to 1.2 s for what the configuration grows by in one step.
+/// Throttles a link to 1.6 Mbit/s. The growth of the configuration in one step takes up to 1.2 s
+/// on it.
 fn slow() -> Fault {
     Fault { bytes_per_sec: 200_000, ..Fault::default() }
 }
