--- a/lab/src/soak/server.rs
+++ b/lab/src/soak/server.rs
@@ -1,4 +1,4 @@
-//! The line protocol of a stand-in server.
+//! Stand-in for a backend server with a line protocol.
 
 use std::{
     cell::RefCell,
@@ -20,32 +20,34 @@
 
 use super::group::{Execution, Groups};
 
-/// Statements that a server runs at once.
+/// Maximum number of statements that a server executes concurrently.
 pub const SLOTS: usize = 5;
 
-/// Connections that a server takes.
+/// Maximum number of open connections to a server.
 pub const MAX_CONNECTIONS: usize = 34;
 
-/// How long a new connection takes a slot.
+/// Time for which a new connection occupies a slot.
 const CONNECT_DURATION: Duration = Duration::from_millis(4);
 
 type Values = BTreeMap<Box<str>, Box<str>>;
 
 /// A stand-in server.
 pub struct Standin {
-    /// Its place among all servers.
+    /// Index among all servers.
     pub index: usize,
-    /// Its name, and that of its group.
+    /// Names of the server and of its group.
     pub names: [Box<str>; 2],
     groups: Rc<RefCell<Groups>>,
     slots: Semaphore,
-    open: Semaphore,
+    connections: Semaphore,
     stopped: Notify,
 }
 
 struct Transaction {
     writes_allowed: bool,
+    /// Session that the first statement belongs to; `None` before that statement.
     session: Option<u64>,
+    /// Statement id, item and data of each write.
     writes: Vec<(Box<str>, Box<str>, Box<str>)>,
 }
 
@@ -55,31 +57,34 @@
     values: Values,
     prepared: HashMap<Box<str>, Box<str>>,
     transaction: Option<Transaction>,
+    /// Whether a statement of the open transaction has failed; further ones fail until `ROLLBACK`.
     failed: bool,
 }
 
-/// What a statement is answered.
+/// Result of a statement.
 enum Reply {
+    /// Rows and signature of the answer.
     Done(Vec<Box<str>>, Box<str>),
+    /// Error code.
     Error(&'static str),
-    /// The connection ends without an answer.
+    /// The connection is closed without an answer.
     Lost,
 }
 
 impl Standin {
-    /// A server that does not listen yet.
+    /// Returns a server that does not listen yet.
     pub fn new(index: usize, names: [Box<str>; 2], groups: Rc<RefCell<Groups>>) -> Rc<Self> {
         Rc::new(Self {
             index,
             names,
             groups,
             slots: Semaphore::new(SLOTS),
-            open: Semaphore::new(MAX_CONNECTIONS),
+            connections: Semaphore::new(MAX_CONNECTIONS),
             stopped: Notify::new(),
         })
     }
 
-    /// Listens while the server is up, for ever: connections are refused in between.
+    /// Listens while the server is up; connections are refused while it is not. Never returns.
     pub async fn run(self: Rc<Self>, address: SocketAddr) {
         loop {
             if !self.groups.borrow().servers[self.index].up {
@@ -102,7 +107,7 @@
         }
     }
 
-    /// Ends its process: all connections with it.
+    /// Stops the server and closes all of its connections.
     pub fn stop(&self) {
         self.groups.borrow_mut().servers[self.index].up = false;
         self.stopped.notify_waiters();
@@ -113,7 +118,7 @@
         let Ok(io) = stream.into_poll_io() else { return };
         let serve = self.clone().serve(BufReader::new(io));
         monoio::select! {
-            // A connection that breaks is noticed by its other end.
+            // An I/O error needs no handling: the peer detects the broken connection.
             _ = serve => {}
             _ = stopped => {}
         }
@@ -124,7 +129,7 @@
         io.read_line(&mut line).await?;
         let words: Vec<&str> = line.split_whitespace().collect();
         let [_, group, account, id] = words[..] else { return Ok(()) };
-        let Ok(_open) = self.open.try_acquire() else {
+        let Ok(_connection) = self.connections.try_acquire() else {
             return io.write_all(b"ERROR TOOMANY full\r\n").await;
         };
         if id != &*self.names[0] || group != &*self.names[1] {
@@ -218,7 +223,7 @@
             }
             _ if self.failed => Reply::Error("MALFORMED"),
             "BEGIN" => {
-                if !self.shows(after) {
+                if !self.has_applied(after) {
                     return Reply::Error("BEHIND");
                 }
                 let writes_allowed = rest.is_empty();
@@ -229,29 +234,33 @@
                 self.transaction = Some(Transaction { writes_allowed, session, writes });
                 Reply::Done(Vec::new(), "-".into())
             }
-            _ => self.work(id, verb, rest, after).await,
+            _ => self.execute(id, verb, rest, after).await,
         }
     }
 
-    fn shows(&self, after: Option<&str>) -> bool {
+    /// Returns whether the server has applied the position `TERM.NUMBER`; true without a valid
+    /// position.
+    fn has_applied(&self, after: Option<&str>) -> bool {
         let groups = self.standin.groups.borrow();
         let server = &groups.servers[self.standin.index];
-        let point = after.and_then(|text| text.split_once('.'));
-        let point = point.and_then(|(t, n)| Some((t.parse::<u64>().ok()?, n.parse().ok()?)));
-        point.is_none_or(|(term, number): (u64, usize)| {
+        let position = after.and_then(|text| text.split_once('.'));
+        let position = position.and_then(|(t, n)| Some((t.parse::<u64>().ok()?, n.parse().ok()?)));
+        position.is_none_or(|(term, number): (u64, usize)| {
             server.term >= term && server.applied >= number
         })
     }
 
+    /// Returns whether the server acts as leader.
     fn is_leader(&self) -> bool {
         self.standin.groups.borrow().servers[self.standin.index].is_leader
     }
 
-    async fn work(&mut self, id: &str, verb: &str, rest: &str, after: Option<&str>) -> Reply {
+    /// Executes a read, a write or a commit and checks it against the statement sent.
+    async fn execute(&mut self, id: &str, verb: &str, rest: &str, after: Option<&str>) -> Reply {
         let standin = self.standin.clone();
         let Ok(_slot) = standin.slots.acquire().await else { return Reply::Error("BUSY") };
         monoio::time::sleep(Duration::from_micros(rand::random_range(500..6000))).await;
-        if !self.shows(after) {
+        if !self.has_applied(after) {
             return Reply::Error("BEHIND");
         }
         let text = match verb {
@@ -264,8 +273,8 @@
         };
         let write = verb == "WRITE" || text.starts_with("EXECUTE WRITE ");
         let allowed = self.transaction.as_ref().is_none_or(|open| open.writes_allowed);
-        let plain = self.transaction.as_ref().is_some_and(|open| open.writes_allowed);
-        if (write || plain) && !(self.is_leader() && allowed) {
+        let read_write = self.transaction.as_ref().is_some_and(|open| open.writes_allowed);
+        if (write || read_write) && !(self.is_leader() && allowed) {
             return Reply::Error("READONLY");
         }
         if !self.same_session(id) {
@@ -280,17 +289,17 @@
         let item = args.first().copied().unwrap_or_default();
         let own = self.transaction.iter().flat_map(|open| &open.writes);
         let server = &groups.servers[standin.index];
-        let kept = server.log[..server.applied].iter().map(|e| (&e.id, &e.item, &e.data));
-        let seen = kept.chain(own.map(|(id, item, data)| (id, item, data)));
-        let newest = seen.rev().find(|(_, of, _)| &***of == item);
+        let committed = server.log[..server.applied].iter().map(|e| (&e.id, &e.item, &e.data));
+        let visible = committed.chain(own.map(|(id, item, data)| (id, item, data)));
+        let newest = visible.rev().find(|(_, of, _)| &***of == item);
         let read = !write && verb != "COMMIT";
         let rows: Vec<Box<str>> =
             newest.filter(|_| read).map(|(_, _, data)| data.clone()).into_iter().collect();
         let signature = format!("{:x}.{}", rand::random::<u64>(), standin.index);
         let (account, values) = (&*self.account, &self.values);
-        let run =
+        let execution =
             Execution { id, account, text: &text, values, rows: &rows, signature: &signature };
-        groups.check_execution(standin.index, &run);
+        groups.check_execution(standin.index, &execution);
         if write {
             let data = args.get(1).copied().unwrap_or_default();
             let write = (id.into(), item.into(), data.into());
@@ -310,7 +319,8 @@
         Reply::Done(rows, signature.into())
     }
 
-    /// Whether the transaction is of the session that asked for the statement.
+    /// Returns whether the open transaction belongs to the statement's session. The transaction's
+    /// first statement assigns it to a session; without a transaction the result is true.
     fn same_session(&mut self, id: &str) -> bool {
         let groups = self.standin.groups.borrow();
         let sent = groups.sent.get(id).map(|sent| sent.operation.0);
