--- a/lab/src/soak/store.rs
+++ b/lab/src/soak/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's metadata store and its promotion call.
+//! Stand-in for the platform's metadata store and its promotion service.
 
 use std::{
     cell::RefCell,
@@ -16,17 +16,17 @@
 
 use super::group::Groups;
 
-/// The longest that a caller is made to wait for a change.
+/// Maximum time for which a feed request waits for a change.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// What is wrong with the store.
+/// Faults of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Nothing is answered.
+    /// Whether no request is answered.
     pub down: bool,
-    /// Each answer takes this long.
+    /// Delay of each answer; at least 1 ms applies.
     pub delay: Duration,
-    /// So many answers to writes are lost after the change was made.
+    /// Number of answers to write transactions still to be lost after the transaction was applied.
     pub lost_answers: u32,
 }
 
@@ -37,21 +37,21 @@
     removed: bool,
 }
 
-/// The store.
+/// Rows of the store, and the record of calls.
 pub struct Store {
     started: Instant,
     version: u64,
     rows: BTreeMap<(Box<str>, Box<str>), Row>,
-    /// What is wrong with it.
+    /// Current faults.
     pub faults: Faults,
-    /// The greatest token that the promotion call was made with.
+    /// Highest fencing token of the promotion calls so far.
     token: u64,
-    /// Calls with a token lower than one before.
+    /// Number of promotion calls with a token lower than that of an earlier call.
     pub lower_tokens: usize,
-    /// Changes that hosts have asked for.
+    /// Number of write transactions requested by hosts.
     pub changes: usize,
-    /// Where hosts reach each other instead of where they listen: a host's row is
-    /// kept with the address of a link to it.
+    /// Address of the link to each host, by the address on which the host listens for its peers.
+    /// Hosts' rows are stored with the link's address.
     pub peer_links: BTreeMap<SocketAddr, SocketAddr>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Store {
-    /// Writes a row as the operator and the servers do.
+    /// Writes a row on behalf of the operator or a server.
     pub fn put(&mut self, table: &str, key: &str, value: &Value) {
         self.version += 1;
         let value = STANDARD.encode(value.to_string()).into();
@@ -79,13 +79,14 @@
         self.rows.insert((table.into(), key.into()), row);
     }
 
-    /// Removes a row as the servers do.
+    /// Removes a row on behalf of the operator or a server.
     pub fn remove(&mut self, table: &str, key: &str) {
         self.version += 1;
         let row = Row { value: "".into(), version: self.version, removed: true };
         self.rows.insert((table.into(), key.into()), row);
     }
 
+    /// Returns the rows of a table that match `pick`, in order of their versions.
     fn page(&self, table: &str, pick: impl Fn(&Row) -> bool) -> Value {
         let mut rows: Vec<_> =
             self.rows.iter().filter(|((of, _), row)| &**of == table && pick(row)).collect();
@@ -101,18 +102,19 @@
             "nowMs": self.started.elapsed().as_millis() as u64 + 5000})
     }
 
-    fn change(&mut self, body: &Value) -> Reply {
+    /// Applies a write transaction if its preconditions hold.
+    fn apply(&mut self, body: &Value) -> Reply {
         self.changes += 1;
         let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
         let name = |entry: &Value| -> (Box<str>, Box<str>) {
             let text = |field: &str| entry[field].as_str().unwrap_or_default().into();
             (text("table"), text("key"))
         };
-        let holds = list("precondition").iter().all(|entry| {
+        let valid = list("precondition").iter().all(|entry| {
             let row = self.rows.get(&name(entry)).filter(|row| !row.removed);
             row.map_or(0, |row| row.version) == entry["versionNumber"].as_u64().unwrap_or(0)
         });
-        if !holds {
+        if !valid {
             return Reply::json(StatusCode::PRECONDITION_FAILED, &json!({"rows": []}));
         }
         self.version += 1;
@@ -129,7 +131,7 @@
         Reply::json(StatusCode::OK, &json!({"versionNumber": self.version, "nowMs": now}))
     }
 
-    /// A row with the address of the link in place of the host's own.
+    /// Replaces the peer address in an encoded row by the link's address, if there is a link.
     fn replace_peer_address(&self, value: &str) -> Box<str> {
         let decoded = STANDARD.decode(value).unwrap_or_default();
         let Ok(mut row) = serde_json::from_slice::<Value>(&decoded) else { return value.into() };
@@ -141,18 +143,20 @@
         STANDARD.encode(row.to_string()).into()
     }
 
-    fn changed(&self, table: &str, after: u64) -> bool {
+    /// Returns whether a row of a table has a version after `after`.
+    fn has_changes(&self, table: &str, after: u64) -> bool {
         self.rows.iter().any(|((of, _), row)| &**of == table && row.version > after)
     }
 }
 
-/// Answers the calls of the store and of the promotion service.
+/// Returns the request handler for the store and the promotion service.
 pub fn handler(store: Rc<RefCell<Store>>, groups: Rc<RefCell<Groups>>) -> Rc<Handler> {
     Rc::new(move |request: Request| -> Pin<Box<dyn Future<Output = Reply>>> {
         Box::pin(answer(store.clone(), groups.clone(), request))
     })
 }
 
+/// Answers a request. One whose answer is to be lost is held for an hour.
 async fn answer(store: Rc<RefCell<Store>>, groups: Rc<RefCell<Groups>>, request: Request) -> Reply {
     let body: Value = serde_json::from_slice(&request.body).unwrap_or_default();
     if &*request.path == "/promotion" {
@@ -173,13 +177,13 @@
             let after = number("after").unwrap_or(0);
             let wait = Duration::from_millis(number("waitMs").unwrap_or(0)).min(MAX_WAIT);
             let end = Instant::now() + wait;
-            while !store.borrow().changed(table, after) && Instant::now() < end {
+            while !store.borrow().has_changes(table, after) && Instant::now() < end {
                 monoio::time::sleep(Duration::from_millis(5)).await;
             }
             Reply::json(StatusCode::OK, &store.borrow().page(table, |row| row.version > after))
         }
         "/-/rows-tx" => {
-            let reply = store.borrow_mut().change(&body);
+            let reply = store.borrow_mut().apply(&body);
             let lost = store.borrow().faults.lost_answers > 0;
             if lost {
                 store.borrow_mut().faults.lost_answers -= 1;
@@ -191,6 +195,7 @@
     }
 }
 
+/// Handles a promotion call and counts it if its fencing token is lower than an earlier one.
 fn promote(
     store: &RefCell<Store>,
     groups: &RefCell<Groups>,
