--- a/lab/src/soak/world.rs
+++ b/lab/src/soak/world.rs
@@ -1,4 +1,4 @@
-//! The system of a soak: real hosts as processes, stand-ins for all else.
+//! The system under a soak: real hosts as processes, stand-ins for everything else.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,65 +24,69 @@
     system,
 };
 
-/// Groups, of three servers each.
+/// Number of database groups; each has three servers.
 pub const GROUPS: usize = 3;
 
-/// Accounts: name, key, rate and burst. The last one asks for more than its rate.
+/// Client accounts: name, key, and rate per second, which is the burst too. The last account
+/// exceeds its rate.
 const ACCOUNTS: [(&str, &str, u64); 3] =
     [("baobab", "key-b", 400), ("hartwell", "key-h", 400), ("greedy", "key-g", 30)];
 
-/// Hosts of a system with hosts of two sizes that are large: one in each failure domain.
+/// Number of large hosts in a system with hosts of two sizes: one in each failure domain.
 pub const LARGE_HOSTS: usize = 2;
 
-/// Processor shares of a host of the usual size, and of a large one.
+/// CPU share of a host of the usual size.
 const SMALL_CPU_SHARE: f64 = 0.25;
+/// CPU share of a large host.
 const LARGE_CPU_SHARE: f64 = 0.5;
 
-/// How long an entry stays after its server has ended: three heartbeats.
+/// Time after which the entry of a stopped server is removed: three heartbeats.
 const ENTRY_TTL: Duration = Duration::from_millis(1500);
 
-/// The system.
+/// The system: hosts, stand-ins and the links between them.
 pub struct World {
-    /// Hosts.
+    /// Host processes.
     pub hosts: Vec<Process>,
-    /// Servers, those of a group together.
+    /// Stand-in servers, ordered by group.
     pub standins: Vec<Rc<Standin>>,
-    /// What the servers hold and see.
+    /// State of the servers, and the record of statements.
     pub groups: Rc<RefCell<Groups>>,
-    /// The store.
+    /// Stand-in for the metadata store.
     pub store: Rc<RefCell<Store>>,
-    /// Links to servers and to the store.
+    /// Links to servers (`sN`), from hosts to the store (`storeN`) and between hosts (`peerN`).
     pub links: Links,
-    /// Where callers connect.
+    /// Addresses on which hosts listen for callers.
     pub callers: Vec<SocketAddr>,
-    /// Where readiness is asked for.
+    /// Addresses of the hosts' readiness endpoints.
     pub readiness: Vec<SocketAddr>,
-    /// Where metrics are served.
+    /// Addresses of the hosts' metrics endpoints.
     pub metrics: Vec<SocketAddr>,
-    /// Statements answered with success.
+    /// Number of statements answered with success.
     pub served: Rc<Cell<u64>>,
-    /// Statements answered otherwise.
+    /// Number of statements answered with an error.
     pub refused: Rc<Cell<u64>>,
-    /// Where each server says that it listens.
+    /// Address in each server's entry.
     addresses: RefCell<Vec<SocketAddr>>,
+    /// Version of the configuration.
     version: Cell<u64>,
-    /// Databases beside those that callers use.
+    /// Number of databases in addition to those that callers use.
     extra_databases: Cell<usize>,
+    /// Whether the key of `hartwell` is withdrawn.
     withdrawn: Cell<bool>,
-    /// Whether entries of servers that ended stay in the list.
+    /// Whether entries of stopped servers remain in the store.
     pub retain_entries: Cell<bool>,
     dir: tempfile::TempDir,
     _ports: Ports,
 }
 
 impl World {
-    /// Starts the system with hosts of one size.
+    /// Starts a system with hosts of one size.
     pub fn start(hosts: usize) -> anyhow::Result<Self> {
         Self::start_sized(hosts, 0)
     }
 
-    /// Starts the system; the first `large` hosts have more power than the others, so
-    /// that these leave reading the store to them.
+    /// Starts a system whose first `large` hosts have a larger CPU share than the others, so that
+    /// the others leave reading the store to them.
     pub fn start_sized(hosts: usize, large: usize) -> anyhow::Result<Self> {
         let mut ports = Ports::take()?;
         let dir = tempfile::tempdir()?;
@@ -127,7 +131,7 @@
             _ports: ports,
         };
         world.configure();
-        (0..GROUPS * 3).for_each(|index| world.list(index));
+        (0..GROUPS * 3).for_each(|index| world.publish_entry(index));
         for number in 0..hosts {
             let cpu_share = if number < large { LARGE_CPU_SHARE } else { SMALL_CPU_SHARE };
             world.add_host(number, cpu_share, platform)?;
@@ -135,6 +139,7 @@
         Ok(world)
     }
 
+    /// Starts a host, with a link to the store and a link through which its peers reach it.
     fn add_host(
         &mut self,
         number: usize,
@@ -146,9 +151,13 @@
         let (peers, metrics, store) = (ports.address()?, ports.address()?, ports.address()?);
         let name = format!("store{number}").into();
         self.links.add(Add { name, listen: store, to: platform })?;
-        let between = ports.address()?;
-        self.links.add(Add { name: format!("peer{number}").into(), listen: between, to: peers })?;
-        self.store.borrow_mut().peer_links.insert(peers, between);
+        let peer_link = ports.address()?;
+        self.links.add(Add {
+            name: format!("peer{number}").into(),
+            listen: peer_link,
+            to: peers,
+        })?;
+        self.store.borrow_mut().peer_links.insert(peers, peer_link);
         let settings = format!(
             "nodeName=host-{number}\nzone=d{}\nipAddress=127.0.0.1\n\
             listenAddresses.front={callers}\nlistenAddresses.ready={readiness}\n\
@@ -172,7 +181,7 @@
         Ok(())
     }
 
-    /// Writes a new version of the configuration.
+    /// Publishes a new version of the configuration.
     pub fn configure(&self) {
         self.version.set(self.version.get() + 1);
         let kinds = ["primary", "bounded_staleness", "read_own_writes"];
@@ -190,8 +199,8 @@
         let accounts: Vec<_> = ACCOUNTS
             .iter()
             .map(|(name, key, rate)| {
-                let gone = self.withdrawn.get() && *name == "hartwell";
-                let keys: Vec<_> = if gone { Vec::new() } else { vec![key] };
+                let withdrawn = self.withdrawn.get() && *name == "hartwell";
+                let keys: Vec<_> = if withdrawn { Vec::new() } else { vec![key] };
                 json!({"name": name, "apiKeys": keys, "ratePerS": rate, "burst": rate})
             })
             .collect();
@@ -200,32 +209,32 @@
         self.store.borrow_mut().put("op", "config", &document);
     }
 
-    /// Adds databases; the name of the last one.
+    /// Adds databases to the configuration. Returns the name of the last one.
     pub fn add_databases(&self, count: usize) -> String {
         self.extra_databases.set(self.extra_databases.get() + count);
         self.configure();
         self.newest_database().expect("databases were added")
     }
 
-    /// The last database that was added; none before the first.
+    /// Returns the name of the last database added, if any.
     pub fn newest_database(&self) -> Option<String> {
         let extra_databases = self.extra_databases.get();
         (extra_databases > 0).then(|| database(GROUPS * 3 + extra_databases - 1))
     }
 
-    /// Withdraws a key from callers that are connected.
+    /// Withdraws the key of `hartwell`, whose callers are connected.
     pub fn withdraw_key(&self) {
         self.withdrawn.set(true);
         self.configure();
     }
 
-    /// Gives it back.
+    /// Restores the key of `hartwell`.
     pub fn restore_key(&self) {
         self.withdrawn.set(false);
         self.configure();
     }
 
-    /// Whether the key of `hartwell` is withdrawn.
+    /// Returns whether the key of `hartwell` is withdrawn.
     pub fn is_withdrawn(&self) -> bool {
         self.withdrawn.get()
     }
@@ -235,12 +244,12 @@
         self.store.borrow_mut().put("op", &format!("evacuate/d{domain}"), &json!({}));
     }
 
-    /// Takes that back.
+    /// Ends the evacuation of a failure domain.
     pub fn end_evacuation(&self, domain: usize) {
         self.store.borrow_mut().remove("op", &format!("evacuate/d{domain}"));
     }
 
-    /// Statements that servers of a failure domain have run.
+    /// Returns the number of callers' statements that servers of a failure domain have executed.
     pub fn statements_run_in(&self, domain: usize) -> usize {
         (0..GROUPS * 3)
             .filter(|index| index % 2 == domain)
@@ -248,7 +257,8 @@
             .sum()
     }
 
-    fn list(&self, index: usize) {
+    /// Writes a server's entry to the store.
+    fn publish_entry(&self, index: usize) {
         let groups = self.groups.borrow();
         let server = &groups.servers[index];
         let role = if server.is_leader { "primary" } else { "replica" };
@@ -259,31 +269,32 @@
         self.store.borrow_mut().put("servers", &server.id, &entry);
     }
 
-    /// Has a server say that it leaves; it goes on serving.
+    /// Publishes a server as draining. The server keeps serving.
     pub fn start_draining(&self, index: usize) {
         self.groups.borrow_mut().servers[index].draining = true;
-        self.list(index);
+        self.publish_entry(index);
     }
 
-    /// Has a server say that it stays.
+    /// Publishes a draining server as ready again.
     pub fn stop_draining(&self, index: usize) {
         self.groups.borrow_mut().servers[index].draining = false;
-        self.list(index);
+        self.publish_entry(index);
     }
 
-    /// Has a server say that it listens where another one does.
+    /// Publishes a server with the address of another server.
     pub fn advertise_address_of(&self, index: usize, other: usize) {
         let address = self.addresses.borrow()[other];
         self.addresses.borrow_mut()[index] = address;
-        self.list(index);
+        self.publish_entry(index);
     }
 
-    /// Statements of callers that a server has run.
+    /// Returns the number of callers' statements that a server has executed.
     pub fn statements_run(&self, index: usize) -> usize {
         self.groups.borrow().servers[index].statements_run
     }
 
-    /// Keeps logs travelling, entries listed and stopped hosts started, for ever.
+    /// Replicates logs, completes promotions, and updates entries as servers start, stop and change
+    /// roles. Never returns.
     pub async fn maintain(world: Rc<RefCell<Self>>) {
         let mut down: Vec<Option<Instant>> = vec![None; GROUPS * 3];
         loop {
@@ -303,16 +314,16 @@
                     }
                     Some(_) if up => {
                         *down = None;
-                        world.list(index);
+                        world.publish_entry(index);
                     }
-                    _ if changed && up => world.list(index),
+                    _ if changed && up => world.publish_entry(index),
                     _ => {}
                 }
             }
         }
     }
 
-    /// Ends the leader of a group.
+    /// Stops the leader of a group.
     pub fn stop_leader(&self, group: usize) {
         let is_leader = |index: &usize| {
             let groups = self.groups.borrow();
@@ -322,14 +333,14 @@
         leader.into_iter().for_each(|index| self.standins[index].stop());
     }
 
-    /// Starts the servers of a group that do not run.
+    /// Starts the stopped servers of a group.
     pub fn start_group(&self, group: usize) {
         let mut groups = self.groups.borrow_mut();
-        let of_group = groups.servers.iter_mut().filter(|server| server.group == group);
-        of_group.for_each(|server| server.up = true);
+        let members = groups.servers.iter_mut().filter(|server| server.group == group);
+        members.for_each(|server| server.up = true);
     }
 
-    /// Starts hosts that have ended by themselves or by order.
+    /// Restarts hosts whose process has exited, whether after a stop request or by itself.
     pub fn restart_ended(&mut self) -> anyhow::Result<()> {
         for host in &mut self.hosts {
             if host.pid().is_some() && !host.is_running() {
@@ -340,7 +351,7 @@
         Ok(())
     }
 
-    /// Callers, `each` for each account.
+    /// Returns `each` callers for each client account.
     pub fn make_callers(&self, each: usize) -> Vec<Caller> {
         let databases: Vec<Database> = (0..GROUPS * 3)
             .map(|n| Database {
@@ -364,30 +375,31 @@
         accounts.enumerate().map(caller).collect()
     }
 
-    /// What one account's callers were given beyond its rate.
+    /// Describes the client accounts that exceeded their rate limit within 5 s.
     pub fn rate_violations(&self) -> Vec<String> {
         let groups = self.groups.borrow();
         let over = |(name, _, rate): &(&str, &str, u64)| {
-            let most = groups.max_operations(name, Duration::from_secs(5));
+            let peak = groups.max_operations(name, Duration::from_secs(5));
             let allowed = (*rate as f64 * 6.0 * 1.1 + 20.0) as usize;
-            (most > allowed).then(|| format!("{name} had {most} in 5 s, {allowed} are allowed"))
+            (peak > allowed).then(|| format!("{name} had {peak} in 5 s, {allowed} are allowed"))
         };
         ACCOUNTS.iter().filter_map(over).collect()
     }
 
-    /// Keeps what the hosts have logged; the folder.
+    /// Copies the hosts' logs to a directory that remains after the run. Returns the directory.
     pub fn keep_logs(&self, seed: u64) -> anyhow::Result<PathBuf> {
         let to = std::env::temp_dir().join(format!("bergamottrack-soak-{seed}"));
         std::fs::create_dir_all(&to)?;
         for host in &self.hosts {
-            std::fs::write(to.join(&*host.name), host.log()).context("keeping a log")?;
+            std::fs::write(to.join(&*host.name), host.log())
+                .context("writing a copy of a host's log")?;
         }
         Ok(to)
     }
 }
 
-/// The name of a database. Those beside the callers' own have names that tell nothing of
-/// each other, as real ones, so that a configuration cannot be made much smaller.
+/// Returns the name of a database. Names of added databases share no pattern, as real ones, so
+/// that the configuration cannot be made much smaller.
 fn database(number: usize) -> String {
     if number < GROUPS * 3 {
         return format!("db{number}");
@@ -395,6 +407,7 @@
     format!("db{:016x}", (number as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29))
 }
 
+/// Returns the initial state of a server.
 fn server(id: Box<str>, group: usize, is_leader: bool) -> Server {
     let (log, lag) = (Vec::new(), Duration::ZERO);
     let (up, isolated, draining) = (true, false, false);
