--- a/lab/src/soak/caller.rs
+++ b/lab/src/soak/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of a soak: a session after the other, and what each answer must be.
+//! A caller of a soak. It opens one session after another and checks each answer.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,43 +17,44 @@
 
 use super::group::{Groups, Must, Sent};
 
-/// The longest that a caller waits for an answer.
+/// Maximum time for which a caller waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Words by which a caller is promised that nothing of its statement is kept.
+/// Error codes which guarantee that nothing of a statement is kept.
 const NOT_KEPT_CODES: [&str; 6] = ["BUSY", "ABORTED", "BEHIND", "READONLY", "MISROUTED", "TOOMANY"];
 
-/// A database as callers know it.
+/// A database, with the guarantees that its reads must fulfil.
 #[derive(Clone, Debug)]
 pub struct Database {
-    /// Its name.
+    /// Database name.
     pub name: Box<str>,
-    /// Its group.
+    /// Index of its group.
     pub group: usize,
-    /// What its reads must show: all, all of that age, or that and the session's own.
-    pub age: Option<Duration>,
-    /// Whether a read must show the session's own writes.
-    pub own: bool,
+    /// Maximum staleness of reads: writes acknowledged longer ago must be visible. `None` requires
+    /// all acknowledged writes.
+    pub max_staleness: Option<Duration>,
+    /// Whether reads must show the session's own writes.
+    pub read_own_writes: bool,
 }
 
-/// Who a caller is.
+/// Identity and settings of a caller.
 #[derive(Clone)]
 pub struct Caller {
-    /// Its number; no other caller has it.
+    /// Number that is unique among callers.
     pub number: u64,
-    /// Hosts that it may connect to.
+    /// Addresses of the hosts that it connects to.
     pub hosts: Vec<SocketAddr>,
-    /// Its account, and the key that it shows.
+    /// Client account.
     pub account: Box<str>,
-    /// The key that it shows.
+    /// API key of the account.
     pub key: Box<str>,
-    /// The databases.
+    /// Databases that it uses.
     pub databases: Vec<Database>,
-    /// What the servers see.
+    /// State of the servers, and the record of statements.
     pub groups: Rc<RefCell<Groups>>,
-    /// Statements answered with success, over all callers.
+    /// Number of statements answered with success, over all callers.
     pub served: Rc<Cell<u64>>,
-    /// Statements answered otherwise, over all callers.
+    /// Number of statements answered with an error, over all callers.
     pub refused: Rc<Cell<u64>>,
 }
 
@@ -62,27 +63,30 @@
     io: BufReader<TcpStreamPoll>,
     database: Database,
     values: BTreeMap<Box<str>, Box<str>>,
+    /// Name and definition of each prepared statement.
     prepared: Vec<(Box<str>, Box<str>)>,
-    own: Must,
+    /// Position of the session's own writes that reads must show.
+    required: Must,
     operation: u64,
-    /// When the transaction that is open began.
+    /// Start of the open transaction.
     began: Option<Instant>,
+    /// Id of the last statement.
     id: u64,
 }
 
-/// What came back.
+/// A host's answer to a statement.
 enum Response {
     Done { rows: Vec<Box<str>>, signature: Box<str> },
     Error { code: Box<str> },
 }
 
 impl Caller {
-    /// Asks until `stop` is set.
+    /// Runs sessions until `stop` is set.
     pub async fn run(self, stop: Rc<Cell<bool>>) {
         let mut session = 0;
         while !stop.get() {
             session += 1;
-            // A session that breaks off is what faults are for; the next one goes on.
+            // Injected faults break sessions; the next session continues.
             let _ = self.session(self.number * 100_000 + session, &stop).await;
             monoio::time::sleep(Duration::from_millis(rand::random_range(5..60))).await;
         }
@@ -99,7 +103,7 @@
             database,
             values: BTreeMap::new(),
             prepared: Vec::new(),
-            own: Must::default(),
+            required: Must::default(),
             operation: 0,
             began: None,
             id: number << 16,
@@ -108,7 +112,7 @@
         session.io.write_all(start.as_bytes()).await?;
         let mut line = String::new();
         monoio::time::timeout(ANSWER_TIMEOUT, session.io.read_line(&mut line)).await??;
-        anyhow::ensure!(line.starts_with("READY I"), "no session: {line}");
+        anyhow::ensure!(line.starts_with("READY I"), "host refused the session: {line}");
         for _ in 0..rand::random_range(1..30) {
             if stop.get() {
                 return Ok(());
@@ -122,20 +126,22 @@
     }
 }
 
-/// Whether a host knows a database and an account's key.
+/// Returns whether a host accepts sessions on a database with the key of `baobab`.
 pub async fn serves_database(host: SocketAddr, database: &str) -> bool {
-    let ask = async {
+    let start = async {
         let mut io = BufReader::new(TcpStream::connect(host).await?.into_poll_io()?);
         io.write_all(format!("START {database} key-b\r\n").as_bytes()).await?;
         let mut line = String::new();
         io.read_line(&mut line).await?;
         anyhow::Ok(line)
     };
-    let response = monoio::time::timeout(ANSWER_TIMEOUT, ask).await;
+    let response = monoio::time::timeout(ANSWER_TIMEOUT, start).await;
     matches!(response, Ok(Ok(line)) if line.starts_with("READY"))
 }
 
 impl Session<'_> {
+    /// Runs a random operation: a session variable, a prepared statement, a transaction or a
+    /// single statement.
     async fn operate(&mut self, number: u64) -> anyhow::Result<()> {
         match rand::random_range(0..10) {
             0 => {
@@ -166,7 +172,7 @@
         Ok(())
     }
 
-    /// The text of a read or write, under a prepared name now and then.
+    /// Returns the text of a random read or write, in part by a prepared name.
     fn statement(&self) -> String {
         let item = format!("k{}", rand::random_range(0..20));
         let data = format!("d{:x}", rand::random::<u32>());
@@ -181,18 +187,20 @@
         if rand::random_bool(0.3) { format!("WRITE {item} {data}") } else { format!("READ {item}") }
     }
 
-    fn writes(&self, text: &str) -> bool {
+    /// Returns whether a statement writes.
+    fn is_write(&self, text: &str) -> bool {
         let name = text.strip_prefix("EXECUTE ").and_then(|rest| rest.split(' ').next());
         let prepared = name.and_then(|name| self.prepared.iter().find(|(n, _)| **n == *name));
         text.starts_with("WRITE") || prepared.is_some_and(|(_, s)| s.starts_with("WRITE"))
     }
 
+    /// Sends a statement outside of a transaction.
     async fn single(&mut self, number: u64, text: &str) -> anyhow::Result<()> {
-        let writes = self.writes(text);
+        let write = self.is_write(text);
         let response = self.ask(number, text).await?;
         let id = self.last_id();
-        if let (true, Response::Done { .. }) = (writes, &response) {
-            self.keep(std::slice::from_ref(&id));
+        if let (true, Response::Done { .. }) = (write, &response) {
+            self.acknowledge(std::slice::from_ref(&id));
         }
         if let Response::Error { code } = &response
             && NOT_KEPT_CODES.contains(&&**code)
@@ -202,6 +210,7 @@
         Ok(())
     }
 
+    /// Runs a random transaction.
     async fn transaction(&mut self, number: u64) -> anyhow::Result<()> {
         let read_only = rand::random_bool(0.4);
         self.began = Some(Instant::now());
@@ -212,7 +221,7 @@
         }
         for _ in 0..rand::random_range(1..5) {
             let text = self.statement();
-            let write = self.writes(&text);
+            let write = self.is_write(&text);
             if write && read_only {
                 continue;
             }
@@ -221,7 +230,7 @@
                 writes.push(self.last_id());
             }
             if let Response::Error { .. } = response {
-                // All of it is over; the promise holds for every write in it.
+                // An error ends the whole transaction, so that none of its writes may be kept.
                 writes.iter().for_each(|id| self.caller.groups.borrow_mut().record_not_kept(id));
                 self.ask(number, "ROLLBACK").await?;
                 return Ok(());
@@ -230,7 +239,7 @@
         }
         let end = if rand::random_bool(0.85) { "COMMIT" } else { "ROLLBACK" };
         match self.ask(number, end).await? {
-            Response::Done { .. } if end == "COMMIT" => self.keep(&writes),
+            Response::Done { .. } if end == "COMMIT" => self.acknowledge(&writes),
             Response::Done { .. } => {
                 writes.iter().for_each(|id| self.caller.groups.borrow_mut().record_not_kept(id));
             }
@@ -242,20 +251,22 @@
         Ok(())
     }
 
-    /// The writes were acknowledged.
-    fn keep(&mut self, writes: &[Box<str>]) {
+    /// Records that writes were acknowledged, and requires them of later reads.
+    fn acknowledge(&mut self, writes: &[Box<str>]) {
         for id in writes {
             let required = self.caller.groups.borrow_mut().acknowledge(id, self.database.group);
-            if self.database.own && required != Must::default() {
-                self.own = required;
+            if self.database.read_own_writes && required != Must::default() {
+                self.required = required;
             }
         }
     }
 
+    /// Returns the id of the last statement in hexadecimal, as sent.
     fn last_id(&self) -> Box<str> {
         format!("{:x}", self.id).into()
     }
 
+    /// Sends a statement, and checks the answer.
     async fn ask(&mut self, number: u64, text: &str) -> anyhow::Result<Response> {
         self.id += 1;
         let id = self.last_id();
@@ -264,20 +275,22 @@
             text: self.canonical(text).into(),
             values: self.values.clone(),
             operation: (number, self.operation),
-            required: self.own,
+            required: self.required,
         };
         let from = self.began.unwrap_or_else(Instant::now);
-        let since = from.checked_sub(self.database.age.unwrap_or_default());
-        let since = since.filter(|_| !self.writes(text));
+        let since = from.checked_sub(self.database.max_staleness.unwrap_or_default());
+        let since = since.filter(|_| !self.is_write(text));
         self.caller.groups.borrow_mut().record_sent(&id, sent, self.database.group, since);
         self.io.write_all(format!("QUERY {id} {text}\r\n").as_bytes()).await?;
-        let response =
-            monoio::time::timeout(ANSWER_TIMEOUT, self.answer()).await.context("no answer")??;
+        let response = monoio::time::timeout(ANSWER_TIMEOUT, self.answer())
+            .await
+            .context("host did not answer in time")??;
         self.check(&id, text, &response);
         Ok(response)
     }
 
-    /// The text as servers see it, whatever a prepared name is called there.
+    /// Returns the text with a prepared name replaced by its definition. Servers record the same
+    /// form, since their names of prepared statements may differ.
     fn canonical(&self, text: &str) -> String {
         let Some(rest) = text.strip_prefix("EXECUTE ") else { return text.to_owned() };
         let (name, args) = rest.split_once(' ').unwrap_or((rest, ""));
@@ -285,12 +298,17 @@
         format!("EXECUTE {} {args}", shape.map_or("", |(_, shape)| shape))
     }
 
+    /// Reads lines up to `READY`.
     async fn answer(&mut self) -> anyhow::Result<Response> {
         let (mut rows, mut response) = (Vec::new(), None);
         loop {
             let mut line = String::new();
-            anyhow::ensure!(self.io.read_line(&mut line).await? > 0, "cut off");
-            let (kind, rest) = line.trim_end().split_once(' ').context("a broken line")?;
+            anyhow::ensure!(
+                self.io.read_line(&mut line).await? > 0,
+                "host closed the connection before the answer was complete"
+            );
+            let (kind, rest) =
+                line.trim_end().split_once(' ').context("answer line has no blank")?;
             match kind {
                 "ROW" => rows.push(rest.into()),
                 "DONE" => {
@@ -301,13 +319,13 @@
                     let code = rest.split(' ').next().unwrap_or_default().into();
                     response = Some(Response::Error { code });
                 }
-                "READY" => return response.context("no outcome"),
-                _ => bail!("an unknown line: {line}"),
+                "READY" => return response.context("answer has neither DONE nor ERROR"),
+                _ => bail!("answer line of an unknown kind: {line}"),
             }
         }
     }
 
-    /// An answer must be the one that a server gave to this very statement.
+    /// Checks that an answer is one that a server gave to the statement of this id.
     fn check(&self, id: &str, text: &str, response: &Response) {
         let Response::Done { rows, signature } = response else {
             return self.caller.refused.set(self.caller.refused.get() + 1);
--- a/lab/src/soak/world.rs
+++ b/lab/src/soak/world.rs
@@ -357,8 +357,8 @@
             .map(|n| Database {
                 name: format!("db{n}").into(),
                 group: n / 3,
-                age: (n % 3 != 0).then_some(Duration::from_millis(1500)),
-                own: n % 3 == 2,
+                max_staleness: (n % 3 != 0).then_some(Duration::from_millis(1500)),
+                read_own_writes: n % 3 == 2,
             })
             .collect();
         let accounts = ACCOUNTS.iter().flat_map(|account| std::iter::repeat_n(account, each));
