--- a/lab/src/soak/mod.rs
+++ b/lab/src/soak/mod.rs
@@ -1,8 +1,7 @@
-//! Faults drawn from a seed over real hosts under load, while every promise is
-//! checked from what callers and servers see.
+//! Soak test: faults generated from a seed against real hosts under load. Guarantees are checked
+//! from the statements of callers and their executions on stand-in servers.
 //!
-//! Clocks cannot be moved without privileges; they are disturbed only by pausing
-//! a host.
+//! Setting a clock needs privileges, so clocks are disturbed only by pausing a host.
 
 use std::{
     cell::{Cell, RefCell},
@@ -62,37 +61,37 @@
     pub dry: bool,
 }
 
-/// How long hosts may take to serve at the start, and again after the last fault.
+/// Maximum time until hosts serve, at the start and again after the last fault.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// After a key's withdrawal: how soon nothing may run for it any more. The bound
-/// of the settings, and a second for what was already on its way.
+/// Maximum time after the withdrawal of a key during which operations may still run for it: the
+/// bound of the settings, and one second for operations in flight.
 const WITHDRAWAL_TIMEOUT: Duration = Duration::from_millis(4500);
 
-/// How soon all hosts must know a configuration: the bound of the settings.
+/// Maximum time until all hosts apply a configuration: the bound of the settings.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// What a soak showed.
+/// Results of a soak.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Statements answered with success.
+    /// Number of statements answered with success.
     pub served: u64,
-    /// Statements answered otherwise.
+    /// Number of statements answered with an error.
     pub refused: u64,
-    /// Promotions.
+    /// Number of completed promotions.
     pub promotions: usize,
-    /// Acknowledged commits that promotions rolled back.
+    /// Number of acknowledged commits that promotions discarded.
     pub rolled_back: usize,
-    /// Promises that were broken, each with its story.
+    /// Violated guarantees, one description each.
     pub broken: Vec<String>,
 }
 
-/// Runs soaks and prints what they showed; an error when a promise was broken.
+/// Runs a soak for each seed and prints the results. Returns an error if a guarantee was violated.
 pub async fn run(args: SoakArgs) -> anyhow::Result<()> {
     let mut failed = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
         if args.dry {
-            let steps = steps(seed, &args);
+            let steps = schedule_for(seed, &args);
             steps.iter().for_each(|step| println!("{step}"));
             continue;
         }
@@ -110,16 +109,17 @@
             failed.push(seed);
         }
     }
-    anyhow::ensure!(failed.is_empty(), "promises were broken with the seeds {failed:?}");
+    anyhow::ensure!(failed.is_empty(), "guarantees violated with the seeds {failed:?}");
     Ok(())
 }
 
-/// Runs one soak.
+/// Runs the soak of one seed.
 pub async fn soak(seed: u64, args: &SoakArgs) -> anyhow::Result<Outcome> {
-    play(seed, &steps(seed, args), args).await
+    run_steps(seed, &schedule_for(seed, args), args).await
 }
 
-fn steps(seed: u64, args: &SoakArgs) -> Vec<Step> {
+/// Generates the steps for a seed.
+fn schedule_for(seed: u64, args: &SoakArgs) -> Vec<Step> {
     if args.calm {
         return Vec::new();
     }
@@ -136,7 +136,8 @@
     steps
 }
 
-async fn play(seed: u64, steps: &[Step], args: &SoakArgs) -> anyhow::Result<Outcome> {
+/// Starts a system with callers, runs the steps over it and collects the results.
+async fn run_steps(seed: u64, steps: &[Step], args: &SoakArgs) -> anyhow::Result<Outcome> {
     let large = if args.grow { world::LARGE_HOSTS } else { 0 };
     let world = Rc::new(RefCell::new(World::start_sized(args.hosts, large)?));
     monoio::spawn(World::maintain(world.clone()));
@@ -148,7 +149,7 @@
     if steps.is_empty() {
         monoio::time::sleep(Duration::from_secs(args.secs)).await;
     }
-    make(&world, steps).await?;
+    apply_steps(&world, steps).await?;
     let mut outcome = Outcome::default();
     if let Err(error) = until_served(&world).await {
         outcome.broken.push(format!("after the last fault: {error:#}"));
@@ -172,35 +173,35 @@
     Ok(outcome)
 }
 
-/// Makes the faults, each undone when its time is over.
-async fn make(world: &Rc<RefCell<World>>, steps: &[Step]) -> anyhow::Result<()> {
+/// Applies each step at its time and reverts it at its end.
+async fn apply_steps(world: &Rc<RefCell<World>>, steps: &[Step]) -> anyhow::Result<()> {
     let began = Instant::now();
-    let mut revert: Vec<(Duration, Step)> = Vec::new();
-    let mut withdrawn: Option<Instant> = None;
+    let mut active: Vec<(Duration, Step)> = Vec::new();
+    let mut withdrawn_at: Option<Instant> = None;
     let mut next = steps.iter().peekable();
-    while next.peek().is_some() || !revert.is_empty() {
+    while next.peek().is_some() || !active.is_empty() {
         monoio::time::sleep(Duration::from_millis(20)).await;
         let now = began.elapsed();
-        let all = world.clone();
+        let shared = world.clone();
         let mut world = world.borrow_mut();
         while let Some(step) = next.next_if(|step| step.at <= now) {
             step.apply(&mut world)?;
             if let (Action::Grow(_), Some(database)) = (step.action, world.newest_database()) {
-                monoio::spawn(check_database_served(all.clone(), database));
+                monoio::spawn(check_database_served(shared.clone(), database));
             }
-            revert.push((step.at + step.duration, *step));
+            active.push((step.at + step.duration, *step));
         }
         let due: Vec<Step> =
-            revert.iter().filter(|(at, _)| *at <= now).map(|(_, step)| *step).collect();
-        revert.retain(|(at, _)| *at > now);
+            active.iter().filter(|(at, _)| *at <= now).map(|(_, step)| *step).collect();
+        active.retain(|(at, _)| *at > now);
         due.iter().try_for_each(|step| step.revert(&mut world))?;
         world.restart_ended()?;
-        check_withdrawn(&world, &mut withdrawn);
+        check_withdrawn(&world, &mut withdrawn_at);
     }
     Ok(())
 }
 
-/// Nothing may run for a key some seconds after it was withdrawn.
+/// Checks that no operation runs for a withdrawn key after [`WITHDRAWAL_TIMEOUT`].
 fn check_withdrawn(world: &World, since: &mut Option<Instant>) {
     if !world.is_withdrawn() {
         *since = None;
@@ -215,7 +216,7 @@
     }
 }
 
-/// Checks that all hosts know a database within the bound after it was added.
+/// Checks that all hosts serve a database within [`CONFIGURATION_TIMEOUT`] after its addition.
 async fn check_database_served(world: Rc<RefCell<World>>, database: String) {
     monoio::time::sleep(CONFIGURATION_TIMEOUT).await;
     let (hosts, groups) = (world.borrow().callers.clone(), world.borrow().groups.clone());
@@ -228,7 +229,7 @@
     }
 }
 
-/// Waits until statements are answered with success again.
+/// Waits until another 100 statements were answered with success.
 async fn until_served(world: &Rc<RefCell<World>>) -> anyhow::Result<()> {
     let served = world.borrow().served.clone();
     let (before, began) = (served.get(), Instant::now());
