--- a/lab/src/soak/gaps.rs
+++ b/lab/src/soak/gaps.rs
@@ -1,4 +1,4 @@
-//! How long a group is without an acknowledged write when its leader fails.
+//! Measurement of the interval without an acknowledged write when a group's leader fails.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,7 +28,7 @@
     callers: usize,
 }
 
-/// What happens to a leader.
+/// Fault of a leader. Variants are printed under their own names.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Cause {
     /// Its process ends and comes back.
@@ -43,19 +43,19 @@
     Stalled,
 }
 
-/// How long a leader is out of order.
+/// Duration of a leader's fault.
 const FAILURE_DURATION: Duration = Duration::from_secs(4);
 
-/// The same for one that only stalls.
+/// Duration of the fault of a leader that stalls.
 const STALL_DURATION: Duration = Duration::from_millis(300);
 
-/// How long all is well before the next one.
+/// Time without faults before the next fault.
 const RECOVERY_PAUSE: Duration = Duration::from_millis(1500);
 
-/// How long a new leader may take.
+/// Maximum time from the fault until the group takes writes again.
 const FAILOVER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Measures, and prints what was seen.
+/// Runs the measurement and prints the results.
 pub async fn run(args: GapsArgs) -> anyhow::Result<()> {
     let world = Rc::new(RefCell::new(World::start(args.hosts)?));
     monoio::spawn(World::maintain(world.clone()));
@@ -65,23 +65,23 @@
     }
     until_served(&world).await?;
     let mut gaps = Vec::new();
-    for time in 0..args.times {
+    for round in 0..args.times {
         monoio::time::sleep(RECOVERY_PAUSE).await;
-        gaps.push(measure_gap(&world, time % super::world::GROUPS, args.cause).await?);
+        gaps.push(measure_gap(&world, round % super::world::GROUPS, args.cause).await?);
         until_served(&world).await?;
     }
     stop.set(true);
     gaps.sort();
-    let at = |part: f64| gaps[((gaps.len() - 1) as f64 * part) as usize].as_millis();
+    let quantile = |part: f64| gaps[((gaps.len() - 1) as f64 * part) as usize].as_millis();
     let world = world.borrow();
     let groups = world.groups.borrow();
     println!(
         "{:?}: p50 {} ms, p90 {} ms, longest {} ms without an acknowledged write; {} promotions, \
         {} acknowledged commits rolled back, {} promises broken",
         args.cause,
-        at(0.5),
-        at(0.9),
-        at(1.0),
+        quantile(0.5),
+        quantile(0.9),
+        quantile(1.0),
         groups.promotions,
         groups.rolled_back,
         groups.broken.len()
@@ -90,7 +90,8 @@
     Ok(())
 }
 
-/// Has a group's leader fail, and mends it; the longest gap meanwhile.
+/// Makes the leader of a group fail and restores it. Returns the longest interval without an
+/// acknowledged write since the fault.
 async fn measure_gap(
     world: &Rc<RefCell<World>>,
     group: usize,
@@ -112,28 +113,33 @@
         let world = world.borrow();
         let groups = world.groups.borrow();
         let gap = groups.longest_gap(group, began.elapsed());
-        // The gap is over when the last acknowledged write is younger than it.
+        // The gap has ended once a write was acknowledged within the last interval of its length.
         if groups.longest_gap(group, gap) < gap && began.elapsed() > gap {
             return Ok(gap);
         }
-        anyhow::ensure!(began.elapsed() < FAILOVER_TIMEOUT, "group {group} takes no write");
+        anyhow::ensure!(
+            began.elapsed() < FAILOVER_TIMEOUT,
+            "group {group} acknowledged no write in {FAILOVER_TIMEOUT:?}"
+        );
     }
 }
 
+/// Injects the fault into a leader.
 fn fail_leader(world: &World, index: usize, cause: Cause) {
-    let dark = Fault { cut_up: true, cut_down: true, ..Fault::default() };
+    let blocked = Fault { cut_up: true, cut_down: true, ..Fault::default() };
     match cause {
         Cause::Killed => world.standins[index].stop(),
         Cause::Silent => {
-            world.links.set(&format!("s{index}"), &dark);
+            world.links.set(&format!("s{index}"), &blocked);
             world.groups.borrow_mut().servers[index].isolated = true;
         }
         Cause::Cut => world.groups.borrow_mut().servers[index].isolated = true,
         Cause::Leaves => world.start_draining(index),
-        Cause::Stalled => world.links.set(&format!("s{index}"), &dark),
+        Cause::Stalled => world.links.set(&format!("s{index}"), &blocked),
     }
 }
 
+/// Ends the fault of a leader.
 fn restore_leader(world: &World, index: usize, cause: Cause) {
     match cause {
         Cause::Killed => world.groups.borrow_mut().servers[index].up = true,
