--- a/lab/src/storm/schedule.rs
+++ b/lab/src/storm/schedule.rs
@@ -1,4 +1,4 @@
-//! The draw of faults.
+//! Fault schedules of a storm, generated from a seed.
 
 use std::{fmt, time::Duration};
 
@@ -6,33 +6,33 @@
 
 use crate::{link::Fault as LinkFault, process::Process, system::System};
 
-/// A fault, or its end.
+/// A fault, or its end. Variants are printed under their own names.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// Kill a process.
     Kill(String),
-    /// Start it again.
+    /// Start a process.
     Start(String),
-    /// Stop a process without ending it.
+    /// Pause a process with SIGSTOP.
     Freeze(String),
-    /// Let it go on.
+    /// Resume a paused process with SIGCONT.
     Wake(String),
-    /// Set what is wrong with links.
+    /// Set the fault of links, by their name pattern.
     Links(String, LinkFault),
-    /// Reset the connections of links.
+    /// Reset the connections of links, by their name pattern.
     Reset(String),
-    /// Set what is wrong with the platform, as JSON.
+    /// Set the faults of the platform, as JSON.
     Platform(&'static str),
-    /// Set the lag of a backend server, in milliseconds.
+    /// Set the replication lag of a backend server, in milliseconds.
     Lag(String, u64),
 }
 
-/// A fault at a time.
+/// A scheduled fault.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// When, from the start of the storm.
+    /// Time from the start of the storm.
     pub at: Duration,
-    /// What.
+    /// The fault to apply.
     pub fault: Fault,
 }
 
@@ -45,7 +45,8 @@
 const PLATFORM_FAULTS: [&str; 3] =
     [r#"{"down":true}"#, r#"{"slow_ms":2000}"#, r#"{"lose_answers":3}"#];
 
-/// Draws faults, two or three at a time, each with its end.
+/// Generates the steps for a seed: groups of two or three faults, each with its end. The same
+/// arguments give the same steps.
 pub fn generate(seed: u64, length: Duration, hosts: usize) -> Vec<Step> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut steps = Vec::new();
@@ -64,6 +65,7 @@
     steps
 }
 
+/// Generates a fault and, if it lasts, its end.
 fn fault(rng: &mut StdRng, hosts: usize) -> (Fault, Option<Fault>) {
     let server = |rng: &mut StdRng| format!("g1s{}", rng.random_range(1..=3));
     let host = |rng: &mut StdRng| format!("h{}", rng.random_range(1..=hosts));
@@ -97,6 +99,7 @@
     }
 }
 
+/// Returns the fault and its end for one name.
 fn pair(
     name: String,
     begin: fn(String) -> Fault,
@@ -106,7 +109,7 @@
 }
 
 impl Fault {
-    /// Makes the fault.
+    /// Applies the fault.
     pub async fn apply(&self, system: &mut System) -> anyhow::Result<()> {
         match self {
             Self::Kill(name) => system.process(name)?.kill(),
@@ -117,7 +120,7 @@
             Self::Reset(names) => system.reset(names).await?,
             Self::Platform(faults) => system.platform_faults(faults).await?,
             Self::Lag(name, ms) => {
-                // A server that is down or frozen has no lag to set.
+                // A server that is down or paused does not accept the setting.
                 let _ = system.set_lag(name, *ms).await;
             }
         }
@@ -125,14 +128,15 @@
     }
 }
 
-/// Signals a process that another fault may have killed.
+/// Signals a process, unless another fault has killed it.
 fn signal(process: &Process, signal: i32) {
     if process.pid().is_some() {
         let _ = process.signal(signal);
     }
 }
 
-/// Ends all faults.
+/// Ends all faults: clears those of links and of the platform, starts and resumes all processes,
+/// and resets the lag.
 pub async fn clear_all(system: &mut System) -> anyhow::Result<()> {
     system.mend("*>*").await?;
     system.platform_faults("{}").await?;
