--- a/lab/src/storm/checks.rs
+++ b/lab/src/storm/checks.rs
@@ -1,4 +1,4 @@
-//! What the tables hold afterwards, against what callers were told.
+//! Checks of the tables after a storm against the outcomes reported to callers.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use super::callers::{WriteResult, WriteStatus};
 use crate::system::{self, System};
 
-/// Checks that no booking is lost, doubled or run in spite of "not run", and
-/// that no transaction is kept in part.
+/// Checks that no booking is lost, duplicated or stored although it was reported as not run, and
+/// that no transaction is stored in part. Returns a description of each violation.
 pub async fn bookings(system: &System, writes: &[WriteResult]) -> anyhow::Result<Vec<String>> {
     let client = system.connect(0, "baobab", "g1").await?;
     system::until_runs(&client, "INSERT INTO booking VALUES ('last', -1)").await?;
@@ -18,12 +18,12 @@
     let mut broken = Vec::new();
     for write in writes {
         let count = counts.get(write.id.as_str()).copied().unwrap_or(0);
-        let wrong = match write.status {
+        let violated = match write.status {
             WriteStatus::Done => count != 1,
             WriteStatus::NotRun => count != 0,
             WriteStatus::Unknown => count > 1,
         };
-        if wrong {
+        if violated {
             broken.push(format!(
                 "booking {} (request id: {}) was told {:?} ({}) and stands {count} times",
                 write.id, write.with_request_id, write.status, write.answer
@@ -34,7 +34,7 @@
     Ok(broken)
 }
 
-/// Both sides of a transaction and its booking stand, or none does.
+/// Checks that both sides of each transaction and its booking are stored, or none of them.
 async fn pairs(
     client: &tokio_postgres::Client,
     counts: &BTreeMap<&str, usize>,
@@ -45,14 +45,14 @@
         let (id, side) = side.rsplit_once('-').context("a side without a booking")?;
         seen.entry(id).or_default().push(side);
     }
-    let whole = |id: &&str, sides: &[&str]| {
+    let is_whole = |id: &&str, sides: &[&str]| {
         sides.len() == 2
             && sides.contains(&"left")
             && sides.contains(&"right")
             && counts.contains_key(*id)
     };
-    let torn = seen.iter().filter(|(id, sides)| !whole(id, sides));
-    Ok(torn
+    let partial = seen.iter().filter(|(id, sides)| !is_whole(id, sides));
+    Ok(partial
         .map(|(id, sides)| format!("the transaction of {id} is kept in part: {sides:?}"))
         .collect())
 }
