--- a/lab/src/storm/callers.rs
+++ b/lab/src/storm/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that write and read through a storm and note what they were told.
+//! Callers that write and read during a storm and record the outcomes reported to them.
 
 use std::{
     sync::{
@@ -13,40 +13,41 @@
 
 use crate::system::{self, System};
 
-/// The tables that the callers use.
+/// Statements that create the tables of the callers.
 pub const TABLES: [&str; 2] = [
     "CREATE TABLE IF NOT EXISTS booking (id TEXT, writer INTEGER)",
     "CREATE TABLE IF NOT EXISTS pair (writer INTEGER, side TEXT, amount INTEGER)",
 ];
 
-/// Longer than any deadline: an answer that has not come by then never will.
+/// Maximum time to wait for an answer. It is longer than any deadline of a request, so that no
+/// answer can arrive later.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// What a caller was told of a write.
+/// Outcome of a write, as reported to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WriteStatus {
-    /// It was done.
+    /// The write was executed.
     Done,
-    /// It did not run.
+    /// The write was not executed.
     NotRun,
-    /// It may have run.
+    /// The write may have been executed.
     Unknown,
 }
 
-/// A write and what its caller was told.
+/// A write, and the outcome reported to its caller.
 #[derive(Clone, Debug)]
 pub struct WriteResult {
     /// Id of the booking.
     pub id: String,
     /// Whether it was sent with a request id of the same text.
     pub with_request_id: bool,
-    /// What the caller was told.
+    /// Outcome reported to the caller.
     pub status: WriteStatus,
-    /// The answer, for the story.
+    /// Text of the error, empty for a success.
     pub answer: String,
 }
 
-/// A caller that writes bookings, one after another, through changing hosts.
+/// A caller that writes bookings, one after another, through varying hosts.
 pub struct Writer {
     number: usize,
     configs: Vec<tokio_postgres::Config>,
@@ -54,12 +55,12 @@
     broken: Arc<Mutex<Vec<String>>>,
     rng: StdRng,
     token: Option<String>,
-    /// The last booking that this session was told is done.
+    /// Last booking that was reported to this session as done.
     last_booking: Option<String>,
 }
 
 impl Writer {
-    /// A writer; odd ones are of the second account.
+    /// Returns a writer. Odd numbers use the second client account.
     pub fn new(
         system: &System,
         number: usize,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Writes until told to stop.
+    /// Writes bookings until `stop` is set.
     pub async fn run(mut self, stop: Arc<AtomicBool>) {
         let mut count = 0;
         let mut client: Option<(usize, Client)> = None;
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Connects to a host and restores the session by its token.
     async fn connect(&self, host: usize) -> Option<Client> {
         let connect = system::connect(&self.configs[host]);
         let client = tokio::time::timeout(Duration::from_secs(2), connect).await.ok()?.ok()?;
@@ -114,7 +116,8 @@
         Some(client)
     }
 
-    /// One booking and a look at the one before; false when the connection is to be left.
+    /// Checks the previous booking and writes another one. Returns whether the connection is to be
+    /// used further.
     async fn write_booking(&mut self, client: &Client, count: usize) -> bool {
         if self.check_last_booking(client).await == Some(false) {
             return false;
@@ -146,12 +149,13 @@
         status == WriteStatus::Done
     }
 
+    /// Writes the booking as a single statement.
     async fn autocommit(&self, client: &Client, id: &str) -> Result<(), String> {
         let sql = format!("INSERT INTO booking VALUES ('{id}', {})", self.number);
         with_timeout(client.batch_execute(&sql)).await
     }
 
-    /// Moves an amount from one side to the other, in the booking's transaction.
+    /// Writes the booking and moves an amount from one side to the other, in one transaction.
     async fn transaction(&self, client: &Client, id: &str) -> Result<(), String> {
         let n = self.number;
         let steps = [
@@ -161,14 +165,14 @@
             format!("INSERT INTO pair VALUES ({n}, '{id}-right', -1)"),
         ];
         for sql in &steps {
-            // An error before the commit was sent means that nothing is kept.
+            // An error before `COMMIT` is sent guarantees that nothing is kept.
             let result = with_timeout(client.batch_execute(sql)).await;
             result.map_err(|answer| format!("before commit: {answer}"))?;
         }
         with_timeout(client.batch_execute("COMMIT")).await
     }
 
-    /// Whether the last booking is seen; `None` when the read was refused.
+    /// Returns whether a read shows the last booking; `None` if there is none or the read failed.
     async fn check_last_booking(&self, client: &Client) -> Option<bool> {
         let last_booking = self.last_booking.as_ref()?;
         let sql = format!("SELECT id FROM booking WHERE id = '{last_booking}'");
@@ -183,17 +187,19 @@
         Some(true)
     }
 
+    /// Reads the session token for use on other connections.
     async fn refresh_token(&mut self, client: &Client) {
         let show = system::rows(client, "SHOW bergamottrack.session");
         if let Ok(Ok(rows)) = tokio::time::timeout(ANSWER_TIMEOUT, show).await {
             self.token = rows.into_iter().next().filter(|token| !token.is_empty());
         } else {
-            // Without the token the session would promise nothing: start anew.
+            // Without its token the session guarantees nothing: start a new one.
             (self.token, self.last_booking) = (None, None);
         }
     }
 }
 
+/// Runs a statement within [`ANSWER_TIMEOUT`]. Returns the error's text on failure.
 async fn with_timeout(
     run: impl Future<Output = Result<(), tokio_postgres::Error>>,
 ) -> Result<(), String> {
@@ -204,12 +210,14 @@
     }
 }
 
+/// Returns the code, detail and message of an error.
 fn describe(error: &DbError) -> String {
     let detail = error.detail().unwrap_or("no detail");
     format!("{} [{detail}] {}", error.code().code(), error.message())
 }
 
-/// What an answer says of the write's fate; all that does not say is unknown.
+/// Derives the outcome of a write from the text of an error. It is unknown unless the text states
+/// it.
 fn status(answer: &str) -> WriteStatus {
     match answer {
         _ if answer.starts_with("before commit") => WriteStatus::NotRun,
