--- a/lab/src/storm/mod.rs
+++ b/lab/src/storm/mod.rs
@@ -1,5 +1,5 @@
-//! Several faults at a time over a running system under load, drawn from a
-//! seed; afterwards the promises are checked from outside.
+//! Storm test: several concurrent faults, generated from a seed, against a running system under
+//! load. Afterwards the guarantees are checked from outside.
 
 use std::{
     sync::{
@@ -38,19 +38,19 @@
     pub dry: bool,
 }
 
-/// Entry hosts of the system under the storm.
+/// Number of entry hosts of the system under test.
 pub const HOSTS: usize = 4;
 
-/// What a storm showed.
+/// Results of a storm.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Writes that were told done, not run and unknown.
+    /// Number of writes reported as done, not run and unknown.
     pub writes: [usize; 3],
-    /// Promises that were broken, each with its story.
+    /// Violated guarantees, one description each.
     pub broken: Vec<String>,
 }
 
-/// The system that a storm runs over.
+/// Returns the plan of the system under test.
 pub fn plan() -> Plan {
     Plan {
         hosts: HOSTS,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Runs a storm and prints its story; an error when a promise was broken.
+/// Runs a storm and prints the results. Returns an error if a guarantee was violated.
 pub async fn run(args: StormArgs) -> anyhow::Result<()> {
     let steps = schedule::generate(args.seed, Duration::from_secs(args.secs), HOSTS);
     println!("seed {}: {} steps in {} s", args.seed, steps.len(), args.secs);
@@ -75,12 +75,13 @@
     for story in &outcome.broken {
         println!("BROKEN: {story}");
     }
-    anyhow::ensure!(outcome.broken.is_empty(), "{} promises broken", outcome.broken.len());
+    anyhow::ensure!(outcome.broken.is_empty(), "{} guarantees violated", outcome.broken.len());
     println!("every promise checked was kept");
     Ok(())
 }
 
-/// Runs the steps over a new system under load and checks it afterwards.
+/// Applies the steps to a new system under load and checks it afterwards. `verbose` prints each
+/// step.
 pub async fn storm(steps: &[Step], writers: usize, verbose: bool) -> anyhow::Result<Outcome> {
     let mut system = System::start(plan()).await.context("starting the system")?;
     let setup = system.connect(0, "baobab", "g1").await?;
@@ -104,17 +105,17 @@
         step.fault.apply(&mut system).await.with_context(|| step.to_string())?;
     }
     schedule::clear_all(&mut system).await?;
-    // Some load after the last fault, so that the way back is under it too.
+    // Keep the load on for a while after the last fault, so that recovery happens under load too.
     tokio::time::sleep(Duration::from_secs(2)).await;
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
-        tokio::time::timeout(PATIENCE, task).await.context("a writer hangs")??;
+        tokio::time::timeout(PATIENCE, task).await.context("writer did not stop in time")??;
     }
     let writes = std::mem::take(&mut *writes.lock().expect("no writer panicked"));
     let mut broken = std::mem::take(&mut *broken.lock().expect("no writer panicked"));
     match checks::bookings(&system, &writes).await {
         Ok(found) => broken.extend(found),
-        // A system that does not come back once all is mended breaks a promise too.
+        // A system that does not recover after all faults have ended violates a guarantee too.
         Err(error) => broken.push(format!("the checks cannot be made: {error:#}")),
     }
     let count = |status| writes.iter().filter(|t| t.status == status).count();
