--- a/lab/tests/demo.rs
+++ b/lab/tests/demo.rs
@@ -1,14 +1,14 @@
-//! README's first command.
+//! Test of the first command in the README.
 
 use std::process::Command;
 
-/// What a newcomer sees: a booking is taken through one host, its primary is
-/// killed, and the booking is still there and its request is known as done.
+/// Guards against a demo that loses data: a booking is written through one host and its primary is
+/// killed. The booking must still be readable and its request must be reported as done.
 #[test]
-fn the_demo_shows_a_booking_kept_over_a_failover() {
+fn a_booking_survives_the_failover_of_the_demo() {
     let output = Command::new(env!("CARGO_BIN_EXE_lab"))
         .arg("demo")
-        // The programs have been built: the lab must not call cargo within cargo.
+        // The programs are already built; without `CARGO` the lab does not run cargo within cargo.
         .env_remove("CARGO")
         .output()
         .unwrap();
