--- a/lab/tests/load.rs
+++ b/lab/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load generator and its counts.
+//! Tests of the load generator and its counters.
 
 use bergamottrack_contract::Config;
 use lab::{
@@ -27,20 +27,20 @@
 }
 
 #[test]
-fn a_refusal_within_the_rate_is_counted_as_wrongful() {
+fn a_refusal_within_the_rate_counts_as_wrongful() {
     let tally = tally(1.0, 2.0, &[(0.0, ""), (0.0, "53400"), (0.0, "53400"), (1.0, "57P03")]);
     assert_eq!((tally.offered, tally.entitled, tally.served), (4, 3, 1));
-    assert_eq!(tally.wrongful, 1, "the third request was over the burst");
+    assert_eq!(tally.wrongful, 1, "the third request exceeded the burst");
 }
 
 #[test]
-fn what_is_served_beyond_rate_and_burst_is_seen() {
+fn requests_served_beyond_rate_and_burst_count_as_overshoot() {
     let tally = tally(1.0, 2.0, &[(0.0, ""), (0.0, ""), (0.0, ""), (0.0, ""), (5.0, "")]);
     assert_eq!(tally.overshoot, 2.0);
 }
 
 #[test]
-fn all_sites_and_experiments_can_be_read() {
+fn all_sites_and_experiments_parse() {
     for site in [Site::Baobab, Site::Hartwell] {
         let config = site.config().unwrap();
         assert_eq!((config.groups.len(), config.accounts.len()), (3, 8), "{site}");
@@ -53,10 +53,10 @@
     }
 }
 
-/// A caller that moves between hosts with its session token must not read less
-/// than it was told of. Here every session moves at nearly every request.
+/// Guards against stale reads of a session that moves between hosts with its token. Here every
+/// session moves at nearly every request.
 #[tokio::test]
-async fn a_short_load_is_served_and_reads_its_own_writes() {
+async fn a_short_load_is_served_without_stale_reads() {
     let load = Load { hosts: 2, seconds: 2.0, offered: 0.3, ..Load::default() };
     let run = lab::load::run(load);
     let report = tokio::task::LocalSet::new().run_until(run).await.unwrap();
