--- a/lab/tests/server.rs
+++ b/lab/tests/server.rs
@@ -1,12 +1,13 @@
-//! The stand-in for a backend server keeps the rules that the proxy builds on.
+//! Tests of the rules of the stand-in server that the proxy relies on.
 
 use std::path::PathBuf;
 
 use lab::{ports::Ports, process::Process};
 
-/// A server that has promised a term to one promoter refuses it to another.
+/// Guards against two promoters using the same term: a server that has promised a term to one must
+/// refuse it to another.
 #[tokio::test]
-async fn a_term_is_promised_to_one_holder_only() {
+async fn a_term_promised_to_one_host_is_refused_to_another() {
     let dir = tempfile::tempdir().unwrap();
     let mut ports = Ports::take().unwrap();
     let (listen, replication) = (ports.address().unwrap(), ports.address().unwrap());
