--- a/lab/tests/up.rs
+++ b/lab/tests/up.rs
@@ -1,4 +1,4 @@
-//! A site held up for use by hand.
+//! Tests of `lab up`, which runs a site for manual use.
 
 use std::{
     io::{BufRead, BufReader},
@@ -8,7 +8,7 @@
 
 use lab::{client, ports::Ports};
 
-/// Starts `lab up` with one host; the lines that it prints.
+/// Starts `lab up` with one host. Returns the process and the lines that it prints.
 fn up(port: u16, more: &[&str]) -> (Child, Vec<String>) {
     let mut up = Command::new(env!("CARGO_BIN_EXE_lab"))
         .args(["up", "--site", "hartwell", "--hosts", "1", "--port", &port.to_string()])
@@ -29,20 +29,22 @@
     (up, printed)
 }
 
+/// Returns the rest of the line that starts with `name`.
 fn value<'a>(lines: &'a [String], name: &str) -> &'a str {
     lines.iter().find_map(|line| line.strip_prefix(name)).unwrap()
 }
 
+/// Sends SIGINT, as Ctrl-C does, and waits for a successful exit.
 fn interrupt(mut up: Child) {
     let kill = Command::new("kill").args(["-INT", &up.id().to_string()]).status().unwrap();
     assert!(kill.success());
     assert!(up.wait().unwrap().success());
 }
 
-/// What an operator sees: each host's addresses a line, a connection string
-/// that an ordinary driver takes, and all processes gone after Ctrl-C.
+/// Guards against a connection string that an ordinary driver rejects, and against a host that
+/// still listens after Ctrl-C.
 #[test]
-fn a_site_is_held_up_and_stops_at_ctrl_c() {
+fn a_site_prints_a_connection_string_and_stops_at_ctrl_c() {
     let mut ports = Ports::take().unwrap();
     let port = ports.address().unwrap().port() - 1;
     let (up, lines) = up(port, &[]);
@@ -52,10 +54,10 @@
     TcpListener::bind(("127.0.0.1", port + 1)).unwrap();
 }
 
-/// A person cuts the host from all servers, sees callers refused, mends the
-/// links and sees them served.
+/// Guards against `lab fault` without effect: callers are refused while the links from the host to
+/// all servers are cut, and served again once the fault is cleared.
 #[tokio::test]
-async fn links_are_cut_and_mended_by_hand() {
+async fn callers_are_refused_while_links_are_cut_and_served_afterwards() {
     let mut ports = Ports::take().unwrap();
     let port = ports.address().unwrap().port() - 1;
     let (up, lines) = up(port, &["--links"]);
