--- a/lab/src/soak/caller.rs
+++ b/lab/src/soak/caller.rs
@@ -15,7 +15,7 @@
 };
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 
-use super::group::{Groups, Must, Sent};
+use super::group::{Groups, Must, Statement};
 
 /// Maximum time for which a caller waits for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
@@ -270,7 +270,7 @@
     async fn ask(&mut self, number: u64, text: &str) -> anyhow::Result<Response> {
         self.id += 1;
         let id = self.last_id();
-        let sent = Sent {
+        let sent = Statement {
             account: self.caller.account.clone(),
             text: self.canonical(text).into(),
             values: self.values.clone(),
--- a/lab/src/soak/group.rs
+++ b/lab/src/soak/group.rs
@@ -46,7 +46,7 @@
     pub lag: Duration,
     /// Fraction of answers that are lost, 0 to 1.
     pub loss: f64,
-    /// Whether it cannot replicate from or to the other servers of its group.
+    /// Whether replication between it and the other servers of its group is blocked.
     pub isolated: bool,
     /// Whether its entry in the store says that it is draining.
     pub draining: bool,
@@ -73,7 +73,7 @@
 
 /// A statement that a caller has sent, with the session state that its execution must match.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct Statement {
     /// Client account of the caller's key.
     pub account: Box<str>,
     /// Statement text, with the definition in place of a prepared name.
@@ -98,7 +98,7 @@
     /// Servers of all groups.
     pub servers: Vec<Server>,
     /// Statements sent by callers, by statement id.
-    pub sent: HashMap<Box<str>, Sent>,
+    pub sent: HashMap<Box<str>, Statement>,
     /// Answers that servers gave to each statement, by statement id.
     pub answers: HashMap<Box<str>, Vec<Answer>>,
     /// Violated guarantees, one description each.
@@ -111,7 +111,7 @@
     pub promotions: usize,
     /// Acknowledged writes by group.
     acks: HashMap<usize, Vec<Ack>>,
-    /// Statements whose callers were told that nothing of them is kept.
+    /// Statements whose callers received an error guaranteeing that nothing of them is kept.
     not_kept: HashSet<Box<str>>,
     /// Promotions in progress: server index and time of completion.
     pending: Vec<(usize, Instant)>,
@@ -226,7 +226,13 @@
 
     /// Records a statement before its caller sends it. If `since` is given, the statement must
     /// show all writes that were acknowledged before that time.
-    pub fn record_sent(&mut self, id: &str, mut sent: Sent, group: usize, since: Option<Instant>) {
+    pub fn record_sent(
+        &mut self,
+        id: &str,
+        mut sent: Statement,
+        group: usize,
+        since: Option<Instant>,
+    ) {
         if let Some(since) = since {
             let acks = self.acks.get(&group).into_iter().flatten();
             let old = acks.filter(|ack| ack.at < since).map(|ack| ack.required);
