--- a/lab/src/soak/gaps.rs
+++ b/lab/src/soak/gaps.rs
@@ -1,4 +1,4 @@
-//! How long a group is without an acknowledged write when its leader fails.
+//! Measurement of the interval without an acknowledged write when a group's leader fails.
 
 use std::{
     cell::{Cell, RefCell},
@@ -28,7 +28,7 @@
     callers: usize,
 }
 
-/// What happens to a leader.
+/// Fault of a leader. Variants are printed under their own names.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum Cause {
     /// Its process ends and comes back.
@@ -43,45 +43,45 @@
     Stalled,
 }
 
-/// How long a leader is out of order.
-const LASTS: Duration = Duration::from_secs(4);
+/// Duration of a leader's fault.
+const FAILURE_DURATION: Duration = Duration::from_secs(4);
 
-/// The same for one that only stalls.
-const STALL: Duration = Duration::from_millis(300);
+/// Duration of the fault of a leader that stalls.
+const STALL_DURATION: Duration = Duration::from_millis(300);
 
-/// How long all is well before the next one.
-const CALM: Duration = Duration::from_millis(1500);
+/// Time without faults before the next fault.
+const RECOVERY_PAUSE: Duration = Duration::from_millis(1500);
 
-/// How long a new leader may take.
-const REPLACED_WITHIN: Duration = Duration::from_secs(20);
+/// Maximum time from the fault until the group takes writes again.
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Measures, and prints what was seen.
+/// Runs the measurement and prints the results.
 pub async fn run(args: GapsArgs) -> anyhow::Result<()> {
     let world = Rc::new(RefCell::new(World::start(args.hosts)?));
-    monoio::spawn(World::keep(world.clone()));
+    monoio::spawn(World::maintain(world.clone()));
     let stop = Rc::new(Cell::new(false));
     for caller in world.borrow().make_callers(args.callers) {
         monoio::spawn(caller.run(stop.clone()));
     }
     until_served(&world).await?;
     let mut gaps = Vec::new();
-    for time in 0..args.times {
-        monoio::time::sleep(CALM).await;
-        gaps.push(strike(&world, time % super::world::GROUPS, args.cause).await?);
+    for round in 0..args.times {
+        monoio::time::sleep(RECOVERY_PAUSE).await;
+        gaps.push(measure_gap(&world, round % super::world::GROUPS, args.cause).await?);
         until_served(&world).await?;
     }
     stop.set(true);
     gaps.sort();
-    let at = |part: f64| gaps[((gaps.len() - 1) as f64 * part) as usize].as_millis();
+    let quantile = |part: f64| gaps[((gaps.len() - 1) as f64 * part) as usize].as_millis();
     let world = world.borrow();
     let groups = world.groups.borrow();
     println!(
         "{:?}: p50 {} ms, p90 {} ms, longest {} ms without an acknowledged write; {} promotions, \
         {} acknowledged commits rolled back, {} promises broken",
         args.cause,
-        at(0.5),
-        at(0.9),
-        at(1.0),
+        quantile(0.5),
+        quantile(0.9),
+        quantile(1.0),
         groups.promotions,
         groups.rolled_back,
         groups.broken.len()
@@ -90,52 +90,63 @@
     Ok(())
 }
 
-/// Has a group's leader fail, and mends it; the longest gap meanwhile.
-async fn strike(
+/// Makes the leader of a group fail and restores it. Returns the longest interval without an
+/// acknowledged write since the fault.
+async fn measure_gap(
     world: &Rc<RefCell<World>>,
     group: usize,
     cause: Cause,
 ) -> anyhow::Result<Duration> {
     let leader = world.borrow().groups.borrow().leader(group);
-    let place = leader.ok_or_else(|| anyhow::anyhow!("group {group} has no leader"))?;
+    let index = leader.ok_or_else(|| anyhow::anyhow!("group {group} has no leader"))?;
     let began = Instant::now();
-    break_leader(&world.borrow(), place, cause);
-    monoio::time::sleep(if matches!(cause, Cause::Stalled) { STALL } else { LASTS }).await;
-    mend_leader(&world.borrow(), place, cause);
+    fail_leader(&world.borrow(), index, cause);
+    monoio::time::sleep(if matches!(cause, Cause::Stalled) {
+        STALL_DURATION
+    } else {
+        FAILURE_DURATION
+    })
+    .await;
+    restore_leader(&world.borrow(), index, cause);
     loop {
         monoio::time::sleep(Duration::from_millis(50)).await;
         let world = world.borrow();
         let groups = world.groups.borrow();
         let gap = groups.longest_gap(group, began.elapsed());
-        // The gap is over when the last acknowledged write is younger than it.
+        // The gap has ended once a write was acknowledged within the last interval of its length.
         if groups.longest_gap(group, gap) < gap && began.elapsed() > gap {
             return Ok(gap);
         }
-        anyhow::ensure!(began.elapsed() < REPLACED_WITHIN, "group {group} takes no write");
+        anyhow::ensure!(
+            began.elapsed() < FAILOVER_TIMEOUT,
+            "group {group} acknowledged no write in {FAILOVER_TIMEOUT:?}"
+        );
     }
 }
 
-fn break_leader(world: &World, place: usize, cause: Cause) {
-    let dark = Fault { cut_up: true, cut_down: true, ..Fault::default() };
+/// Injects the fault into a leader.
+fn fail_leader(world: &World, index: usize, cause: Cause) {
+    let blocked = Fault { cut_up: true, cut_down: true, ..Fault::default() };
     match cause {
-        Cause::Killed => world.standins[place].stop(),
+        Cause::Killed => world.standins[index].stop(),
         Cause::Silent => {
-            world.links.set(&format!("s{place}"), &dark);
-            world.groups.borrow_mut().servers[place].cut = true;
+            world.links.set(&format!("s{index}"), &blocked);
+            world.groups.borrow_mut().servers[index].isolated = true;
         }
-        Cause::Cut => world.groups.borrow_mut().servers[place].cut = true,
-        Cause::Leaves => world.leave(place),
-        Cause::Stalled => world.links.set(&format!("s{place}"), &dark),
+        Cause::Cut => world.groups.borrow_mut().servers[index].isolated = true,
+        Cause::Leaves => world.start_draining(index),
+        Cause::Stalled => world.links.set(&format!("s{index}"), &blocked),
     }
 }
 
-fn mend_leader(world: &World, place: usize, cause: Cause) {
+/// Ends the fault of a leader.
+fn restore_leader(world: &World, index: usize, cause: Cause) {
     match cause {
-        Cause::Killed => world.groups.borrow_mut().servers[place].up = true,
-        Cause::Leaves => world.stay(place),
+        Cause::Killed => world.groups.borrow_mut().servers[index].up = true,
+        Cause::Leaves => world.stop_draining(index),
         Cause::Silent | Cause::Cut | Cause::Stalled => {
-            world.links.set(&format!("s{place}"), &Fault::default());
-            world.groups.borrow_mut().servers[place].cut = false;
+            world.links.set(&format!("s{index}"), &Fault::default());
+            world.groups.borrow_mut().servers[index].isolated = false;
         }
     }
 }
--- a/lab/src/soak/world.rs
+++ b/lab/src/soak/world.rs
@@ -1,4 +1,4 @@
-//! The system of a soak: real hosts as processes, stand-ins for all else.
+//! The system under a soak: real hosts as processes, stand-ins for everything else.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,7 +14,7 @@
 use super::{
     caller::{Caller, Database},
     group::{Groups, Server},
-    server::{CONNECTIONS, SLOTS, Standin},
+    server::{MAX_CONNECTIONS, SLOTS, Standin},
     store::{self, Store},
 };
 use crate::{
@@ -24,79 +24,83 @@
     system,
 };
 
-/// Groups, of three servers each.
+/// Number of database groups; each has three servers.
 pub const GROUPS: usize = 3;
 
-/// Accounts: name, key, rate and burst. The last one asks for more than its rate.
+/// Client accounts: name, key, and rate per second, which is the burst too. The last account
+/// exceeds its rate.
 const ACCOUNTS: [(&str, &str, u64); 3] =
     [("baobab", "key-b", 400), ("hartwell", "key-h", 400), ("greedy", "key-g", 30)];
 
-/// Hosts of a system with hosts of two sizes that are large: one in each failure domain.
+/// Number of large hosts in a system with hosts of two sizes: one in each failure domain.
 pub const LARGE_HOSTS: usize = 2;
 
-/// Processor shares of a host of the usual size, and of a large one.
-const SMALL: f64 = 0.25;
-const LARGE: f64 = 0.5;
+/// CPU share of a host of the usual size.
+const SMALL_CPU_SHARE: f64 = 0.25;
+/// CPU share of a large host.
+const LARGE_CPU_SHARE: f64 = 0.5;
 
-/// How long an entry stays after its server has ended: three heartbeats.
-const ENTRY_FOR: Duration = Duration::from_millis(1500);
+/// Time after which the entry of a stopped server is removed: three heartbeats.
+const ENTRY_TTL: Duration = Duration::from_millis(1500);
 
-/// The system.
+/// The system: hosts, stand-ins and the links between them.
 pub struct World {
-    /// Hosts.
+    /// Host processes.
     pub hosts: Vec<Process>,
-    /// Servers, those of a group together.
+    /// Stand-in servers, ordered by group.
     pub standins: Vec<Rc<Standin>>,
-    /// What the servers hold and see.
+    /// State of the servers, and the record of statements.
     pub groups: Rc<RefCell<Groups>>,
-    /// The store.
+    /// Stand-in for the metadata store.
     pub store: Rc<RefCell<Store>>,
-    /// Links to servers and to the store.
+    /// Links to servers (`sN`), from hosts to the store (`storeN`) and between hosts (`peerN`).
     pub links: Links,
-    /// Where callers connect.
+    /// Addresses on which hosts listen for callers.
     pub callers: Vec<SocketAddr>,
-    /// Where readiness is asked for.
+    /// Addresses of the hosts' readiness endpoints.
     pub readiness: Vec<SocketAddr>,
-    /// Where metrics are served.
+    /// Addresses of the hosts' metrics endpoints.
     pub metrics: Vec<SocketAddr>,
-    /// Statements answered with success.
+    /// Number of statements answered with success.
     pub served: Rc<Cell<u64>>,
-    /// Statements answered otherwise.
+    /// Number of statements answered with an error.
     pub refused: Rc<Cell<u64>>,
-    /// Where each server says that it listens.
+    /// Address in each server's entry.
     addresses: RefCell<Vec<SocketAddr>>,
+    /// Version of the configuration.
     version: Cell<u64>,
-    /// Databases beside those that callers use.
-    further: Cell<usize>,
+    /// Number of databases in addition to those that callers use.
+    extra_databases: Cell<usize>,
+    /// Whether the key of `hartwell` is withdrawn.
     withdrawn: Cell<bool>,
-    /// Whether entries of servers that ended stay in the list.
-    pub keeps_entries: Cell<bool>,
+    /// Whether entries of stopped servers remain in the store.
+    pub retain_entries: Cell<bool>,
     dir: tempfile::TempDir,
     _ports: Ports,
 }
 
 impl World {
-    /// Starts the system with hosts of one size.
+    /// Starts a system with hosts of one size.
     pub fn start(hosts: usize) -> anyhow::Result<Self> {
         Self::start_sized(hosts, 0)
     }
 
-    /// Starts the system; the first `large` hosts have more power than the others, so
-    /// that these leave reading the store to them.
+    /// Starts a system whose first `large` hosts have a larger CPU share than the others, so that
+    /// the others leave reading the store to them.
     pub fn start_sized(hosts: usize, large: usize) -> anyhow::Result<Self> {
         let mut ports = Ports::take()?;
         let dir = tempfile::tempdir()?;
         let (links, groups) = (Links::default(), Rc::new(RefCell::new(Groups::default())));
         let mut standins = Vec::new();
         let mut addresses = Vec::new();
-        for place in 0..GROUPS * 3 {
-            let group = place / 3;
-            let id: Box<str> = format!("i-{place}").into();
+        for index in 0..GROUPS * 3 {
+            let group = index / 3;
+            let id: Box<str> = format!("i-{index}").into();
             let names = [id.clone(), format!("g{group}").into()];
-            groups.borrow_mut().servers.push(server(id, group, place % 3 == 0));
-            let standin = Standin::new(place, names, groups.clone());
+            groups.borrow_mut().servers.push(server(id, group, index % 3 == 0));
+            let standin = Standin::new(index, names, groups.clone());
             let (listen, to) = (ports.address()?, ports.address()?);
-            links.add(Add { name: format!("s{place}").into(), listen, to })?;
+            links.add(Add { name: format!("s{index}").into(), listen, to })?;
             monoio::spawn(standin.clone().run(to));
             standins.push(standin);
             addresses.push(listen);
@@ -120,34 +124,44 @@
             refused: Rc::default(),
             addresses: RefCell::new(addresses),
             version: Cell::new(1),
-            further: Cell::default(),
+            extra_databases: Cell::default(),
             withdrawn: Cell::default(),
-            keeps_entries: Cell::default(),
+            retain_entries: Cell::default(),
             dir,
             _ports: ports,
         };
         world.configure();
-        (0..GROUPS * 3).for_each(|place| world.list(place));
+        (0..GROUPS * 3).for_each(|index| world.publish_entry(index));
         for number in 0..hosts {
-            let power = if number < large { LARGE } else { SMALL };
-            world.add_host(number, power, platform)?;
+            let cpu_share = if number < large { LARGE_CPU_SHARE } else { SMALL_CPU_SHARE };
+            world.add_host(number, cpu_share, platform)?;
         }
         Ok(world)
     }
 
-    fn add_host(&mut self, number: usize, power: f64, platform: SocketAddr) -> anyhow::Result<()> {
+    /// Starts a host, with a link to the store and a link through which its peers reach it.
+    fn add_host(
+        &mut self,
+        number: usize,
+        cpu_share: f64,
+        platform: SocketAddr,
+    ) -> anyhow::Result<()> {
         let ports = &mut self._ports;
         let (callers, readiness) = (ports.address()?, ports.address()?);
         let (peers, metrics, store) = (ports.address()?, ports.address()?, ports.address()?);
         let name = format!("store{number}").into();
         self.links.add(Add { name, listen: store, to: platform })?;
-        let between = ports.address()?;
-        self.links.add(Add { name: format!("peer{number}").into(), listen: between, to: peers })?;
-        self.store.borrow_mut().moved.insert(peers, between);
+        let peer_link = ports.address()?;
+        self.links.add(Add {
+            name: format!("peer{number}").into(),
+            listen: peer_link,
+            to: peers,
+        })?;
+        self.store.borrow_mut().peer_links.insert(peers, peer_link);
         let settings = format!(
             "nodeName=host-{number}\nzone=d{}\nipAddress=127.0.0.1\n\
             listenAddresses.front={callers}\nlistenAddresses.ready={readiness}\n\
-            internalPortRange={},{}\nlimits.cpuShare={power}\nbounds.graceS=4\n\
+            internalPortRange={},{}\nlimits.cpuShare={cpu_share}\nbounds.graceS=4\n\
             bounds.configurationApplyMs=3000\nbounds.drainMs=7000\nbounds.quotaOverage=0.1\n\
             bounds.strictRevocation=false\nbounds.revocationMs=5000\nbounds.quotaSlack=20\nbounds.quotaWindowS=5\nplatform.address={store}\ncloud.address={platform}\n",
             number % 2,
@@ -167,11 +181,11 @@
         Ok(())
     }
 
-    /// Writes a new version of the configuration.
+    /// Publishes a new version of the configuration.
     pub fn configure(&self) {
         self.version.set(self.version.get() + 1);
         let kinds = ["primary", "bounded_staleness", "read_own_writes"];
-        let routes: Vec<_> = (0..GROUPS * kinds.len() + self.further.get())
+        let routes: Vec<_> = (0..GROUPS * kinds.len() + self.extra_databases.get())
             .map(|n| {
                 let group = format!("g{}", n / kinds.len() % GROUPS);
                 json!({"name": format!("r{n}"), "host": database(n), "prefix": "/",
@@ -180,13 +194,13 @@
             })
             .collect();
         let services: Vec<_> = (0..GROUPS)
-            .map(|n| json!({"name": format!("g{n}"), "maxConnections": CONNECTIONS}))
+            .map(|n| json!({"name": format!("g{n}"), "maxConnections": MAX_CONNECTIONS}))
             .collect();
         let accounts: Vec<_> = ACCOUNTS
             .iter()
             .map(|(name, key, rate)| {
-                let gone = self.withdrawn.get() && *name == "hartwell";
-                let keys: Vec<_> = if gone { Vec::new() } else { vec![key] };
+                let withdrawn = self.withdrawn.get() && *name == "hartwell";
+                let keys: Vec<_> = if withdrawn { Vec::new() } else { vec![key] };
                 json!({"name": name, "apiKeys": keys, "ratePerS": rate, "burst": rate})
             })
             .collect();
@@ -195,32 +209,32 @@
         self.store.borrow_mut().put("op", "config", &document);
     }
 
-    /// Adds databases; the name of the last one.
+    /// Adds databases to the configuration. Returns the name of the last one.
     pub fn add_databases(&self, count: usize) -> String {
-        self.further.set(self.further.get() + count);
+        self.extra_databases.set(self.extra_databases.get() + count);
         self.configure();
         self.newest_database().expect("databases were added")
     }
 
-    /// The last database that was added; none before the first.
+    /// Returns the name of the last database added, if any.
     pub fn newest_database(&self) -> Option<String> {
-        let further = self.further.get();
-        (further > 0).then(|| database(GROUPS * 3 + further - 1))
+        let extra_databases = self.extra_databases.get();
+        (extra_databases > 0).then(|| database(GROUPS * 3 + extra_databases - 1))
     }
 
-    /// Withdraws a key from callers that are connected.
-    pub fn withdraw(&self) {
+    /// Withdraws the key of `hartwell`, whose callers are connected.
+    pub fn withdraw_key(&self) {
         self.withdrawn.set(true);
         self.configure();
     }
 
-    /// Gives it back.
-    pub fn give_back(&self) {
+    /// Restores the key of `hartwell`.
+    pub fn restore_key(&self) {
         self.withdrawn.set(false);
         self.configure();
     }
 
-    /// Whether the key of `hartwell` is withdrawn.
+    /// Returns whether the key of `hartwell` is withdrawn.
     pub fn is_withdrawn(&self) -> bool {
         self.withdrawn.get()
     }
@@ -230,99 +244,104 @@
         self.store.borrow_mut().put("op", &format!("evacuate/d{domain}"), &json!({}));
     }
 
-    /// Takes that back.
-    pub fn take_back(&self, domain: usize) {
+    /// Ends the evacuation of a failure domain.
+    pub fn end_evacuation(&self, domain: usize) {
         self.store.borrow_mut().remove("op", &format!("evacuate/d{domain}"));
     }
 
-    /// Statements that servers of a failure domain have run.
-    pub fn ran_in(&self, domain: usize) -> usize {
-        (0..GROUPS * 3).filter(|place| place % 2 == domain).map(|place| self.ran(place)).sum()
+    /// Returns the number of callers' statements that servers of a failure domain have executed.
+    pub fn statements_run_in(&self, domain: usize) -> usize {
+        (0..GROUPS * 3)
+            .filter(|index| index % 2 == domain)
+            .map(|index| self.statements_run(index))
+            .sum()
     }
 
-    fn list(&self, place: usize) {
+    /// Writes a server's entry to the store.
+    fn publish_entry(&self, index: usize) {
         let groups = self.groups.borrow();
-        let server = &groups.servers[place];
-        let role = if server.leads { "primary" } else { "replica" };
-        let state = if server.leaving { "draining" } else { "ready" };
-        let entry = json!({"service": format!("g{}", server.group), "zone": format!("d{}", place % 2),
-            "address": self.addresses.borrow()[place], "version": "v1", "slots": SLOTS, "state": state,
+        let server = &groups.servers[index];
+        let role = if server.is_leader { "primary" } else { "replica" };
+        let state = if server.draining { "draining" } else { "ready" };
+        let entry = json!({"service": format!("g{}", server.group), "zone": format!("d{}", index % 2),
+            "address": self.addresses.borrow()[index], "version": "v1", "slots": SLOTS, "state": state,
             "coldRemainingMs": 0, "databaseRole": role, "sequence": 1, "born": 1});
         self.store.borrow_mut().put("servers", &server.id, &entry);
     }
 
-    /// Has a server say that it leaves; it goes on serving.
-    pub fn leave(&self, place: usize) {
-        self.groups.borrow_mut().servers[place].leaving = true;
-        self.list(place);
+    /// Publishes a server as draining. The server keeps serving.
+    pub fn start_draining(&self, index: usize) {
+        self.groups.borrow_mut().servers[index].draining = true;
+        self.publish_entry(index);
     }
 
-    /// Has a server say that it stays.
-    pub fn stay(&self, place: usize) {
-        self.groups.borrow_mut().servers[place].leaving = false;
-        self.list(place);
+    /// Publishes a draining server as ready again.
+    pub fn stop_draining(&self, index: usize) {
+        self.groups.borrow_mut().servers[index].draining = false;
+        self.publish_entry(index);
     }
 
-    /// Has a server say that it listens where another one does.
-    pub fn list_at(&self, place: usize, other: usize) {
+    /// Publishes a server with the address of another server.
+    pub fn advertise_address_of(&self, index: usize, other: usize) {
         let address = self.addresses.borrow()[other];
-        self.addresses.borrow_mut()[place] = address;
-        self.list(place);
+        self.addresses.borrow_mut()[index] = address;
+        self.publish_entry(index);
     }
 
-    /// Statements of callers that a server has run.
-    pub fn ran(&self, place: usize) -> usize {
-        self.groups.borrow().servers[place].ran
+    /// Returns the number of callers' statements that a server has executed.
+    pub fn statements_run(&self, index: usize) -> usize {
+        self.groups.borrow().servers[index].statements_run
     }
 
-    /// Keeps logs travelling, entries listed and stopped hosts started, for ever.
-    pub async fn keep(world: Rc<RefCell<Self>>) {
+    /// Replicates logs, completes promotions, and updates entries as servers start, stop and change
+    /// roles. Never returns.
+    pub async fn maintain(world: Rc<RefCell<Self>>) {
         let mut down: Vec<Option<Instant>> = vec![None; GROUPS * 3];
         loop {
             monoio::time::sleep(Duration::from_millis(3)).await;
             let Ok(world) = world.try_borrow() else { continue };
             let changed = world.groups.borrow_mut().tick();
-            for (place, down) in down.iter_mut().enumerate() {
-                let up = world.groups.borrow().servers[place].up;
+            for (index, down) in down.iter_mut().enumerate() {
+                let up = world.groups.borrow().servers[index].up;
                 match *down {
                     None if !up => *down = Some(Instant::now()),
                     Some(since)
-                        if !up && since.elapsed() > ENTRY_FOR && !world.keeps_entries.get() =>
+                        if !up && since.elapsed() > ENTRY_TTL && !world.retain_entries.get() =>
                     {
-                        let id = format!("i-{place}");
+                        let id = format!("i-{index}");
                         world.store.borrow_mut().remove("servers", &id);
                         *down = Some(Instant::now() + Duration::from_secs(3600));
                     }
                     Some(_) if up => {
                         *down = None;
-                        world.list(place);
+                        world.publish_entry(index);
                     }
-                    _ if changed && up => world.list(place),
+                    _ if changed && up => world.publish_entry(index),
                     _ => {}
                 }
             }
         }
     }
 
-    /// Ends the leader of a group.
+    /// Stops the leader of a group.
     pub fn stop_leader(&self, group: usize) {
-        let leads = |place: &usize| {
+        let is_leader = |index: &usize| {
             let groups = self.groups.borrow();
-            groups.servers[*place].leads && groups.servers[*place].group == group
+            groups.servers[*index].is_leader && groups.servers[*index].group == group
         };
-        let leader = (0..GROUPS * 3).find(leads);
-        leader.into_iter().for_each(|place| self.standins[place].stop());
+        let leader = (0..GROUPS * 3).find(is_leader);
+        leader.into_iter().for_each(|index| self.standins[index].stop());
     }
 
-    /// Starts the servers of a group that do not run.
+    /// Starts the stopped servers of a group.
     pub fn start_group(&self, group: usize) {
         let mut groups = self.groups.borrow_mut();
-        let of_group = groups.servers.iter_mut().filter(|server| server.group == group);
-        of_group.for_each(|server| server.up = true);
+        let members = groups.servers.iter_mut().filter(|server| server.group == group);
+        members.for_each(|server| server.up = true);
     }
 
-    /// Starts hosts that have ended by themselves or by order.
-    pub fn start_ended(&mut self) -> anyhow::Result<()> {
+    /// Restarts hosts whose process has exited, whether after a stop request or by itself.
+    pub fn restart_ended(&mut self) -> anyhow::Result<()> {
         for host in &mut self.hosts {
             if host.pid().is_some() && !host.is_running() {
                 host.kill();
@@ -332,14 +351,14 @@
         Ok(())
     }
 
-    /// Callers, `each` for each account.
+    /// Returns `each` callers for each client account.
     pub fn make_callers(&self, each: usize) -> Vec<Caller> {
         let databases: Vec<Database> = (0..GROUPS * 3)
             .map(|n| Database {
                 name: format!("db{n}").into(),
                 group: n / 3,
-                age: (n % 3 != 0).then_some(Duration::from_millis(1500)),
-                own: n % 3 == 2,
+                max_staleness: (n % 3 != 0).then_some(Duration::from_millis(1500)),
+                read_own_writes: n % 3 == 2,
             })
             .collect();
         let accounts = ACCOUNTS.iter().flat_map(|account| std::iter::repeat_n(account, each));
@@ -356,30 +375,31 @@
         accounts.enumerate().map(caller).collect()
     }
 
-    /// What one account's callers were given beyond its rate.
-    pub fn over_rates(&self) -> Vec<String> {
+    /// Describes the client accounts that exceeded their rate limit within 5 s.
+    pub fn rate_violations(&self) -> Vec<String> {
         let groups = self.groups.borrow();
         let over = |(name, _, rate): &(&str, &str, u64)| {
-            let most = groups.most_within(name, Duration::from_secs(5));
+            let peak = groups.max_operations(name, Duration::from_secs(5));
             let allowed = (*rate as f64 * 6.0 * 1.1 + 20.0) as usize;
-            (most > allowed).then(|| format!("{name} had {most} in 5 s, {allowed} are allowed"))
+            (peak > allowed).then(|| format!("{name} had {peak} in 5 s, {allowed} are allowed"))
         };
         ACCOUNTS.iter().filter_map(over).collect()
     }
 
-    /// Keeps what the hosts have logged; the folder.
+    /// Copies the hosts' logs to a directory that remains after the run. Returns the directory.
     pub fn keep_logs(&self, seed: u64) -> anyhow::Result<PathBuf> {
         let to = std::env::temp_dir().join(format!("bergamottrack-soak-{seed}"));
         std::fs::create_dir_all(&to)?;
         for host in &self.hosts {
-            std::fs::write(to.join(&*host.name), host.log()).context("keeping a log")?;
+            std::fs::write(to.join(&*host.name), host.log())
+                .context("writing a copy of a host's log")?;
         }
         Ok(to)
     }
 }
 
-/// The name of a database. Those beside the callers' own have names that tell nothing of
-/// each other, as real ones, so that a configuration cannot be made much smaller.
+/// Returns the name of a database. Names of added databases share no pattern, as real ones, so
+/// that the configuration cannot be made much smaller.
 fn database(number: usize) -> String {
     if number < GROUPS * 3 {
         return format!("db{number}");
@@ -387,8 +407,22 @@
     format!("db{:016x}", (number as u64).wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29))
 }
 
-fn server(id: Box<str>, group: usize, leads: bool) -> Server {
+/// Returns the initial state of a server.
+fn server(id: Box<str>, group: usize, is_leader: bool) -> Server {
     let (log, lag) = (Vec::new(), Duration::ZERO);
-    let (up, cut, leaving) = (true, false, false);
-    Server { id, group, up, leads, term: 1, log, applied: 0, lag, lose: 0.0, cut, leaving, ran: 0 }
+    let (up, isolated, draining) = (true, false, false);
+    Server {
+        id,
+        group,
+        up,
+        is_leader,
+        term: 1,
+        log,
+        applied: 0,
+        lag,
+        loss: 0.0,
+        isolated,
+        draining,
+        statements_run: 0,
+    }
 }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -53,17 +53,17 @@
     block_on(async {
         let world = start_system(2).await;
         let stop = start_callers(&world);
-        while world.borrow().ran(REPLICA) < 20 {
+        while world.borrow().statements_run(REPLICA) < 20 {
             await_served(&world, 50).await;
         }
-        world.borrow().leave(REPLICA);
+        world.borrow().start_draining(REPLICA);
         // Hosts may still send statements there until they are notified, and what is open by then
         // may finish there.
         sleep_ms(3000).await;
-        let before = world.borrow().ran(REPLICA);
+        let before = world.borrow().statements_run(REPLICA);
         await_served(&world, 400).await;
         stop.set(true);
-        assert_eq!(world.borrow().ran(REPLICA), before);
+        assert_eq!(world.borrow().statements_run(REPLICA), before);
         assert_no_violations(&world);
     });
 }
@@ -76,17 +76,17 @@
         let world = start_system(2).await;
         let stop = start_callers(&world);
         await_served(&world, 200).await;
-        world.borrow().leave(LEADER);
+        world.borrow().start_draining(LEADER);
         let start = Instant::now();
         while world.borrow().groups.borrow().promotions == 0 {
             assert!(start.elapsed() < WAIT_TIMEOUT, "no other server was promoted");
             sleep_ms(20).await;
         }
         sleep_ms(3000).await;
-        let before = world.borrow().ran(LEADER);
+        let before = world.borrow().statements_run(LEADER);
         await_served(&world, 400).await;
         stop.set(true);
-        assert_eq!(world.borrow().ran(LEADER), before);
+        assert_eq!(world.borrow().statements_run(LEADER), before);
         assert_eq!(world.borrow().groups.borrow().promotions, 1);
         assert_no_violations(&world);
     });
@@ -100,14 +100,14 @@
         let world = start_system(2).await;
         let stop = start_callers(&world);
         await_served(&world, 200).await;
-        world.borrow().groups.borrow_mut().servers[LEADER].cut = true;
+        world.borrow().groups.borrow_mut().servers[LEADER].isolated = true;
         let start = Instant::now();
         while world.borrow().groups.borrow().promotions == 0 {
             assert!(start.elapsed() < WAIT_TIMEOUT, "no other server was promoted");
             sleep_ms(20).await;
         }
         await_served(&world, 200).await;
-        world.borrow().groups.borrow_mut().servers[LEADER].cut = false;
+        world.borrow().groups.borrow_mut().servers[LEADER].isolated = false;
         await_served(&world, 200).await;
         stop.set(true);
         assert_eq!(world.borrow().groups.borrow().promotions, 1);
@@ -123,13 +123,13 @@
         let world = start_system(2).await;
         let stop = start_callers(&world);
         await_served(&world, 200).await;
-        world.borrow().keeps_entries.set(true);
+        world.borrow().retain_entries.set(true);
         world.borrow().standins[REPLICA].stop();
-        world.borrow().list_at(REPLICA, OTHER_REPLICA);
-        let before = world.borrow().ran(REPLICA);
+        world.borrow().advertise_address_of(REPLICA, OTHER_REPLICA);
+        let before = world.borrow().statements_run(REPLICA);
         await_served(&world, 400).await;
         stop.set(true);
-        assert_eq!(world.borrow().ran(REPLICA), before);
+        assert_eq!(world.borrow().statements_run(REPLICA), before);
         assert_no_violations(&world);
     });
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -9,7 +9,7 @@
     link::Fault,
     soak::{
         self, SoakArgs,
-        caller::knows,
+        caller::serves_database,
         world::{LARGE_HOSTS, World},
     },
 };
@@ -66,7 +66,7 @@
         let began = Instant::now();
         let callers = world.borrow().callers.clone();
         for address in callers {
-            while !knows(address, &added).await {
+            while !serves_database(address, &added).await {
                 assert!(began.elapsed() < APPLY_TIMEOUT, "{added} is unknown at {address}");
                 sleep_ms(50).await;
             }
@@ -90,7 +90,7 @@
             world.borrow().links.set(store, &rate_limit(INSUFFICIENT_RATE));
         }
         world.borrow().add_databases(ADDED_DATABASES);
-        world.borrow().withdraw();
+        world.borrow().withdraw_key();
         let began = Instant::now();
         assert_eq!(
             line.query_outcome("READ k1").await,
@@ -120,7 +120,7 @@
         for store in ["store2", "store3"] {
             world.borrow().links.set(store, &Fault { cut_up: true, ..Fault::default() });
         }
-        world.borrow().leave(REPLICA);
+        world.borrow().start_draining(REPLICA);
         let began = Instant::now();
         while !world.borrow().hosts[2].log().contains(r#""role":"Replica","leaving":true"#) {
             assert!(
@@ -141,14 +141,14 @@
         let world = await_serving(World::start(1).unwrap()).await;
         let added = world.borrow().add_databases(ADDED_DATABASES);
         let address = world.borrow().callers[0];
-        while !knows(address, &added).await {
+        while !serves_database(address, &added).await {
             sleep_ms(50).await;
         }
         world.borrow().links.set("store0", &rate_limit(SLOW_RATE));
         world.borrow_mut().hosts[0].kill();
         world.borrow_mut().hosts[0].start().unwrap();
         let began = Instant::now();
-        while !knows(address, &added).await {
+        while !serves_database(address, &added).await {
             assert!(began.elapsed() < RECOVERY_TIMEOUT, "the host does not serve");
             sleep_ms(50).await;
         }
--- a/tests/hosts/mod.rs
+++ b/tests/hosts/mod.rs
@@ -45,12 +45,12 @@
     await_serving(World::start(hosts).unwrap()).await
 }
 
-/// Waits until every host of the system answers a read. From then on `World::keep` runs in the
+/// Waits until every host of the system answers a read. From then on `World::maintain` runs in the
 /// background.
 pub async fn await_serving(world: World) -> Rc<RefCell<World>> {
     let hosts = world.hosts.len();
     let world = Rc::new(RefCell::new(world));
-    monoio::spawn(World::keep(world.clone()));
+    monoio::spawn(World::maintain(world.clone()));
     let start = Instant::now();
     for host in 0..hosts {
         let address = world.borrow().callers[host];
--- a/tests/places.rs
+++ b/tests/places.rs
@@ -56,8 +56,8 @@
 
 /// Waits until the servers of a failure domain run statements again.
 async fn until_used(world: &Rc<RefCell<World>>, domain: usize) {
-    let (began, before) = (Instant::now(), world.borrow().ran_in(domain));
-    while world.borrow().ran_in(domain) == before {
+    let (began, before) = (Instant::now(), world.borrow().statements_run_in(domain));
+    while world.borrow().statements_run_in(domain) == before {
         assert!(began.elapsed() < WAIT_TIMEOUT, "nothing runs in failure domain {domain}");
         // Its own hosts prefer servers that are near.
         run_round(world, domain).await;
@@ -85,15 +85,19 @@
                 run_round(&world, 1).await;
             }
             until_all_served(&world, 3).await;
-            let ran = world.borrow().ran_in(domain);
+            let ran = world.borrow().statements_run_in(domain);
             for mut line in open {
                 // The transaction is aborted, or runs at a server of another failure domain.
                 let answer = line.query_outcome("READ k1").await;
                 assert!(answer == "ABORTED E" || answer == "DONE T", "{answer}");
             }
             until_all_served(&world, 3).await;
-            assert_eq!(world.borrow().ran_in(domain), ran, "statements reached the domain");
-            world.borrow().take_back(domain);
+            assert_eq!(
+                world.borrow().statements_run_in(domain),
+                ran,
+                "statements reached the domain"
+            );
+            world.borrow().end_evacuation(domain);
             until_used(&world, domain).await;
         }
     });
@@ -111,15 +115,15 @@
         while evacuated.elapsed() < BOUND {
             run_round(&world, 0).await;
         }
-        let ran = world.borrow().ran_in(0) + world.borrow().ran_in(1);
+        let ran = world.borrow().statements_run_in(0) + world.borrow().statements_run_in(1);
         for text in ["READ k1", "WRITE k1 x"] {
             let mut line = line(&world, 2, 0).await;
             let answer = line.query(text).await.unwrap();
             assert!(answer[0].contains("evacuated"), "{answer:?}");
         }
-        assert_eq!(world.borrow().ran_in(0) + world.borrow().ran_in(1), ran);
-        world.borrow().take_back(0);
-        world.borrow().take_back(1);
+        assert_eq!(world.borrow().statements_run_in(0) + world.borrow().statements_run_in(1), ran);
+        world.borrow().end_evacuation(0);
+        world.borrow().end_evacuation(1);
         until_all_served(&world, 3).await;
     });
 }
@@ -142,8 +146,8 @@
         sleep_ms(1500).await;
         world.borrow().store.borrow_mut().faults.down = false;
         until_all_served(&world, 1).await;
-        let ran = world.borrow().ran_in(0);
+        let ran = world.borrow().statements_run_in(0);
         until_all_served(&world, 3).await;
-        assert_eq!(world.borrow().ran_in(0), ran, "statements reached the domain");
+        assert_eq!(world.borrow().statements_run_in(0), ran, "statements reached the domain");
     });
 }
