--- a/components/fleet/src/spell.rs
+++ b/components/fleet/src/condition.rs
@@ -7,32 +7,32 @@
 
 /// What a look at a state has shown.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Seen {
+pub enum Transition {
     /// It has begun.
-    Began,
+    Started,
     /// It has ended, after this time.
     Ended(Duration),
     /// It is as it was.
-    Same,
+    Unchanged,
 }
 
 /// A state that comes and goes, such as an outage.
 #[derive(Debug, Default)]
-pub struct Spell(Cell<Option<Instant>>);
+pub struct Condition(Cell<Option<Instant>>);
 
-impl Spell {
+impl Condition {
     /// Notes whether the state holds.
-    pub fn note(&self, holds: bool, now: Instant) -> Seen {
+    pub fn update(&self, holds: bool, now: Instant) -> Transition {
         match (self.0.get(), holds) {
             (None, true) => {
                 self.0.set(Some(now));
-                Seen::Began
+                Transition::Started
             }
             (Some(began), false) => {
                 self.0.set(None);
-                Seen::Ended(now.saturating_duration_since(began))
+                Transition::Ended(now.saturating_duration_since(began))
             }
-            _ => Seen::Same,
+            _ => Transition::Unchanged,
         }
     }
 }
--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -15,8 +15,8 @@
 use tracing::{debug, info, warn};
 
 use crate::{
+    condition::{Condition, Transition},
     limits::Limits,
-    spell::{Seen, Spell},
 };
 
 /// How often the table service is asked for the newest revision.
@@ -85,16 +85,16 @@
     pub async fn run(self: Rc<Self>) {
         monoio::spawn(self.clone().run_rounds());
         monoio::spawn(self.clone().tell_standing());
-        let outage = Spell::default();
+        let outage = Condition::default();
         loop {
             let result = self.follow().await;
-            let seen = outage.note(result.is_err(), self.clock.now());
+            let seen = outage.update(result.is_err(), self.clock.now());
             match (seen, result) {
-                (Seen::Began, Err(error)) => warn!(
+                (Transition::Started, Err(error)) => warn!(
                     "fleet: the platform cannot be used, so no change is accepted; callers are \
                      served on: {error:#}."
                 ),
-                (Seen::Ended(time), _) => {
+                (Transition::Ended(time), _) => {
                     info!("fleet: the platform can be used again after {} s.", time.as_secs())
                 }
                 (_, Err(error)) => debug!("fleet: the platform cannot be used: {error:#}."),
--- a/components/fleet/src/standing.rs
+++ b/components/fleet/src/freshness.rs
@@ -5,8 +5,8 @@
 use tracing::{info, warn};
 
 use crate::{
+    condition::{Condition, Transition},
     fleet::Fleet,
-    spell::{Seen, Spell},
 };
 
 const LOOK_EVERY: Duration = Duration::from_millis(200);
@@ -15,16 +15,16 @@
     /// Logs when this host stops and begins to serve, as it can show that its
     /// revision is the newest.
     pub(crate) async fn tell_standing(self: Rc<Self>) {
-        let stale = Spell::default();
+        let stale = Condition::default();
         loop {
             monoio::time::sleep(LOOK_EVERY).await;
             let now = self.clock.now();
-            match stale.note(!self.current.is_fresh(now), now) {
-                Seen::Began if self.current.get().is_some() => warn!(
+            match stale.update(!self.current.is_fresh(now), now) {
+                Transition::Started if self.current.get().is_some() => warn!(
                     "fleet: this host cannot show that its revision is the newest; it refuses all \
                      requests until it can."
                 ),
-                Seen::Ended(time) => info!(
+                Transition::Ended(time) => info!(
                     "fleet: this host can show that its revision is the newest; it serves, after \
                      {} ms.",
                     time.as_millis()
--- a/components/fleet/src/lib.rs
+++ b/components/fleet/src/lib.rs
@@ -1,11 +1,11 @@
 //! The fleet: membership, the revision in force and its changes.
 
+pub mod condition;
 pub mod fleet;
+mod freshness;
 pub mod limits;
 mod roster;
 mod rounds;
-pub mod spell;
-mod standing;
 pub mod submit;
 
 pub use fleet::Fleet;
