--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -20,10 +20,10 @@
 };
 
 /// How often the table service is asked for the newest revision.
-const POLL_EVERY: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How soon it is asked again by a host that is not of the roster yet.
-const JOIN_AGAIN: Duration = Duration::from_millis(100);
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// What a host knows of the fleet.
 pub struct Fleet {
@@ -38,15 +38,15 @@
     pub(crate) chain: Chain,
     pub(crate) clock: Rc<dyn Clock>,
     /// The newest revision known to have been told to majorities.
-    pub(crate) told: Cell<Revision>,
+    pub(crate) propagated: Cell<Revision>,
     /// The newest revision known to be marked as told in the table service.
     pub(crate) marked: Cell<Revision>,
     /// When each host of the roster was last heard, or first missed.
-    pub(crate) heard: RefCell<HashMap<HostId, Instant>>,
+    pub(crate) last_contact: RefCell<HashMap<HostId, Instant>>,
     /// Hosts that are silent and that the platform does not list any more.
     pub(crate) dead: RefCell<Vec<HostId>>,
     /// Hosts that a majority of the roster has not heard for long.
-    pub(crate) gone: RefCell<Vec<HostId>>,
+    pub(crate) unreachable: RefCell<Vec<HostId>>,
     /// Whether this host leaves the roster for good.
     pub(crate) leaving: Cell<bool>,
 }
@@ -69,11 +69,11 @@
             mesh,
             chain,
             clock,
-            told: Cell::default(),
+            propagated: Cell::default(),
             marked: Cell::default(),
-            heard: RefCell::default(),
+            last_contact: RefCell::default(),
             dead: RefCell::default(),
-            gone: RefCell::default(),
+            unreachable: RefCell::default(),
             leaving: Cell::default(),
         })
     }
@@ -84,10 +84,10 @@
     /// neither a slow platform nor a frozen peer delays the other's answer.
     pub async fn run(self: Rc<Self>) {
         monoio::spawn(self.clone().run_rounds());
-        monoio::spawn(self.clone().tell_standing());
+        monoio::spawn(self.clone().log_freshness());
         let outage = Condition::default();
         loop {
-            let result = self.follow().await;
+            let result = self.poll_chain().await;
             let seen = outage.update(result.is_err(), self.clock.now());
             match (seen, result) {
                 (Transition::Started, Err(error)) => warn!(
@@ -100,23 +100,23 @@
                 (_, Err(error)) => debug!("fleet: the platform cannot be used: {error:#}."),
                 _ => {}
             }
-            let pause = if self.is_member() { POLL_EVERY } else { JOIN_AGAIN };
+            let pause = if self.is_member() { POLL_INTERVAL } else { JOIN_RETRY_DELAY };
             monoio::time::sleep(pause).await;
         }
     }
 
-    async fn follow(&self) -> anyhow::Result<()> {
-        self.newest().await?;
-        self.keep_dead().await?;
-        self.keep_roster().await?;
-        self.keep_told().await
+    async fn poll_chain(&self) -> anyhow::Result<()> {
+        self.refresh().await?;
+        self.update_dead().await?;
+        self.update_roster().await?;
+        self.sync_propagated().await
     }
 
     /// Reads the head of the chain; what is newer is put in force here.
     ///
     /// Guards against an old row: a head older than the revision known here
     /// proves nothing and must not count as shown freshness.
-    pub async fn newest(&self) -> anyhow::Result<Option<Rc<RevisionDoc>>> {
+    pub async fn refresh(&self) -> anyhow::Result<Option<Rc<RevisionDoc>>> {
         let asked = self.clock.now();
         let head = self.chain.head().await?;
         let number = head.as_ref().map(|head| head.number).unwrap_or_default();
@@ -153,7 +153,7 @@
         Some(match question {
             Question::Ping if self.leaving.get() => Answer::Leaving,
             Question::Ping => Answer::Pong,
-            Question::Vouch => Answer::Vouch(self.vouch()),
+            Question::Vouch => Answer::Vouch(self.vote()),
             Question::Revision => {
                 Answer::Revision(self.current.get().map(|doc| Box::new((*doc).clone())))
             }
@@ -176,12 +176,12 @@
         })
     }
 
-    pub(crate) fn vouch(&self) -> FreshnessVote {
+    pub(crate) fn vote(&self) -> FreshnessVote {
         FreshnessVote {
             known: self.current.number(),
             confirmed: self.current.vouches(),
-            propagated: self.told.get(),
-            unreachable: self.silent(),
+            propagated: self.propagated.get(),
+            unreachable: self.silent_hosts(),
         }
     }
 
@@ -245,6 +245,6 @@
 }
 
 /// A fresh submit id.
-pub fn new_submit() -> SubmitId {
+pub fn new_submit_id() -> SubmitId {
     format!("{:016x}", rand::random::<u64>()).parse().expect("hexadecimal digits are a name")
 }
--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -9,15 +9,15 @@
     fleet::Fleet,
 };
 
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Fleet {
     /// Logs when this host stops and begins to serve, as it can show that its
     /// revision is the newest.
-    pub(crate) async fn tell_standing(self: Rc<Self>) {
+    pub(crate) async fn log_freshness(self: Rc<Self>) {
         let stale = Condition::default();
         loop {
-            monoio::time::sleep(LOOK_EVERY).await;
+            monoio::time::sleep(CHECK_INTERVAL).await;
             let now = self.clock.now();
             match stale.update(!self.current.is_fresh(now), now) {
                 Transition::Started if self.current.get().is_some() => warn!(
--- a/components/fleet/src/limits.rs
+++ b/components/fleet/src/limits.rs
@@ -27,35 +27,35 @@
 use crate::rounds;
 
 /// How long a lender may take to answer.
-const LEND_WITHIN: Duration = Duration::from_millis(50);
+const LEND_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// The most lenders that are asked for one request.
 const MAX_ROUNDS: usize = 8;
 
 /// When to come back to a host that has no part to say it by.
-const COME_BACK: Duration = Duration::from_millis(500);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// One account at this host.
 struct Account {
     bucket: RefCell<Bucket>,
     lenders: RefCell<Lenders>,
     /// Held by the one request that borrows; the others wait for what it gets.
-    borrowing: Mutex<()>,
-    waiting: Cell<usize>,
+    borrow_lock: Mutex<()>,
+    waiters: Cell<usize>,
 }
 
 /// Counts a request that waits for tokens, until it is dropped: the request may
 /// end early, when its caller leaves.
-struct Waiting<'a>(&'a Cell<usize>);
+struct WaitGuard<'a>(&'a Cell<usize>);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitGuard<'a> {
     fn new(count: &'a Cell<usize>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -87,20 +87,20 @@
     pub async fn take(&self, id: &AccountId) -> Result<(), Refusal> {
         let now = self.now();
         let Some(account) = self.accounts.borrow().get(id).cloned() else {
-            return Err(self.refusal(id, COME_BACK));
+            return Err(self.refusal(id, DEFAULT_RETRY_DELAY));
         };
         if account.bucket.borrow_mut().take(now) {
             return Ok(());
         }
-        let waiting = Waiting::new(&account.waiting);
-        let turn = account.borrowing.lock().await;
+        let waiters = WaitGuard::new(&account.waiters);
+        let turn = account.borrow_lock.lock().await;
         let taken = self.borrow_and_take(id, &account).await;
-        drop((turn, waiting));
+        drop((turn, waiters));
         if taken {
             return Ok(());
         }
         let next = account.bucket.borrow_mut().until_next(self.clock.now());
-        Err(self.refusal(id, next.unwrap_or(COME_BACK)))
+        Err(self.refusal(id, next.unwrap_or(DEFAULT_RETRY_DELAY)))
     }
 
     async fn borrow_and_take(&self, id: &AccountId, account: &Account) -> bool {
@@ -110,7 +110,7 @@
             if account.bucket.borrow_mut().take_counted(now) {
                 return true;
             }
-            let want = account.bucket.borrow_mut().want(account.waiting.get(), now);
+            let want = account.bucket.borrow_mut().want(account.waiters.get(), now);
             let (hosts, share) = self.holders(id);
             let chosen = account.lenders.borrow().choose(hosts, share, want, now);
             if chosen.is_empty() {
@@ -128,7 +128,7 @@
         let (no, over) = account.bucket.borrow_mut().ask(&host, self.clock.now());
         let lend = Lend { account: id.clone(), no, tokens, over };
         let answer = match self.mesh.link(&host) {
-            Some(link) => link.ask(Question::Lend(lend), LEND_WITHIN).await.ok(),
+            Some(link) => link.ask(Question::Lend(lend), LEND_TIMEOUT).await.ok(),
             None => None,
         };
         let now = self.clock.now();
@@ -184,15 +184,15 @@
             let account = Account {
                 bucket: RefCell::new(bucket),
                 lenders: RefCell::default(),
-                borrowing: Mutex::default(),
-                waiting: Cell::default(),
+                borrow_lock: Mutex::default(),
+                waiters: Cell::default(),
             };
             self.accounts.borrow_mut().insert(id.clone(), Rc::new(account));
         }
     }
 
     /// The revision is known to majorities.
-    pub(crate) fn told(&self, revision: Revision) {
+    pub(crate) fn propagated(&self, revision: Revision) {
         self.shares.borrow_mut().acknowledged(revision, self.clock.now());
     }
 
@@ -236,7 +236,7 @@
     Allotment {
         revision: doc.number,
         fresh: doc.fresh_limit(),
-        roster: rounds::ids(&doc.roster),
+        roster: rounds::host_ids(&doc.roster),
         contracts: accounts.map(contract).collect(),
     }
 }
--- a/components/fleet/src/roster.rs
+++ b/components/fleet/src/roster.rs
@@ -6,27 +6,28 @@
 use bergamottrack_platform::chain::AppendOutcome;
 use tracing::info;
 
-use crate::fleet::{Fleet, new_submit};
+use crate::fleet::{Fleet, new_submit_id};
 
 impl Fleet {
     /// Brings this host into the roster, and takes hosts out that are gone.
-    pub(crate) async fn keep_roster(&self) -> anyhow::Result<()> {
+    pub(crate) async fn update_roster(&self) -> anyhow::Result<()> {
         if self.leaving.get() {
             return Ok(());
         }
         if !self.is_member() {
             let me = self.me.clone();
             return self
-                .change(|roster| {
+                .change_roster(|roster| {
                     roster.retain(|host| host.id != me.id);
                     roster.push(me.clone());
                 })
                 .await;
         }
-        let gone = self.gone.borrow().clone();
-        if !gone.is_empty() {
-            info!("fleet: taking out {gone:?}, silent to a majority.");
-            self.change(|roster| roster.retain(|host| !gone.contains(&host.id))).await?;
+        let unreachable = self.unreachable.borrow().clone();
+        if !unreachable.is_empty() {
+            info!("fleet: taking out {unreachable:?}, silent to a majority.");
+            self.change_roster(|roster| roster.retain(|host| !unreachable.contains(&host.id)))
+                .await?;
         }
         Ok(())
     }
@@ -45,8 +46,8 @@
     ///
     /// The list must name this host, so that an empty or partial one proves
     /// nothing; it lags, so a host that it lacks has been gone for a while.
-    pub(crate) async fn keep_dead(&self) -> anyhow::Result<()> {
-        let mut dead = self.silent();
+    pub(crate) async fn update_dead(&self) -> anyhow::Result<()> {
+        let mut dead = self.silent_hosts();
         if !dead.is_empty() {
             let list = self.chain.listed().await?;
             let lists = |host: &HostId| list.iter().any(|machine| *machine.id == *host.as_str());
@@ -60,7 +61,7 @@
     pub async fn leave(&self) -> anyhow::Result<()> {
         self.begin_leaving();
         while self.is_member() {
-            self.change(|roster| roster.retain(|host| host.id != self.me.id)).await?;
+            self.change_roster(|roster| roster.retain(|host| host.id != self.me.id)).await?;
         }
         Ok(())
     }
@@ -68,11 +69,11 @@
     /// Moves the chain on to a revision with another roster.
     ///
     /// Losing the race to another change is no error: the caller looks again.
-    async fn change(&self, edit: impl Fn(&mut Vec<Host>)) -> anyhow::Result<()> {
-        let before = self.newest().await?;
-        self.check_told().await?;
+    async fn change_roster(&self, edit: impl Fn(&mut Vec<Host>)) -> anyhow::Result<()> {
+        let before = self.refresh().await?;
+        self.ensure_propagated().await?;
         let author = format!("host {}", self.me.id);
-        let mut doc = self.draft(before.as_deref(), new_submit(), &author);
+        let mut doc = self.draft(before.as_deref(), new_submit_id(), &author);
         edit(&mut doc.roster);
         if doc.roster == doc.before {
             return Ok(());
@@ -82,7 +83,7 @@
                 self.limits.begin();
             }
             self.adopt(doc);
-            self.tell().await;
+            self.propagate().await;
         }
         Ok(())
     }
@@ -91,9 +92,9 @@
     ///
     /// No step is made from one that was not: a host two steps behind asks the
     /// roster of its own revision only, and must hear of the first step there.
-    pub(crate) async fn check_told(&self) -> anyhow::Result<()> {
+    pub(crate) async fn ensure_propagated(&self) -> anyhow::Result<()> {
         let number = self.current.number();
-        if self.told.get() >= number || self.tell().await.propagated {
+        if self.propagated.get() >= number || self.propagate().await.propagated {
             return Ok(());
         }
         None.with_context(|| format!("no majority of the hosts can be told of revision {number}"))
--- a/components/fleet/src/rounds.rs
+++ b/components/fleet/src/rounds.rs
@@ -23,175 +23,189 @@
 use crate::fleet::Fleet;
 
 /// How often the other hosts are asked.
-const ROUND_EVERY: Duration = Duration::from_secs(1);
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How soon they are asked again while something is not settled.
-const ROUND_AGAIN: Duration = Duration::from_millis(100);
+const ROUND_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// How long a host may take to answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How long the telling of a revision is tried before it is given up.
-const TELL_WITHIN: Duration = Duration::from_secs(3);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long a host must have been silent to be taken out of the roster.
 ///
 /// Far above a restart or a stall: taking a host out moves its share of the
 /// rates to others, and it must wait for its share when it comes back.
-const GONE_AFTER: Duration = Duration::from_secs(30);
+const REMOVAL_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Fleet {
     pub(crate) async fn run_rounds(self: Rc<Self>) {
         loop {
-            let tally = self.round().await;
+            let tally = self.run_round().await;
             let settled = tally.is_some_and(|tally| tally.newest && tally.propagated);
-            monoio::time::sleep(if settled { ROUND_EVERY } else { ROUND_AGAIN }).await;
+            monoio::time::sleep(if settled { ROUND_INTERVAL } else { ROUND_RETRY_DELAY }).await;
         }
     }
 
     /// Asks all hosts of the roster, and of the one before, once.
     ///
     /// `None` before any revision is known.
-    pub(crate) async fn round(&self) -> Option<Tally> {
+    pub(crate) async fn run_round(&self) -> Option<Tally> {
         let doc = self.current.get()?;
         let asked = self.clock.now();
         let others = voters(&doc).into_iter().filter(|host| *host != self.me.id);
-        let questions = others.map(|host| self.question(host, &doc));
-        let answers = future::join_all(questions).await;
+        let votes = others.map(|host| self.request_vote(host, &doc));
+        let answers = future::join_all(votes).await;
         let mut answers: Vec<(HostId, FreshnessVote)> = answers.into_iter().flatten().collect();
-        self.note_heard(&doc, &answers);
+        self.record_contacts(&doc, &answers);
         let dead = self.dead.borrow().clone();
-        answers.push((self.me.id.clone(), FreshnessVote { known: doc.number, ..self.vouch() }));
-        let tally =
-            freshness::tally(doc.number, &ids(&doc.roster), &ids(&doc.before), &dead, &answers);
+        answers.push((self.me.id.clone(), FreshnessVote { known: doc.number, ..self.vote() }));
+        let tally = freshness::tally(
+            doc.number,
+            &host_ids(&doc.roster),
+            &host_ids(&doc.before),
+            &dead,
+            &answers,
+        );
         if tally.newest {
             self.current.show(doc.number, asked);
         }
-        self.note_told(&doc, &tally, &answers);
-        self.note_gone(&doc, &answers);
+        self.record_propagation(&doc, &tally, &answers);
+        self.update_unreachable(&doc, &answers);
         if let Some((host, number)) = &tally.newer {
-            self.fetch(host, *number).await;
+            self.fetch_revision(host, *number).await;
         }
         Some(tally)
     }
 
     /// Asks one host; one that is behind is told the revision.
-    async fn question(&self, host: HostId, doc: &RevisionDoc) -> Option<(HostId, FreshnessVote)> {
+    async fn request_vote(
+        &self,
+        host: HostId,
+        doc: &RevisionDoc,
+    ) -> Option<(HostId, FreshnessVote)> {
         let link = self.mesh.link(&host)?;
-        let Ok(Answer::Vouch(mut vouch)) = link.ask(Question::Vouch, ANSWER_WITHIN).await else {
+        let Ok(Answer::Vouch(mut vote)) = link.ask(Question::Vouch, ANSWER_TIMEOUT).await else {
             return None;
         };
-        if vouch.known < doc.number {
+        if vote.known < doc.number {
             let adopt = Question::Adopt(Box::new(doc.clone()));
-            if let Ok(Answer::Adopted(number)) = link.ask(adopt, ANSWER_WITHIN).await {
-                vouch.known = number;
+            if let Ok(Answer::Adopted(number)) = link.ask(adopt, ANSWER_TIMEOUT).await {
+                vote.known = number;
             }
         }
-        Some((host, vouch))
+        Some((host, vote))
     }
 
-    async fn fetch(&self, host: &HostId, number: Revision) {
+    async fn fetch_revision(&self, host: &HostId, number: Revision) {
         let Some(link) = self.mesh.link(host) else { return };
-        match link.ask(Question::Revision, ANSWER_WITHIN).await {
+        match link.ask(Question::Revision, ANSWER_TIMEOUT).await {
             Ok(Answer::Revision(Some(doc))) => self.adopt(*doc),
             Ok(_) => {}
             Err(error) => debug!("fleet: revision {number} was not fetched: {error:#}."),
         }
     }
 
-    fn note_told(&self, doc: &RevisionDoc, tally: &Tally, answers: &[(HostId, FreshnessVote)]) {
-        let others = answers.iter().map(|(_, vouch)| vouch.propagated).max().unwrap_or_default();
+    fn record_propagation(
+        &self,
+        doc: &RevisionDoc,
+        tally: &Tally,
+        answers: &[(HostId, FreshnessVote)],
+    ) {
+        let others = answers.iter().map(|(_, vote)| vote.propagated).max().unwrap_or_default();
         let own = if tally.propagated { doc.number } else { Revision::default() };
-        self.learn_told(others.max(own));
+        self.raise_propagated(others.max(own));
     }
 
-    fn learn_told(&self, told: Revision) {
-        if told > self.told.get() {
-            self.told.set(told);
-            info!("fleet: revision {told} is known to a majority.");
+    fn raise_propagated(&self, propagated: Revision) {
+        if propagated > self.propagated.get() {
+            self.propagated.set(propagated);
+            info!("fleet: revision {propagated} is known to a majority.");
         }
-        self.limits.told(self.told.get());
+        self.limits.propagated(self.propagated.get());
     }
 
     /// Marks what was told in the table service, or learns it from there.
-    pub(crate) async fn keep_told(&self) -> anyhow::Result<()> {
-        let told = self.told.get();
-        if told < self.current.number() {
+    pub(crate) async fn sync_propagated(&self) -> anyhow::Result<()> {
+        let propagated = self.propagated.get();
+        if propagated < self.current.number() {
             let marked = self.chain.propagated().await?;
             self.marked.set(marked.max(self.marked.get()));
-            self.learn_told(marked);
-        } else if self.marked.get() < told {
-            self.chain.mark_propagated(told).await?;
-            self.marked.set(told);
+            self.raise_propagated(marked);
+        } else if self.marked.get() < propagated {
+            self.chain.mark_propagated(propagated).await?;
+            self.marked.set(propagated);
         }
         Ok(())
     }
 
-    fn note_heard(&self, doc: &RevisionDoc, answers: &[(HostId, FreshnessVote)]) {
+    fn record_contacts(&self, doc: &RevisionDoc, answers: &[(HostId, FreshnessVote)]) {
         let now = self.clock.now();
-        let mut heard = self.heard.borrow_mut();
+        let mut last_contact = self.last_contact.borrow_mut();
         let others: Vec<_> = voters(doc).into_iter().filter(|id| *id != self.me.id).collect();
-        heard.retain(|id, _| others.contains(id));
+        last_contact.retain(|id, _| others.contains(id));
         for id in others {
-            heard.entry(id).or_insert(now);
+            last_contact.entry(id).or_insert(now);
         }
         for (id, _) in answers {
-            if let Some(at) = heard.get_mut(id) {
+            if let Some(at) = last_contact.get_mut(id) {
                 *at = now;
             }
         }
     }
 
     /// Hosts of the roster that this host has not heard for long.
-    pub(crate) fn silent(&self) -> Vec<HostId> {
+    pub(crate) fn silent_hosts(&self) -> Vec<HostId> {
         let now = self.clock.now();
-        let heard = self.heard.borrow();
-        let silent = heard.iter().filter(|(_, at)| now >= **at + GONE_AFTER);
+        let last_contact = self.last_contact.borrow();
+        let silent = last_contact.iter().filter(|(_, at)| now >= **at + REMOVAL_TIMEOUT);
         silent.map(|(id, _)| id.clone()).collect()
     }
 
     /// A host is gone when a majority of the roster has not heard it for long:
     /// a link that is broken between two hosts only takes out neither.
-    fn note_gone(&self, doc: &RevisionDoc, answers: &[(HostId, FreshnessVote)]) {
+    fn update_unreachable(&self, doc: &RevisionDoc, answers: &[(HostId, FreshnessVote)]) {
         let dead = self.dead.borrow();
-        let roster = ids(&doc.roster);
+        let roster = host_ids(&doc.roster);
         let alive: Vec<_> = roster.iter().filter(|host| !dead.contains(host)).cloned().collect();
         let misses = |host: &HostId, by: &HostId| {
-            answers.iter().any(|(id, vouch)| id == by && vouch.unreachable.contains(host))
+            answers.iter().any(|(id, vote)| id == by && vote.unreachable.contains(host))
         };
-        let gone =
+        let unreachable =
             roster.iter().filter(|host| freshness::has_majority(&alive, |by| misses(host, by)));
-        *self.gone.borrow_mut() = gone.cloned().collect();
+        *self.unreachable.borrow_mut() = unreachable.cloned().collect();
     }
 
     /// Tells all hosts the revision in force here until majorities have it.
     ///
-    /// The tally of the last round; its `told` says whether that was reached.
-    pub(crate) async fn tell(&self) -> Tally {
-        let until = self.clock.now() + TELL_WITHIN;
+    /// The tally of the last round; its `propagated` says whether that was reached.
+    pub(crate) async fn propagate(&self) -> Tally {
+        let until = self.clock.now() + PROPAGATION_TIMEOUT;
         loop {
-            let tally = self.round().await.unwrap_or_default();
+            let tally = self.run_round().await.unwrap_or_default();
             let number = self.current.number();
-            if self.told.get() >= number {
+            if self.propagated.get() >= number {
                 return Tally { propagated: true, ..tally };
             }
             if self.clock.now() >= until {
                 warn!("fleet: revision {number} could not be told to a majority.");
                 return tally;
             }
-            monoio::time::sleep(ROUND_AGAIN).await;
+            monoio::time::sleep(ROUND_RETRY_DELAY).await;
         }
     }
 }
 
 /// The hosts whose word counts for a revision.
 fn voters(doc: &RevisionDoc) -> Vec<HostId> {
-    let mut ids = ids(&doc.roster);
+    let mut ids = host_ids(&doc.roster);
     let before = doc.before.iter().filter(|host| doc.host(&host.id).is_none());
     ids.extend(before.map(|host| host.id.clone()));
     ids
 }
 
-pub(crate) fn ids(hosts: &[bergamottrack_contract::Host]) -> Vec<HostId> {
+pub(crate) fn host_ids(hosts: &[bergamottrack_contract::Host]) -> Vec<HostId> {
     hosts.iter().map(|host| host.id.clone()).collect()
 }
--- a/components/fleet/src/submit.rs
+++ b/components/fleet/src/submit.rs
@@ -9,15 +9,15 @@
 use crate::{fleet::Fleet, rounds};
 
 /// How often a submit is tried against roster changes that come between.
-const TRIES: usize = 10;
+const MAX_ATTEMPTS: usize = 10;
 
 /// How often a change whose answer was lost is sent again.
-const SENDS: usize = 3;
+const MAX_SENDS: usize = 3;
 
 /// How often the hosts that lack an accepted revision are told again.
 const STRAGGLER_ROUNDS: usize = 5;
 
-const STRAGGLER_PAUSE: Duration = Duration::from_millis(100);
+const STRAGGLER_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The most changes that a lost race lists.
 const MAX_CHANGES: usize = 20;
@@ -41,9 +41,9 @@
     #[error(
         "not accepted, nothing changed: the configuration of revision {base} has been changed \
          since{}",
-        list(changes)
+        list_changes(changes)
     )]
-    Lost {
+    Conflict {
         /// What the submit was made against.
         base: Revision,
         /// What changed it since, newest first.
@@ -54,7 +54,7 @@
         "not accepted, nothing changed: there is no revision {base} to make it against, the newest \
          is {newest}"
     )]
-    Ahead {
+    UnknownBase {
         /// What the submit was made against.
         base: Revision,
         /// The newest revision.
@@ -80,13 +80,13 @@
         "revision {revision} holds it, but no majority of the hosts has it in force yet; run the \
          same submit again"
     )]
-    NotTold {
+    NotPropagated {
         /// The revision that holds it.
         revision: Revision,
     },
 }
 
-fn list(changes: &[Entry]) -> String {
+fn list_changes(changes: &[Entry]) -> String {
     let line = |e: &Entry| format!("; revision {} by {} at {}", e.number, e.author, e.at);
     changes.iter().map(line).collect()
 }
@@ -104,19 +104,19 @@
         submit: SubmitId,
         base: Revision,
     ) -> Result<Accepted, SubmitError> {
-        for _ in 0..TRIES {
-            let done = self.chain.submitted(&submit).await.map_err(SubmitError::Platform)?;
-            let before = self.newest().await.map_err(SubmitError::Platform)?;
-            if let Some(number) = done {
-                return self.settle(number).await;
+        for _ in 0..MAX_ATTEMPTS {
+            let submitted = self.chain.submitted(&submit).await.map_err(SubmitError::Platform)?;
+            let before = self.refresh().await.map_err(SubmitError::Platform)?;
+            if let Some(number) = submitted {
+                return self.complete(number).await;
             }
             self.check_base(before.as_deref(), base).await?;
-            self.check_told().await.map_err(SubmitError::NoMajority)?;
+            self.ensure_propagated().await.map_err(SubmitError::NoMajority)?;
             let doc = self.draft_config(before.as_deref(), submit.clone(), author, config.clone());
             let number = doc.number;
-            if self.send(&doc).await? == AppendOutcome::Accepted {
+            if self.append_with_retries(&doc).await? == AppendOutcome::Accepted {
                 self.adopt(doc);
-                return self.settle(number).await;
+                return self.complete(number).await;
             }
         }
         Err(SubmitError::Busy)
@@ -132,7 +132,7 @@
         // A number that was mistyped must not pass for one that is newer than all.
         let number = newest.map(|doc| doc.number).unwrap_or_default();
         if base > number {
-            return Err(SubmitError::Ahead { base, newest: number });
+            return Err(SubmitError::UnknownBase { base, newest: number });
         }
         let Some(newest) = newest.filter(|doc| doc.config_revision > base) else {
             return Ok(());
@@ -144,35 +144,35 @@
             changes.extend(entry.filter(|entry| entry.config_revision == entry.number));
             number = Revision(number.0 - 1);
         }
-        Err(SubmitError::Lost { base, changes })
+        Err(SubmitError::Conflict { base, changes })
     }
 
     /// Moves the chain on; an answer that was lost is asked for again.
-    async fn send(&self, doc: &RevisionDoc) -> Result<AppendOutcome, SubmitError> {
+    async fn append_with_retries(&self, doc: &RevisionDoc) -> Result<AppendOutcome, SubmitError> {
         let mut tries = 0;
         loop {
             tries += 1;
             match self.chain.append(doc).await {
                 Ok(appended) => return Ok(appended),
-                Err(error) if tries == SENDS => return Err(SubmitError::Unknown(error)),
+                Err(error) if tries == MAX_SENDS => return Err(SubmitError::Unknown(error)),
                 Err(_) => {}
             }
         }
     }
 
     /// Tells all hosts of an accepted revision; it is in force when majorities have it.
-    async fn settle(&self, revision: Revision) -> Result<Accepted, SubmitError> {
-        let mut tally = self.tell().await;
+    async fn complete(&self, revision: Revision) -> Result<Accepted, SubmitError> {
+        let mut tally = self.propagate().await;
         if !tally.propagated {
-            return Err(SubmitError::NotTold { revision });
+            return Err(SubmitError::NotPropagated { revision });
         }
         let mut roster = self.roster_ids();
         for _ in 0..STRAGGLER_ROUNDS {
             if tally.in_force.len() == roster.len() {
                 break;
             }
-            monoio::time::sleep(STRAGGLER_PAUSE).await;
-            tally = self.round().await.unwrap_or_default();
+            monoio::time::sleep(STRAGGLER_INTERVAL).await;
+            tally = self.run_round().await.unwrap_or_default();
             roster = self.roster_ids();
         }
         let (in_force, missing) =
@@ -181,6 +181,6 @@
     }
 
     fn roster_ids(&self) -> Vec<HostId> {
-        self.current.get().map(|doc| rounds::ids(&doc.roster)).unwrap_or_default()
+        self.current.get().map(|doc| rounds::host_ids(&doc.roster)).unwrap_or_default()
     }
 }
--- a/components/fleet/tests/limits.rs
+++ b/components/fleet/tests/limits.rs
@@ -45,7 +45,7 @@
     let text = "site = \"s\"\n[[account]]\nid = \"baobab\"\nrate = 1000.0\nburst = 1000.0\n";
     fleet.adopt(RevisionDoc {
         number: Revision(7),
-        submit: fleet::new_submit(),
+        submit: fleet::new_submit_id(),
         author: "operator".into(),
         at: 0,
         config: Some(Config::parse(text).unwrap()),
--- a/components/operator/src/pages/change.rs
+++ b/components/operator/src/pages/change.rs
@@ -44,7 +44,7 @@
         Ok(Self {
             config,
             author: author.unwrap_or_else(|| "operator".parse().expect("a name")),
-            submit: super::setting(request, "submit")?.unwrap_or_else(fleet::new_submit),
+            submit: super::setting(request, "submit")?.unwrap_or_else(fleet::new_submit_id),
             base: super::setting(request, "base")?
                 .unwrap_or_else(|| operator.fleet.current.number()),
             what: what.into(),
@@ -89,7 +89,7 @@
 /// Reads the newest revision, so that what is checked here is not checked against
 /// an older one than the operator has seen through another host.
 async fn look_anew(operator: &Operator) -> Result<(), Reply> {
-    let newest = operator.fleet.newest().await;
+    let newest = operator.fleet.refresh().await;
     newest.map_err(|error| super::refused(SubmitError::Platform(error).to_string()))?;
     Ok(())
 }
@@ -158,7 +158,7 @@
         let mut change = Change::read(operator, request, config, what)?;
         change.base = doc.number;
         match change.send(operator).await {
-            Err(SubmitError::Lost { .. }) if tries < WITHDRAW_TRIES => {}
+            Err(SubmitError::Conflict { .. }) if tries < WITHDRAW_TRIES => {}
             result => return shown(operator, result).await,
         }
     }
@@ -174,10 +174,10 @@
 async fn shown(operator: &Operator, result: Result<AcceptedPage, SubmitError>) -> Shown {
     match result {
         Ok(page) => Ok(Reply::json(StatusCode::OK, &page)),
-        Err(SubmitError::Lost { base, changes }) => {
+        Err(SubmitError::Conflict { base, changes }) => {
             Err(super::refused(lost(operator, base, &changes).await))
         }
-        Err(error @ (SubmitError::Unknown(_) | SubmitError::NotTold { .. })) => {
+        Err(error @ (SubmitError::Unknown(_) | SubmitError::NotPropagated { .. })) => {
             Err(super::unknown(error.to_string()))
         }
         Err(error) => Err(super::refused(error.to_string())),
