--- a/components/fleet/src/condition.rs
+++ b/components/fleet/src/condition.rs
@@ -1,36 +1,37 @@
-//! States that are logged when they begin and when they end, not each time they are seen.
+//! Conditions that are logged when they start and end, not on each check.
 
 use std::{
     cell::Cell,
     time::{Duration, Instant},
 };
 
-/// What a look at a state has shown.
+/// Change of a condition since the previous check.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Transition {
-    /// It has begun.
+    /// The condition started.
     Started,
-    /// It has ended, after this time.
+    /// The condition ended after this duration.
     Ended(Duration),
-    /// It is as it was.
+    /// The condition did not change.
     Unchanged,
 }
 
-/// A state that comes and goes, such as an outage.
+/// A condition that starts and ends repeatedly, such as an outage; contains the start time while
+/// it holds.
 #[derive(Debug, Default)]
 pub struct Condition(Cell<Option<Instant>>);
 
 impl Condition {
-    /// Notes whether the state holds.
+    /// Records whether the condition holds at `now` and returns the change.
     pub fn update(&self, holds: bool, now: Instant) -> Transition {
         match (self.0.get(), holds) {
             (None, true) => {
                 self.0.set(Some(now));
                 Transition::Started
             }
-            (Some(began), false) => {
+            (Some(started), false) => {
                 self.0.set(None);
-                Transition::Ended(now.saturating_duration_since(began))
+                Transition::Ended(now.saturating_duration_since(started))
             }
             _ => Transition::Unchanged,
         }
