--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Keeps this host's revision up to date and shows that it is.
+//! Keeps this host's revision up to date and proves that it is the newest.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,40 +19,41 @@
     limits::Limits,
 };
 
-/// How often the table service is asked for the newest revision.
+/// Interval at which the head of the chain is read from the table service.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How soon it is asked again by a host that is not of the roster yet.
+/// Delay before the next read while this host is not in the roster.
 const JOIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// What a host knows of the fleet.
+/// State of the fleet as seen by this host.
 pub struct Fleet {
     /// This host.
     pub me: Host,
-    /// The revision in force here.
+    /// Revision in force on this host.
     pub current: Rc<Current>,
     /// Links to the other hosts.
     pub mesh: Rc<Mesh>,
-    /// The rates of all accounts.
+    /// Rate limits of all accounts.
     pub limits: Rc<Limits>,
     pub(crate) chain: Chain,
     pub(crate) clock: Rc<dyn Clock>,
-    /// The newest revision known to have been told to majorities.
+    /// Newest revision known to have been propagated to the majorities.
     pub(crate) propagated: Cell<Revision>,
-    /// The newest revision known to be marked as told in the table service.
+    /// Newest revision known to be marked as propagated in the table service.
     pub(crate) marked: Cell<Revision>,
-    /// When each host of the roster was last heard, or first missed.
+    /// Last contact with each other host of both rosters; before the first contact, the time at
+    /// which it was first expected.
     pub(crate) last_contact: RefCell<HashMap<HostId, Instant>>,
-    /// Hosts that are silent and that the platform does not list any more.
+    /// Hosts without recent contact that the platform no longer lists.
     pub(crate) dead: RefCell<Vec<HostId>>,
-    /// Hosts that a majority of the roster has not heard for long.
+    /// Hosts without recent contact to a majority of the roster; they are removed from it.
     pub(crate) unreachable: RefCell<Vec<HostId>>,
-    /// Whether this host leaves the roster for good.
+    /// Whether this host is leaving the roster permanently.
     pub(crate) leaving: Cell<bool>,
 }
 
 impl Fleet {
-    /// A host that knows nothing yet.
+    /// Creates the state of a host that has no revision yet.
     pub fn new(
         me: Host,
         current: Rc<Current>,
@@ -78,24 +79,24 @@
         })
     }
 
-    /// Follows the chain until the process ends.
+    /// Polls the chain until the process ends.
     ///
-    /// The platform and the peers are asked in tasks of their own, so that
-    /// neither a slow platform nor a frozen peer delays the other's answer.
+    /// The platform and the peers are polled in separate tasks, so that a slow platform does not
+    /// delay the answers of peers, nor a frozen peer those of the platform.
     pub async fn run(self: Rc<Self>) {
         monoio::spawn(self.clone().run_rounds());
         monoio::spawn(self.clone().log_freshness());
         let outage = Condition::default();
         loop {
             let result = self.poll_chain().await;
-            let seen = outage.update(result.is_err(), self.clock.now());
-            match (seen, result) {
+            let transition = outage.update(result.is_err(), self.clock.now());
+            match (transition, result) {
                 (Transition::Started, Err(error)) => warn!(
-                    "fleet: the platform cannot be used, so no change is accepted; callers are \
-                     served on: {error:#}."
+                    "fleet: the platform cannot be used; changes are refused, and callers are \
+                     still served: {error:#}."
                 ),
-                (Transition::Ended(time), _) => {
-                    info!("fleet: the platform can be used again after {} s.", time.as_secs())
+                (Transition::Ended(duration), _) => {
+                    info!("fleet: the platform can be used again after {} s.", duration.as_secs())
                 }
                 (_, Err(error)) => debug!("fleet: the platform cannot be used: {error:#}."),
                 _ => {}
@@ -112,12 +113,13 @@
         self.sync_propagated().await
     }
 
-    /// Reads the head of the chain; what is newer is put in force here.
+    /// Reads the head of the chain and puts a newer revision into force on this host; returns the
+    /// revision in force.
     ///
-    /// Guards against an old row: a head older than the revision known here
-    /// proves nothing and must not count as shown freshness.
+    /// Guards against an outdated row: a head older than this host's revision proves nothing and
+    /// must not count as a proof of freshness.
     pub async fn refresh(&self) -> anyhow::Result<Option<Rc<RevisionDoc>>> {
-        let asked = self.clock.now();
+        let sent_at = self.clock.now();
         let head = self.chain.head().await?;
         let number = head.as_ref().map(|head| head.number).unwrap_or_default();
         if number < self.current.number() {
@@ -131,24 +133,24 @@
         {
             self.adopt(self.chain.load(&head).await?);
         }
-        self.current.show(number, asked);
+        self.current.show(number, sent_at);
         Ok(self.current.get())
     }
 
-    /// Puts a revision in force here, unless a newer one is.
+    /// Puts a revision into force on this host, unless it or a newer one already is.
     pub fn adopt(&self, doc: RevisionDoc) {
         let number = doc.number;
         if !self.current.advance(doc) {
             return;
         }
-        info!("fleet: revision {number} is in force here.");
+        info!("fleet: revision {number} is in force on this host.");
         if let Some(doc) = self.current.get() {
             self.mesh.set_roster(&doc.roster, &doc.before);
             self.limits.advance(&doc);
         }
     }
 
-    /// Answers a question of a peer; `None` when it is not about the fleet.
+    /// Answers a peer's request; `None` if it does not concern the fleet.
     pub fn answer(&self, peer: &Hello, question: Question) -> Option<Answer> {
         Some(match question {
             Question::Ping if self.leaving.get() => Answer::Leaving,
@@ -185,12 +187,12 @@
         }
     }
 
-    /// Whether this host is of the roster, under its present address.
+    /// Returns whether the roster contains this host with its present address.
     pub fn is_member(&self) -> bool {
         self.current.get().is_some_and(|doc| doc.roster.contains(&self.me))
     }
 
-    /// The last `n` revisions, newest first.
+    /// Returns the history entries of the last `n` revisions, newest first.
     pub async fn history(&self, n: usize) -> anyhow::Result<Vec<chain::Entry>> {
         let mut number = self.chain.head().await?.map(|head| head.number).unwrap_or_default();
         let mut entries = Vec::new();
@@ -201,14 +203,14 @@
         Ok(entries)
     }
 
-    /// The revision of that number; `None` when there is none.
+    /// Loads the revision with the given number; `None` if there is none.
     pub async fn load(&self, number: Revision) -> anyhow::Result<Option<RevisionDoc>> {
         let Some(entry) = self.chain.entry(number).await? else { return Ok(None) };
         let head = chain::Head { number, object: entry.object };
         self.chain.load(&head).await.map(Some)
     }
 
-    /// The revision after `before`, with the same configuration and roster.
+    /// Returns the successor of `before` with the same configuration and roster.
     pub(crate) fn draft(
         &self,
         before: Option<&RevisionDoc>,
@@ -229,7 +231,7 @@
         }
     }
 
-    /// The revision after `before`, with another configuration.
+    /// Returns the successor of `before` with a new configuration.
     pub(crate) fn draft_config(
         &self,
         before: Option<&RevisionDoc>,
@@ -244,7 +246,7 @@
     }
 }
 
-/// A fresh submit id.
+/// Returns a random submit id.
 pub fn new_submit_id() -> SubmitId {
-    format!("{:016x}", rand::random::<u64>()).parse().expect("hexadecimal digits are a name")
+    format!("{:016x}", rand::random::<u64>()).parse().expect("hexadecimal digits form a valid id")
 }
