--- a/components/fleet/src/freshness.rs
+++ b/components/fleet/src/freshness.rs
@@ -1,4 +1,4 @@
-//! Whether this host serves, as the operator is told in the log.
+//! Logs when this host starts and stops serving.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,11 +9,12 @@
     fleet::Fleet,
 };
 
+/// Interval at which freshness is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Fleet {
-    /// Logs when this host stops and begins to serve, as it can show that its
-    /// revision is the newest.
+    /// Logs when this host stops serving because it cannot prove that its revision is the newest,
+    /// and when it starts again; runs until the process ends.
     pub(crate) async fn log_freshness(self: Rc<Self>) {
         let stale = Condition::default();
         loop {
@@ -21,13 +22,13 @@
             let now = self.clock.now();
             match stale.update(!self.current.is_fresh(now), now) {
                 Transition::Started if self.current.get().is_some() => warn!(
-                    "fleet: this host cannot show that its revision is the newest; it refuses all \
-                     requests until it can."
+                    "fleet: this host cannot prove that its revision is the newest; it refuses \
+                     all requests until it can."
                 ),
-                Transition::Ended(time) => info!(
-                    "fleet: this host can show that its revision is the newest; it serves, after \
-                     {} ms.",
-                    time.as_millis()
+                Transition::Ended(duration) => info!(
+                    "fleet: this host proved that its revision is the newest after {} ms; it \
+                     serves requests.",
+                    duration.as_millis()
                 ),
                 _ => {}
             }
