--- a/components/fleet/src/limits.rs
+++ b/components/fleet/src/limits.rs
@@ -1,13 +1,13 @@
-//! Rate and burst of every account over the whole fleet, without a leader.
+//! Limits the rate and burst of each account over the whole fleet, without a leader.
 //!
-//! Each host holds a part by the revision and borrows from the others on
-//! demand, so it works through an outage of the platform of any length. A host
-//! keeps one bucket an account (224 bytes and its loans), and sends a message
-//! only when its own tokens run out: a question of 70 bytes and an answer of 44.
-//! At 1,800 hosts an account of burst 100 is held by 50 of them; a host without a
-//! part asks one holder for about 200 ms of demand at a time. What breaks first
-//! there is an account spread thinly over all hosts: some 5 questions a second
-//! from each to 50 holders, which sticky balancing avoids.
+//! The revision assigns each host a part, and hosts borrow from each other on demand, so the
+//! limits work through an outage of the platform of any length. A host keeps one bucket per
+//! account (224 bytes and its loans) and sends a message only when its own tokens run out: a
+//! request of 70 bytes, answered with 44. With 1,800 hosts, 50 of them hold a part of an account
+//! with a burst of 100; a host without a part borrows about 200 ms of demand at a time from one
+//! holder. The first bottleneck at that size is an account whose callers are spread thinly over
+//! all hosts: each host then sends about 5 requests per second to the 50 holders. Sticky load
+//! balancing avoids this.
 
 use std::{
     cell::{Cell, RefCell},
@@ -26,26 +26,27 @@
 
 use crate::rounds;
 
-/// How long a lender may take to answer.
+/// Timeout of a loan request.
 const LEND_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The most lenders that are asked for one request.
+/// Maximum number of borrowing rounds for one request.
 const MAX_ROUNDS: usize = 8;
 
-/// When to come back to a host that has no part to say it by.
+/// Retry delay suggested to the caller if the host's part does not determine one.
 const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// One account at this host.
+/// Rate limit of one account on this host.
 struct Account {
     bucket: RefCell<Bucket>,
     lenders: RefCell<Lenders>,
-    /// Held by the one request that borrows; the others wait for what it gets.
+    /// Held by the only request that borrows; the others wait for the tokens that it gets.
     borrow_lock: Mutex<()>,
+    /// Number of requests waiting for tokens.
     waiters: Cell<usize>,
 }
 
-/// Counts a request that waits for tokens, until it is dropped: the request may
-/// end early, when its caller leaves.
+/// Counts a request that waits for tokens until the guard is dropped. The request may end early
+/// if its caller disconnects.
 struct WaitGuard<'a>(&'a Cell<usize>);
 
 impl<'a> WaitGuard<'a> {
@@ -61,7 +62,7 @@
     }
 }
 
-/// The rates of all accounts at this host.
+/// Rate limits of all accounts on this host.
 pub struct Limits {
     current: Rc<Current>,
     mesh: Rc<Mesh>,
@@ -72,7 +73,7 @@
 }
 
 impl Limits {
-    /// A host that may use nothing yet.
+    /// Creates the limits of a host that may not use any tokens yet.
     pub fn new(
         current: Rc<Current>,
         mesh: Rc<Mesh>,
@@ -83,7 +84,7 @@
         Rc::new(Self { current, mesh, clock, metrics, shares, accounts: RefCell::default() })
     }
 
-    /// Takes one token of the account; refused at once when no host has one.
+    /// Takes one token of the account; refuses immediately if no host can lend one.
     pub async fn take(&self, id: &AccountId) -> Result<(), Refusal> {
         let now = self.now();
         let Some(account) = self.accounts.borrow().get(id).cloned() else {
@@ -92,10 +93,10 @@
         if account.bucket.borrow_mut().take(now) {
             return Ok(());
         }
-        let waiters = WaitGuard::new(&account.waiters);
-        let turn = account.borrow_lock.lock().await;
+        let guard = WaitGuard::new(&account.waiters);
+        let lock = account.borrow_lock.lock().await;
         let taken = self.borrow_and_take(id, &account).await;
-        drop((turn, waiters));
+        drop((lock, guard));
         if taken {
             return Ok(());
         }
@@ -105,26 +106,27 @@
 
     async fn borrow_and_take(&self, id: &AccountId, account: &Account) -> bool {
         for _ in 0..MAX_ROUNDS {
-            // Not within the call: it moves parts on, which takes the bucket too.
+            // Not in the argument list: `now` updates the parts, which borrows the bucket too.
             let now = self.now();
             if account.bucket.borrow_mut().take_counted(now) {
                 return true;
             }
             let want = account.bucket.borrow_mut().want(account.waiters.get(), now);
-            let (hosts, share) = self.holders(id);
+            let (hosts, share) = self.reachable_holders(id);
             let chosen = account.lenders.borrow().choose(hosts, share, want, now);
             if chosen.is_empty() {
                 return false;
             }
-            let asked =
-                chosen.into_iter().map(|(host, tokens)| self.ask(id, account, host, tokens));
-            futures_util::future::join_all(asked).await;
+            let loans = chosen
+                .into_iter()
+                .map(|(host, tokens)| self.borrow_from(id, account, host, tokens));
+            futures_util::future::join_all(loans).await;
         }
         let now = self.now();
         account.bucket.borrow_mut().take_counted(now)
     }
 
-    async fn ask(&self, id: &AccountId, account: &Account, host: HostId, tokens: f64) {
+    async fn borrow_from(&self, id: &AccountId, account: &Account, host: HostId, tokens: f64) {
         let (no, over) = account.bucket.borrow_mut().ask(&host, self.clock.now());
         let lend = Lend { account: id.clone(), no, tokens, over };
         let answer = match self.mesh.link(&host) {
@@ -145,10 +147,10 @@
         }
     }
 
-    /// Lends to another host.
+    /// Lends tokens to another host.
     ///
-    /// A host that cannot show freshness lends nothing: by now its part may
-    /// belong to another host.
+    /// A host that cannot prove freshness lends nothing, since its part may have been assigned to
+    /// another host.
     pub(crate) fn lend(&self, borrower: &HostId, lend: &Lend) -> Answer {
         let now = self.now();
         let account = self.accounts.borrow().get(&lend.account).cloned();
@@ -161,12 +163,12 @@
         Answer::Lent { tokens, spare: bucket.spare(now) }
     }
 
-    /// This host made the first revision of all.
+    /// Records that this host created the very first revision.
     pub(crate) fn begin(&self) {
         self.shares.borrow_mut().begin();
     }
 
-    /// A newer revision is in force here.
+    /// Applies a newer revision that was put into force on this host.
     pub(crate) fn advance(&self, doc: &RevisionDoc) {
         let now = self.clock.now();
         let mut shares = self.shares.borrow_mut();
@@ -191,13 +193,13 @@
         }
     }
 
-    /// The revision is known to majorities.
+    /// Records that the revision was propagated to the majorities.
     pub(crate) fn propagated(&self, revision: Revision) {
         self.shares.borrow_mut().acknowledged(revision, self.clock.now());
     }
 
-    /// The time, after parts that grow by then have grown. It changes all
-    /// buckets, so none may be held when it is called.
+    /// Returns the current time, after applying increases of parts that are due. It borrows all
+    /// buckets mutably, so none may be borrowed by the caller.
     fn now(&self) -> Instant {
         let now = self.clock.now();
         let mut shares = self.shares.borrow_mut();
@@ -213,13 +215,13 @@
         }
     }
 
-    /// The other hosts that hold a part and can be reached, and such a part.
-    fn holders(&self, id: &AccountId) -> (Vec<HostId>, Share) {
+    /// Returns the connected hosts that hold a part of the account's rate, and the part of each.
+    fn reachable_holders(&self, id: &AccountId) -> (Vec<HostId>, Share) {
         let shares = self.shares.borrow();
         let Some(newest) = shares.newest() else { return (Vec::new(), Share::NONE) };
-        let up = |host: &&&HostId| self.mesh.link(host).is_some_and(|link| link.is_up());
+        let is_up = |host: &&&HostId| self.mesh.link(host).is_some_and(|link| link.is_up());
         let hosts = newest.holders(id);
-        (hosts.iter().filter(up).map(|host| (*host).clone()).collect(), newest.typical(id))
+        (hosts.iter().filter(is_up).map(|host| (*host).clone()).collect(), newest.typical(id))
     }
 
     fn refusal(&self, id: &AccountId, retry: Duration) -> Refusal {
