--- a/components/fleet/src/roster.rs
+++ b/components/fleet/src/roster.rs
@@ -1,4 +1,4 @@
-//! Who is of the fleet: hosts join, leave and are taken out by new revisions.
+//! Membership of the fleet: hosts join, leave and are removed by new revisions.
 
 use anyhow::Context;
 use bergamottrack_contract::Host;
@@ -9,7 +9,7 @@
 use crate::fleet::{Fleet, new_submit_id};
 
 impl Fleet {
-    /// Brings this host into the roster, and takes hosts out that are gone.
+    /// Adds this host to the roster if it is missing, otherwise removes unreachable hosts.
     pub(crate) async fn update_roster(&self) -> anyhow::Result<()> {
         if self.leaving.get() {
             return Ok(());
@@ -25,39 +25,40 @@
         }
         let unreachable = self.unreachable.borrow().clone();
         if !unreachable.is_empty() {
-            info!("fleet: taking out {unreachable:?}, silent to a majority.");
+            info!("fleet: removing {unreachable:?}, which a majority cannot reach.");
             self.change_roster(|roster| roster.retain(|host| !unreachable.contains(&host.id)))
                 .await?;
         }
         Ok(())
     }
 
-    /// Whether this host takes nothing new and leaves.
+    /// Returns whether this host is leaving and accepts no new work.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    /// Tells the other hosts that this one is to get nothing new.
+    /// Marks this host as leaving; it reports this to other hosts, which send it no new work.
     pub fn begin_leaving(&self) {
         self.leaving.set(true);
     }
 
-    /// Notes which silent hosts the platform does not list any more.
+    /// Determines which hosts without recent contact are no longer listed by the platform.
     ///
-    /// The list must name this host, so that an empty or partial one proves
-    /// nothing; it lags, so a host that it lacks has been gone for a while.
+    /// A list without this host is ignored, since an empty or partial list proves nothing. The
+    /// list lags behind, so a host that is missing from it stopped some time ago.
     pub(crate) async fn update_dead(&self) -> anyhow::Result<()> {
         let mut dead = self.silent_hosts();
         if !dead.is_empty() {
             let list = self.chain.listed().await?;
-            let lists = |host: &HostId| list.iter().any(|machine| *machine.id == *host.as_str());
-            dead.retain(|host| lists(&self.me.id) && !lists(host));
+            let is_listed =
+                |host: &HostId| list.iter().any(|machine| *machine.id == *host.as_str());
+            dead.retain(|host| is_listed(&self.me.id) && !is_listed(host));
         }
         *self.dead.borrow_mut() = dead;
         Ok(())
     }
 
-    /// Takes this host out of the roster for good, before it stops.
+    /// Removes this host from the roster permanently, before it stops.
     pub async fn leave(&self) -> anyhow::Result<()> {
         self.begin_leaving();
         while self.is_member() {
@@ -66,9 +67,9 @@
         Ok(())
     }
 
-    /// Moves the chain on to a revision with another roster.
+    /// Appends a revision with an edited roster to the chain.
     ///
-    /// Losing the race to another change is no error: the caller looks again.
+    /// A conflict with another change is not an error; the caller checks again.
     async fn change_roster(&self, edit: impl Fn(&mut Vec<Host>)) -> anyhow::Result<()> {
         let before = self.refresh().await?;
         self.ensure_propagated().await?;
@@ -88,10 +89,10 @@
         Ok(())
     }
 
-    /// Makes sure that the revision in force here was told to majorities.
+    /// Ensures that the revision in force on this host was propagated to the majorities.
     ///
-    /// No step is made from one that was not: a host two steps behind asks the
-    /// roster of its own revision only, and must hear of the first step there.
+    /// Only such a revision may get a successor: a host that is two revisions behind asks only the
+    /// roster of its own revision, and must learn of the first successor there.
     pub(crate) async fn ensure_propagated(&self) -> anyhow::Result<()> {
         let number = self.current.number();
         if self.propagated.get() >= number || self.propagate().await.propagated {
