--- a/components/fleet/src/rounds.rs
+++ b/components/fleet/src/rounds.rs
@@ -1,13 +1,13 @@
-//! Asks the other hosts whether a newer revision is known, and tells them this one.
+//! Polls the other hosts for newer revisions and propagates the revision of this host.
 //!
-//! Each host asks each other host once a second: a question of 17 bytes and an
-//! answer of 58, before framing. That is meant for some tens of hosts; with 1,800
-//! it would be 135 KB a second and host. There the roster would name a panel of
-//! some 20 hosts over all failure domains, who vouch by majority and are told;
-//! the others would stand below them in a tree and take over their parent's proof
-//! with its age (asked, less the parent's age). At a fan-out of 16 a host then
-//! sends one question and 16 answers a second, about 1 KB. What is shown and how
-//! long it lasts stays as it is; only whom a host asks would change.
+//! Each host polls each other host once per second: a request of 17 bytes and an answer of 58,
+//! before framing. This is designed for some tens of hosts; with 1,800 it would be 135 KB per
+//! second and host. At that size the roster would name a panel of about 20 hosts over all failure
+//! domains, whose majority votes and receives revisions. The others would form a tree below the
+//! panel and adopt the proof of their parent with its age (the time of the request minus the
+//! parent's age). With a fan-out of 16 a host then sends one request and 16 answers per second,
+//! about 1 KB. The proof and its validity would stay the same; only the hosts that are polled
+//! would change.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,25 +22,26 @@
 
 use crate::fleet::Fleet;
 
-/// How often the other hosts are asked.
+/// Interval at which the other hosts are polled.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How soon they are asked again while something is not settled.
+/// Delay before the next round while freshness is not proven or propagation is not complete.
 const ROUND_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a host may take to answer.
+/// Timeout of a request to another host.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long the telling of a revision is tried before it is given up.
+/// Timeout of the propagation of a revision to the majorities.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a host must have been silent to be taken out of the roster.
+/// Time without contact after which a host is removed from the roster.
 ///
-/// Far above a restart or a stall: taking a host out moves its share of the
-/// rates to others, and it must wait for its share when it comes back.
+/// Far longer than a restart or a stall: the removal of a host moves its share of the rates to
+/// others, and after its return it must wait for its share.
 const REMOVAL_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Fleet {
+    /// Polls the other hosts until the process ends.
     pub(crate) async fn run_rounds(self: Rc<Self>) {
         loop {
             let tally = self.run_round().await;
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Asks all hosts of the roster, and of the one before, once.
+    /// Polls all hosts of the roster and of the previous roster once and evaluates their votes.
     ///
-    /// `None` before any revision is known.
+    /// Returns `None` before the first revision is known.
     pub(crate) async fn run_round(&self) -> Option<Tally> {
         let doc = self.current.get()?;
-        let asked = self.clock.now();
+        let sent_at = self.clock.now();
         let others = voters(&doc).into_iter().filter(|host| *host != self.me.id);
         let votes = others.map(|host| self.request_vote(host, &doc));
         let answers = future::join_all(votes).await;
@@ -70,7 +71,7 @@
             &answers,
         );
         if tally.newest {
-            self.current.show(doc.number, asked);
+            self.current.show(doc.number, sent_at);
         }
         self.record_propagation(&doc, &tally, &answers);
         self.update_unreachable(&doc, &answers);
@@ -80,7 +81,7 @@
         Some(tally)
     }
 
-    /// Asks one host; one that is behind is told the revision.
+    /// Requests the vote of one host, and sends the revision to a host with an older one.
     async fn request_vote(
         &self,
         host: HostId,
@@ -104,7 +105,7 @@
         match link.ask(Question::Revision, ANSWER_TIMEOUT).await {
             Ok(Answer::Revision(Some(doc))) => self.adopt(*doc),
             Ok(_) => {}
-            Err(error) => debug!("fleet: revision {number} was not fetched: {error:#}."),
+            Err(error) => debug!("fleet: revision {number} could not be fetched: {error:#}."),
         }
     }
 
@@ -122,12 +123,13 @@
     fn raise_propagated(&self, propagated: Revision) {
         if propagated > self.propagated.get() {
             self.propagated.set(propagated);
-            info!("fleet: revision {propagated} is known to a majority.");
+            info!("fleet: revision {propagated} was propagated to a majority.");
         }
         self.limits.propagated(self.propagated.get());
     }
 
-    /// Marks what was told in the table service, or learns it from there.
+    /// Marks the newest propagated revision in the table service, or reads the mark from there
+    /// while this host's revision is not known to be propagated.
     pub(crate) async fn sync_propagated(&self) -> anyhow::Result<()> {
         let propagated = self.propagated.get();
         if propagated < self.current.number() {
@@ -156,7 +158,8 @@
         }
     }
 
-    /// Hosts of the roster that this host has not heard for long.
+    /// Returns the hosts of both rosters with which this host had no contact for
+    /// [`REMOVAL_TIMEOUT`].
     pub(crate) fn silent_hosts(&self) -> Vec<HostId> {
         let now = self.clock.now();
         let last_contact = self.last_contact.borrow();
@@ -164,33 +167,35 @@
         silent.map(|(id, _)| id.clone()).collect()
     }
 
-    /// A host is gone when a majority of the roster has not heard it for long:
-    /// a link that is broken between two hosts only takes out neither.
+    /// Determines the hosts without recent contact to a majority of the roster. A broken link
+    /// between only two hosts removes neither of them.
     fn update_unreachable(&self, doc: &RevisionDoc, answers: &[(HostId, FreshnessVote)]) {
         let dead = self.dead.borrow();
         let roster = host_ids(&doc.roster);
         let alive: Vec<_> = roster.iter().filter(|host| !dead.contains(host)).cloned().collect();
-        let misses = |host: &HostId, by: &HostId| {
+        let cannot_reach = |host: &HostId, by: &HostId| {
             answers.iter().any(|(id, vote)| id == by && vote.unreachable.contains(host))
         };
-        let unreachable =
-            roster.iter().filter(|host| freshness::has_majority(&alive, |by| misses(host, by)));
+        let unreachable = roster
+            .iter()
+            .filter(|host| freshness::has_majority(&alive, |by| cannot_reach(host, by)));
         *self.unreachable.borrow_mut() = unreachable.cloned().collect();
     }
 
-    /// Tells all hosts the revision in force here until majorities have it.
+    /// Sends the revision in force on this host to all hosts until majorities have it, for at most
+    /// [`PROPAGATION_TIMEOUT`].
     ///
-    /// The tally of the last round; its `propagated` says whether that was reached.
+    /// Returns the tally of the last round, with `propagated` set if majorities have it.
     pub(crate) async fn propagate(&self) -> Tally {
-        let until = self.clock.now() + PROPAGATION_TIMEOUT;
+        let deadline = self.clock.now() + PROPAGATION_TIMEOUT;
         loop {
             let tally = self.run_round().await.unwrap_or_default();
             let number = self.current.number();
             if self.propagated.get() >= number {
                 return Tally { propagated: true, ..tally };
             }
-            if self.clock.now() >= until {
-                warn!("fleet: revision {number} could not be told to a majority.");
+            if self.clock.now() >= deadline {
+                warn!("fleet: revision {number} could not be propagated to a majority.");
                 return tally;
             }
             monoio::time::sleep(ROUND_RETRY_DELAY).await;
@@ -198,7 +203,7 @@
     }
 }
 
-/// The hosts whose word counts for a revision.
+/// Returns the hosts whose votes count for a revision: those of its roster and of the previous one.
 fn voters(doc: &RevisionDoc) -> Vec<HostId> {
     let mut ids = host_ids(&doc.roster);
     let before = doc.before.iter().filter(|host| doc.host(&host.id).is_none());
@@ -206,6 +211,7 @@
     ids
 }
 
+/// Returns the ids of the hosts.
 pub(crate) fn host_ids(hosts: &[bergamottrack_contract::Host]) -> Vec<HostId> {
     hosts.iter().map(|host| host.id.clone()).collect()
 }
