--- a/components/fleet/src/submit.rs
+++ b/components/fleet/src/submit.rs
@@ -1,4 +1,4 @@
-//! An operator's change of the configuration.
+//! Submission of configuration changes by operators.
 
 use std::time::Duration;
 
@@ -8,56 +8,57 @@
 
 use crate::{fleet::Fleet, rounds};
 
-/// How often a submit is tried against roster changes that come between.
+/// Maximum number of attempts to append a submit while roster changes conflict with it.
 const MAX_ATTEMPTS: usize = 10;
 
-/// How often a change whose answer was lost is sent again.
+/// Maximum number of times that a change is sent if the answer is lost.
 const MAX_SENDS: usize = 3;
 
-/// How often the hosts that lack an accepted revision are told again.
+/// Maximum number of further rounds for hosts that lack an accepted revision.
 const STRAGGLER_ROUNDS: usize = 5;
 
+/// Interval between these rounds.
 const STRAGGLER_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The most changes that a lost race lists.
+/// Maximum number of changes listed in a conflict.
 const MAX_CHANGES: usize = 20;
 
-/// A submit that was accepted.
+/// An accepted submit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Accepted {
-    /// The revision that holds the configuration.
+    /// Revision that contains the configuration.
     pub revision: Revision,
-    /// The hosts that have it, or a newer one, in force.
+    /// Hosts that have this revision or a newer one in force.
     pub in_force: Vec<HostId>,
-    /// The hosts that do not have it yet; they serve nobody, or will within
-    /// `fresh_ms`, until they have it.
+    /// Hosts that do not have it yet; within `fresh_ms` at the latest they refuse all requests
+    /// until they have it.
     pub missing: Vec<HostId>,
 }
 
-/// Why a submit was not accepted, or is not known to be.
+/// Reason why a submit was not accepted or its outcome is unknown.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmitError {
-    /// The configuration changed since the operator looked.
+    /// The configuration changed after the base revision.
     #[error(
         "not accepted, nothing changed: the configuration of revision {base} has been changed \
          since{}",
         list_changes(changes)
     )]
     Conflict {
-        /// What the submit was made against.
+        /// Base revision of the submit.
         base: Revision,
-        /// What changed it since, newest first.
+        /// Changes since the base revision, newest first.
         changes: Vec<Entry>,
     },
-    /// The revision that it names does not exist.
+    /// The base revision does not exist.
     #[error(
         "not accepted, nothing changed: there is no revision {base} to make it against, the newest \
          is {newest}"
     )]
     UnknownBase {
-        /// What the submit was made against.
+        /// Base revision of the submit.
         base: Revision,
-        /// The newest revision.
+        /// Newest revision.
         newest: Revision,
     },
     /// The platform could not be read, so nothing was sent to it.
@@ -66,22 +67,22 @@
          earlier run of the same submit ended unknown, run it again later"
     )]
     Platform(anyhow::Error),
-    /// The revision in force was not told to a majority, so none may follow it.
+    /// The revision in force was not propagated to a majority, so it may not get a successor.
     #[error("not accepted, this run changed nothing: {0:#}")]
     NoMajority(anyhow::Error),
-    /// Other changes came first again and again.
+    /// Every attempt conflicted with another change.
     #[error("not accepted, nothing changed: other changes came first; run the same submit again")]
     Busy,
-    /// The change was sent and no answer came.
+    /// The change was sent, but the answer was lost.
     #[error("not yet known whether it was accepted; run the same submit again: {0:#}")]
     Unknown(anyhow::Error),
-    /// The chain has it, but no majority of the hosts does.
+    /// The change is in the chain, but was not propagated to a majority of the hosts.
     #[error(
         "revision {revision} holds it, but no majority of the hosts has it in force yet; run the \
          same submit again"
     )]
     NotPropagated {
-        /// The revision that holds it.
+        /// Revision that contains the change.
         revision: Revision,
     },
 }
@@ -92,11 +93,10 @@
 }
 
 impl Fleet {
-    /// Accepts a configuration made against the revision `base`.
+    /// Submits a configuration that is based on the revision `base`.
     ///
-    /// Changes of the roster since `base` are no conflict, changes of the
-    /// configuration are. The same submit id is accepted at most once: run
-    /// again, it says truthfully whether it was.
+    /// Changes of the configuration since `base` are a conflict, changes of the roster are not. A
+    /// submit id is accepted at most once; if repeated, the result states whether it was accepted.
     pub async fn submit(
         &self,
         config: Config,
@@ -122,14 +122,14 @@
         Err(SubmitError::Busy)
     }
 
-    /// Refuses a submit whose base is not the configuration in force: it would
-    /// undo the other operator's change without a word.
+    /// Refuses a submit that is not based on the configuration in force: it would silently undo
+    /// another operator's change.
     async fn check_base(
         &self,
         newest: Option<&RevisionDoc>,
         base: Revision,
     ) -> Result<(), SubmitError> {
-        // A number that was mistyped must not pass for one that is newer than all.
+        // A mistyped number must not count as newer than all revisions.
         let number = newest.map(|doc| doc.number).unwrap_or_default();
         if base > number {
             return Err(SubmitError::UnknownBase { base, newest: number });
@@ -147,20 +147,20 @@
         Err(SubmitError::Conflict { base, changes })
     }
 
-    /// Moves the chain on; an answer that was lost is asked for again.
+    /// Appends a revision to the chain, and sends it again if the answer is lost.
     async fn append_with_retries(&self, doc: &RevisionDoc) -> Result<AppendOutcome, SubmitError> {
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             match self.chain.append(doc).await {
                 Ok(appended) => return Ok(appended),
-                Err(error) if tries == MAX_SENDS => return Err(SubmitError::Unknown(error)),
+                Err(error) if attempts == MAX_SENDS => return Err(SubmitError::Unknown(error)),
                 Err(_) => {}
             }
         }
     }
 
-    /// Tells all hosts of an accepted revision; it is in force when majorities have it.
+    /// Propagates an accepted revision to all hosts; it is in force once majorities have it.
     async fn complete(&self, revision: Revision) -> Result<Accepted, SubmitError> {
         let mut tally = self.propagate().await;
         if !tally.propagated {
