--- a/components/fleet/tests/limits.rs
+++ b/components/fleet/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Rates at one host.
+//! Rate limits on one host.
 
 use std::{
     cell::Cell,
@@ -14,16 +14,16 @@
 use bergamottrack_peer::Mesh;
 use bergamottrack_platform::{Chain, Platform};
 
-/// More than a host waits before it uses its part.
-const LONG: Duration = Duration::from_secs(30);
+/// Longer than the wait after which a host may use its part.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A clock that moves on each time it is read.
-struct RestlessClock {
+/// Clock that advances by `step` on each read.
+struct SteppingClock {
     now: Cell<Instant>,
     step: Duration,
 }
 
-impl Clock for RestlessClock {
+impl Clock for SteppingClock {
     fn now(&self) -> Instant {
         self.now.set(self.now.get() + self.step);
         self.now.get()
@@ -34,8 +34,8 @@
     }
 }
 
-/// A host alone that cannot reach the platform, and has restarted.
-fn restarted(clock: Rc<RestlessClock>) -> Rc<Fleet> {
+/// Creates a restarted host that is alone in its roster and cannot reach the platform.
+fn restarted_host(clock: Rc<SteppingClock>) -> Rc<Fleet> {
     let nowhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let me = Host { id: "h1".parse().unwrap(), domain: "d1".parse().unwrap(), peer: nowhere };
     let mesh = Mesh::new(me.clone(), Secret::new(b"s"), clock.clone(), Routes::default());
@@ -56,24 +56,24 @@
     fleet
 }
 
-/// A host restarts and refuses requests until it may use its part. The moment
-/// comes while a request is being answered: the host must serve it, or the
-/// next. It used to end there, with all its callers, because the bucket was
-/// held by the request when its part changed.
+/// Guards against a crash of the host, with all its callers: a restarted host refuses requests
+/// until it may use its part, and that time may come while it handles a request. The host must
+/// serve this request or the next. It crashed when the request still borrowed the bucket while
+/// its part changed.
 #[monoio::test(driver = "legacy", enable_timer = true)]
-async fn a_part_may_grow_in_the_middle_of_a_request() {
+async fn part_that_grows_during_a_request_is_used() {
     for step in 1..40 {
         let step = Duration::from_millis(step);
-        let clock = Rc::new(RestlessClock { now: Cell::new(Instant::now()), step });
-        let fleet = restarted(clock.clone());
+        let clock = Rc::new(SteppingClock { now: Cell::new(Instant::now()), step });
+        let fleet = restarted_host(clock.clone());
         monoio::spawn(fleet.clone().run());
-        let until = clock.now() + LONG;
+        let deadline = clock.now() + TIMEOUT;
         let account = "baobab".parse().unwrap();
         let mut served = false;
-        while !served && clock.now() < until {
+        while !served && clock.now() < deadline {
             served = fleet.limits.take(&account).await.is_ok();
             monoio::time::sleep(Duration::from_micros(10)).await;
         }
-        assert!(served, "nothing was served with a clock of {step:?}");
+        assert!(served, "no request was served with a clock step of {step:?}");
     }
 }
