--- a/components/fleet/src/submit.rs
+++ b/components/fleet/src/submit.rs
@@ -15,7 +15,7 @@
 const MAX_SENDS: usize = 3;
 
 /// Maximum number of further rounds for hosts that lack an accepted revision.
-const STRAGGLER_ROUNDS: usize = 5;
+const MAX_STRAGGLER_ROUNDS: usize = 5;
 
 /// Interval between these rounds.
 const STRAGGLER_INTERVAL: Duration = Duration::from_millis(100);
@@ -167,7 +167,7 @@
             return Err(SubmitError::NotPropagated { revision });
         }
         let mut roster = self.roster_ids();
-        for _ in 0..STRAGGLER_ROUNDS {
+        for _ in 0..MAX_STRAGGLER_ROUNDS {
             if tally.in_force.len() == roster.len() {
                 break;
             }
