--- a/components/contract/src/config.rs
+++ b/components/contract/src/config.rs
@@ -77,17 +77,17 @@
 }
 
 /// Slots of a server of which nothing else is said.
-pub const SLOTS: u16 = 5;
+pub const DEFAULT_SLOTS: u16 = 5;
 
 /// Connections of a server of which nothing else is said.
-pub const CONNECTIONS: u16 = 35;
+pub const DEFAULT_CONNECTIONS: u16 = 35;
 
 fn default_slots() -> u16 {
-    SLOTS
+    DEFAULT_SLOTS
 }
 
 fn default_connections() -> u16 {
-    CONNECTIONS
+    DEFAULT_CONNECTIONS
 }
 
 /// A client account.
--- a/components/contract/src/diff.rs
+++ b/components/contract/src/diff.rs
@@ -33,8 +33,8 @@
 
 /// What differs, in order of place. What one of them lacks whole is one change.
 pub fn diff(before: Option<&Config>, after: &Config) -> Vec<Change> {
-    let before = before.map(things).unwrap_or_default();
-    let after = things(after);
+    let before = before.map(objects).unwrap_or_default();
+    let after = objects(after);
     let places: BTreeSet<_> = before.keys().chain(after.keys()).collect();
     let mut changes = Vec::new();
     for place in places {
@@ -42,8 +42,8 @@
             (Some(before), Some(after)) => changes.extend(compare(place, before, after)),
             (before, after) => changes.push(Change {
                 place: place.clone(),
-                before: before.map(whole),
-                after: after.map(whole),
+                before: before.map(summary),
+                after: after.map(summary),
             }),
         }
     }
@@ -51,9 +51,9 @@
 }
 
 /// The fields that differ; both things have the same ones.
-fn compare(place: &str, before: &Thing, after: &Thing) -> Vec<Change> {
+fn compare(place: &str, before: &Object, after: &Object) -> Vec<Change> {
     let pairs = before.iter().zip(after).filter(|(before, after)| before.value != after.value);
-    let change = |(before, after): (&Fact, &Fact)| Change {
+    let change = |(before, after): (&Property, &Property)| Change {
         place: format!("{place}, {}", before.name).into(),
         before: Some(before.value.clone()),
         after: Some(after.value.clone()),
@@ -61,13 +61,13 @@
     pairs.map(change).collect()
 }
 
-fn whole(thing: &Thing) -> Box<str> {
-    let facts = thing.iter().map(|fact| format!("{} {}", fact.name, fact.value));
-    facts.collect::<Vec<_>>().join(", ").into()
+fn summary(object: &Object) -> Box<str> {
+    let properties = object.iter().map(|property| format!("{} {}", property.name, property.value));
+    properties.collect::<Vec<_>>().join(", ").into()
 }
 
 /// The keys that `before` withdrew and `after` would let work again.
-pub fn restored<'a>(before: &'a Config, after: &Config) -> Vec<(&'a ClientAccount, &'a Key)> {
+pub fn restored_keys<'a>(before: &'a Config, after: &Config) -> Vec<(&'a ClientAccount, &'a Key)> {
     let withdrawn = before.accounts.iter().flat_map(|account| {
         account.keys.iter().filter(|key| key.withdrawn).map(move |key| (account, key))
     });
@@ -79,58 +79,62 @@
 }
 
 /// A field as a person reads it.
-struct Fact {
+struct Property {
     name: Box<str>,
     value: Box<str>,
 }
 
 /// A thing's fields; those of the same kind have the same ones.
-type Thing = Vec<Fact>;
+type Object = Vec<Property>;
 
-fn fact(name: &str, value: impl fmt::Display) -> Fact {
-    Fact { name: name.into(), value: value.to_string().into() }
+fn property(name: &str, value: impl fmt::Display) -> Property {
+    Property { name: name.into(), value: value.to_string().into() }
 }
 
 /// All things by what they are called.
-fn things(config: &Config) -> BTreeMap<Box<str>, Thing> {
-    let mut things = BTreeMap::new();
-    things.insert("site".into(), vec![fact("name", &config.site)]);
-    things.insert("policy".into(), policy(config));
+fn objects(config: &Config) -> BTreeMap<Box<str>, Object> {
+    let mut objects = BTreeMap::new();
+    objects.insert("site".into(), vec![property("name", &config.site)]);
+    objects.insert("policy".into(), policy(config));
     for group in &config.groups {
         let servers = group.servers.iter();
-        things.extend(
+        objects.extend(
             servers.map(|s| (format!("group {}, server {}", group.id, s.id).into(), server(s))),
         );
     }
     for account in &config.accounts {
         let place = format!("account {}", account.id);
         let keys = account.keys.iter();
-        things.extend(keys.map(|k| (format!("{place}, key {}", k.id).into(), key(k))));
-        things.insert(place.into(), contract(account));
+        objects.extend(keys.map(|k| (format!("{place}, key {}", k.id).into(), key(k))));
+        objects.insert(place.into(), contract(account));
     }
-    things
+    objects
 }
 
-fn policy(config: &Config) -> Thing {
+fn policy(config: &Config) -> Object {
     let policy = serde_json::to_value(&config.policy).unwrap_or_default();
-    policy.as_object().into_iter().flatten().map(|(name, value)| fact(name, value)).collect()
+    policy.as_object().into_iter().flatten().map(|(name, value)| property(name, value)).collect()
 }
 
-fn server(server: &BackendServer) -> Thing {
+fn server(server: &BackendServer) -> Object {
     vec![
-        fact("address", server.address),
-        fact("domain", &server.domain),
-        fact("slots", server.slots),
-        fact("connections", server.connections),
-        fact("leaving", server.leaving),
+        property("address", server.address),
+        property("domain", &server.domain),
+        property("slots", server.slots),
+        property("connections", server.connections),
+        property("leaving", server.leaving),
     ]
 }
 
-fn contract(account: &ClientAccount) -> Thing {
-    vec![fact("rate", account.rate), fact("burst", account.burst), fact("weight", account.weight)]
+fn contract(account: &ClientAccount) -> Object {
+    vec![
+        property("rate", account.rate),
+        property("burst", account.burst),
+        property("weight", account.weight),
+    ]
 }
 
-fn key(key: &Key) -> Thing {
+fn key(key: &Key) -> Object {
     let standing = if key.withdrawn { "withdrawn" } else { "stands" };
-    vec![fact("standing", standing), fact("verifier", key.verifier.mark())]
+    vec![property("standing", standing), property("verifier", key.verifier.fingerprint())]
 }
--- a/components/contract/src/fault.rs
+++ b/components/contract/src/fault.rs
@@ -10,17 +10,17 @@
     /// Where it was written.
     pub origin: Origin,
     /// What it belongs to, such as `account baobab, rate`.
-    pub place: Box<str>,
+    pub path: Box<str>,
     /// What was given; never a key or a verifier.
-    pub given: Box<str>,
+    pub found: Box<str>,
     /// What is wanted.
-    pub wanted: Box<str>,
+    pub expected: Box<str>,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { origin, place, given, wanted } = self;
-        write!(f, "{origin}: {place}: given {given}, wanted {wanted}")
+        let Self { origin, path, found, expected } = self;
+        write!(f, "{origin}: {path}: given {found}, wanted {expected}")
     }
 }
 
--- a/components/contract/src/merge.rs
+++ b/components/contract/src/merge.rs
@@ -17,36 +17,36 @@
 /// The base with the overlay laid over it.
 pub fn merge(base: &Node, overlay: &Node) -> Result<Node, Faults> {
     let mut faults = Faults::default();
-    let merged = lay("", base, overlay, &mut faults);
+    let merged = merge_node("", base, overlay, &mut faults);
     if faults.0.is_empty() { Ok(merged) } else { Err(faults) }
 }
 
-fn lay(place: &str, base: &Node, overlay: &Node, faults: &mut Faults) -> Node {
+fn merge_node(path: &str, base: &Node, overlay: &Node, faults: &mut Faults) -> Node {
     let data = match (&base.data, &overlay.data) {
         (Data::Table(entries), Data::Table(_)) => {
-            Data::Table(lay_table(place, entries, overlay, faults))
+            Data::Table(merge_table(path, entries, overlay, faults))
         }
-        (Data::List(items), Data::List(over)) => Data::List(lay_list(place, items, over, faults)),
+        (Data::List(items), Data::List(over)) => Data::List(merge_list(path, items, over, faults)),
         _ => return overlay.clone(),
     };
     Node { origin: base.origin.clone(), data }
 }
 
-fn lay_table(
-    place: &str,
+fn merge_table(
+    path: &str,
     base: &[(Box<str>, Node)],
     overlay: &Node,
     faults: &mut Faults,
 ) -> Vec<(Box<str>, Node)> {
     let mut merged: Vec<_> = base.to_vec();
     for (name, over) in overlay.entries() {
-        let below = if place.is_empty() { name.to_string() } else { format!("{place}, {name}") };
+        let below = if path.is_empty() { name.to_string() } else { format!("{path}, {name}") };
         match merged.iter_mut().find(|(known, _)| known == name) {
-            Some((_, node)) => *node = lay(&below, node, over, faults),
+            Some((_, node)) => *node = merge_node(&below, node, over, faults),
             // All that a list lacks in the base is new.
             None if matches!(over.data, Data::List(_)) => {
                 let empty = Node { origin: over.origin.clone(), data: Data::List(Vec::new()) };
-                merged.push((name.clone(), lay(&below, &empty, over, faults)));
+                merged.push((name.clone(), merge_node(&below, &empty, over, faults)));
             }
             None => merged.push((name.clone(), over.clone())),
         }
@@ -54,15 +54,15 @@
     merged
 }
 
-fn lay_list(place: &str, base: &[Node], overlay: &[Node], faults: &mut Faults) -> Vec<Node> {
+fn merge_list(path: &str, base: &[Node], overlay: &[Node], faults: &mut Faults) -> Vec<Node> {
     let mut merged = base.to_vec();
     for (i, over) in overlay.iter().enumerate() {
         let id = over.id().unwrap_or_default();
-        let below = format!("{place} {id}");
-        let mut fault = |given: String, wanted: &str| {
+        let below = format!("{path} {id}");
+        let mut fault = |found: String, expected: &str| {
             let origin = over.origin.clone();
-            let place = below.as_str().into();
-            faults.0.push(Fault { origin, place, given: given.into(), wanted: wanted.into() });
+            let path = below.as_str().into();
+            faults.0.push(Fault { origin, path, found: found.into(), expected: expected.into() });
         };
         if let Some(first) = overlay[..i].iter().find(|other| other.id() == over.id()) {
             fault(format!("it again after {}", first.origin), "each id once in an overlay");
@@ -74,8 +74,8 @@
             Some(node) if is_new => {
                 fault(format!("{NEW} = true"), &format!("none, for {} has it", node.origin));
             }
-            Some(node) => *node = lay(&below, node, over, faults),
-            None if is_new => merged.push(without_mark(over)),
+            Some(node) => *node = merge_node(&below, node, over, faults),
+            None if is_new => merged.push(strip_new(over)),
             None => fault(
                 format!("the id {id:?}"),
                 &format!("an id that the base has, or {NEW} = true"),
@@ -91,16 +91,16 @@
 }
 
 /// A new item as the merged text has it: all that it holds is new with it.
-fn without_mark(node: &Node) -> Node {
+fn strip_new(node: &Node) -> Node {
     let data = match &node.data {
         Data::Table(entries) => Data::Table(
             entries
                 .iter()
                 .filter(|(name, _)| &**name != NEW)
-                .map(|(name, node)| (name.clone(), without_mark(node)))
+                .map(|(name, node)| (name.clone(), strip_new(node)))
                 .collect(),
         ),
-        Data::List(items) => Data::List(items.iter().map(without_mark).collect()),
+        Data::List(items) => Data::List(items.iter().map(strip_new).collect()),
         Data::Value(value) => Data::Value(value.clone()),
     };
     Node { origin: node.origin.clone(), data }
--- a/components/contract/src/revision.rs
+++ b/components/contract/src/revision.rs
@@ -91,13 +91,13 @@
         true
     }
 
-    /// Notes that nothing newer than `newest` had been accepted at `asked`.
-    pub fn show(&self, newest: Revision, asked: Instant) {
-        self.freshness.borrow_mut().confirm(newest, asked);
+    /// Notes that nothing newer than `newest` had been accepted at `sent_at`.
+    pub fn confirm(&self, newest: Revision, sent_at: Instant) {
+        self.freshness.borrow_mut().confirm(newest, sent_at);
     }
 
     /// Whether this host may vouch for others.
-    pub fn vouches(&self) -> bool {
+    pub fn may_vote(&self) -> bool {
         self.freshness.borrow().may_vote()
     }
 
--- a/components/contract/src/schema.rs
+++ b/components/contract/src/schema.rs
@@ -33,7 +33,7 @@
 
 impl Kind {
     /// What is wanted, for a person.
-    pub fn wanted(self) -> &'static str {
+    pub fn expected(self) -> &'static str {
         match self {
             Self::Text => "a text",
             Self::Name => "a name of letters, digits, '-', '_' and ':'",
@@ -107,7 +107,7 @@
     /// What it holds.
     pub kind: Kind,
     /// Whether it must be there.
-    pub needed: bool,
+    pub required: bool,
 }
 
 /// What a table may hold.
@@ -127,40 +127,42 @@
 pub fn site() -> Shape {
     Shape {
         name: "",
-        fields: vec![needed("site", Kind::Name)],
+        fields: vec![required("site", Kind::Name)],
         lists: vec![group(), account()],
         tables: vec![policy()],
     }
 }
 
 fn group() -> Shape {
-    let server = listed(
+    let server = list_item(
         "server",
         vec![
-            needed("address", Kind::Address),
-            needed("domain", Kind::Name),
+            required("address", Kind::Address),
+            required("domain", Kind::Name),
             optional("slots", Kind::Count),
             optional("connections", Kind::Count),
             optional("leaving", Kind::Flag),
         ],
     );
-    Shape { lists: vec![server], ..listed("group", Vec::new()) }
+    Shape { lists: vec![server], ..list_item("group", Vec::new()) }
 }
 
 fn account() -> Shape {
-    let key =
-        listed("key", vec![needed("verifier", Kind::Verifier), optional("withdrawn", Kind::Flag)]);
+    let key = list_item(
+        "key",
+        vec![required("verifier", Kind::Verifier), optional("withdrawn", Kind::Flag)],
+    );
     let fields = vec![
-        needed("rate", Kind::Rate),
-        needed("burst", Kind::Burst),
+        required("rate", Kind::Rate),
+        required("burst", Kind::Burst),
         optional("weight", Kind::Count),
     ];
-    Shape { lists: vec![key], ..listed("account", fields) }
+    Shape { lists: vec![key], ..list_item("account", fields) }
 }
 
 /// A table of a list: it has an id and `fields`.
-fn listed(name: &'static str, mut fields: Vec<Field>) -> Shape {
-    fields.insert(0, needed("id", Kind::Name));
+fn list_item(name: &'static str, mut fields: Vec<Field>) -> Shape {
+    fields.insert(0, required("id", Kind::Name));
     Shape { name, fields, ..Shape::default() }
 }
 
@@ -179,10 +181,10 @@
     Shape { name: "policy", fields: fields.unwrap_or_default(), ..Shape::default() }
 }
 
-fn needed(name: &str, kind: Kind) -> Field {
-    Field { name: name.into(), kind, needed: true }
+fn required(name: &str, kind: Kind) -> Field {
+    Field { name: name.into(), kind, required: true }
 }
 
 fn optional(name: &str, kind: Kind) -> Field {
-    Field { name: name.into(), kind, needed: false }
+    Field { name: name.into(), kind, required: false }
 }
--- a/components/contract/src/show.rs
+++ b/components/contract/src/show.rs
@@ -5,10 +5,10 @@
 use crate::source::{Data, Node};
 
 /// Column at which origins begin.
-const COLUMN: usize = 44;
+const ORIGIN_COLUMN: usize = 44;
 
 /// The text of a configuration; each value is followed by its file and line.
-pub fn show(node: &Node) -> String {
+pub fn with_origins(node: &Node) -> String {
     let mut out = String::new();
     table(&mut out, "", node, true);
     out
@@ -46,7 +46,7 @@
 }
 
 fn line(out: &mut String, text: &str, node: &Node, origins: bool) {
-    let width = COLUMN + usize::from(text.starts_with('\n'));
+    let width = ORIGIN_COLUMN + usize::from(text.starts_with('\n'));
     let _ = match origins {
         true => writeln!(out, "{text:width$}  # {}", node.origin),
         false => writeln!(out, "{text}"),
--- a/components/contract/src/source.rs
+++ b/components/contract/src/source.rs
@@ -52,9 +52,9 @@
         if !errors.is_empty() {
             let fault = |error: &toml::de::Error| Fault {
                 origin: reader.origin(error.span().map_or(0, |span| span.start)),
-                place: "syntax".into(),
-                given: "text that is no TOML".into(),
-                wanted: error.message().into(),
+                path: "syntax".into(),
+                found: "text that is no TOML".into(),
+                expected: error.message().into(),
             };
             let mut faults: Vec<_> = errors.iter().map(fault).collect();
             faults.sort();
@@ -101,17 +101,17 @@
 struct Reader {
     file: Arc<str>,
     /// Where each line ends, in order.
-    ends: Vec<usize>,
+    line_ends: Vec<usize>,
 }
 
 impl Reader {
     fn new(file: &str, text: &str) -> Self {
-        let ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
-        Self { file: file.into(), ends: ends.map(|(offset, _)| offset).collect() }
+        let line_ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
+        Self { file: file.into(), line_ends: line_ends.map(|(offset, _)| offset).collect() }
     }
 
     fn origin(&self, offset: usize) -> Origin {
-        let before = self.ends.partition_point(|end| *end < offset);
+        let before = self.line_ends.partition_point(|end| *end < offset);
         Origin { file: self.file.clone(), line: 1 + before }
     }
 
@@ -131,13 +131,13 @@
             DeValue::Array(items) if items.iter().all(|item| item.get_ref().is_table()) => {
                 Data::List(items.iter().map(|item| self.node(item)).collect())
             }
-            other => Data::Value(plain(other)),
+            other => Data::Value(plain_value(other)),
         };
         Node { origin: self.origin(value.span().start), data }
     }
 }
 
-fn plain(value: &DeValue<'_>) -> toml::Value {
+fn plain_value(value: &DeValue<'_>) -> toml::Value {
     match value {
         DeValue::String(text) => toml::Value::String(text.to_string()),
         DeValue::Integer(number) => match i64::from_str_radix(number.as_str(), number.radix()) {
@@ -151,12 +151,12 @@
         DeValue::Boolean(flag) => toml::Value::Boolean(*flag),
         DeValue::Datetime(time) => toml::Value::Datetime(*time),
         DeValue::Array(items) => {
-            toml::Value::Array(items.iter().map(|item| plain(item.get_ref())).collect())
+            toml::Value::Array(items.iter().map(|item| plain_value(item.get_ref())).collect())
         }
         DeValue::Table(table) => {
             let entry = |(name, value): (&Spanned<_>, &Spanned<DeValue<'_>>)| {
                 let name: &std::borrow::Cow<'_, str> = name.get_ref();
-                (name.to_string(), plain(value.get_ref()))
+                (name.to_string(), plain_value(value.get_ref()))
             };
             toml::Value::Table(table.iter().map(entry).collect())
         }
--- a/components/contract/src/verifier.rs
+++ b/components/contract/src/verifier.rs
@@ -8,7 +8,7 @@
 use sha2::{Digest, Sha256};
 
 /// Rounds of the salted hash for new verifiers.
-pub const ROUNDS: u32 = 4096;
+pub const DEFAULT_ROUNDS: u32 = 4096;
 
 /// A text is not a verifier.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
@@ -24,9 +24,9 @@
     /// The salt.
     pub salt: Box<[u8]>,
     /// The hash of the client's part.
-    pub stored: [u8; 32],
+    pub stored_key: [u8; 32],
     /// The server's part.
-    pub server: [u8; 32],
+    pub server_key: [u8; 32],
 }
 
 /// The keyed hash that SCRAM is built of.
@@ -37,7 +37,7 @@
 }
 
 /// The salted hash of a key.
-pub fn salted(key: &str, salt: &[u8], rounds: u32) -> [u8; 32] {
+pub fn salted_password(key: &str, salt: &[u8], rounds: u32) -> [u8; 32] {
     let mut out = [0; 32];
     pbkdf2::pbkdf2::<Hmac<Sha256>>(key.as_bytes(), salt, rounds, &mut out)
         .expect("a key of any length");
@@ -47,20 +47,20 @@
 impl Verifier {
     /// The verifier of `key` with the given salt.
     pub fn new(key: &str, salt: &[u8]) -> Self {
-        let salted = salted(key, salt, ROUNDS);
+        let salted = salted_password(key, salt, DEFAULT_ROUNDS);
         Self {
-            rounds: ROUNDS,
+            rounds: DEFAULT_ROUNDS,
             salt: salt.into(),
-            stored: Sha256::digest(hmac(&salted, b"Client Key")).into(),
-            server: hmac(&salted, b"Server Key"),
+            stored_key: Sha256::digest(hmac(&salted, b"Client Key")).into(),
+            server_key: hmac(&salted, b"Server Key"),
         }
     }
 }
 
 impl Verifier {
     /// A few digits that tell verifiers apart for a person and prove nothing.
-    pub fn mark(&self) -> String {
-        let digest = Sha256::digest(self.stored);
+    pub fn fingerprint(&self) -> String {
+        let digest = Sha256::digest(self.stored_key);
         digest.iter().take(3).map(|byte| format!("{byte:02x}")).collect()
     }
 }
@@ -79,8 +79,8 @@
             "SCRAM-SHA-256${}:{}${}:{}",
             self.rounds,
             encode(&self.salt),
-            encode(&self.stored),
-            encode(&self.server)
+            encode(&self.stored_key),
+            encode(&self.server_key)
         )
     }
 }
@@ -98,13 +98,13 @@
         let rest = text.strip_prefix("SCRAM-SHA-256$")?;
         let (head, keys) = rest.split_once('$')?;
         let (rounds, salt) = head.split_once(':')?;
-        let (stored, server) = keys.split_once(':')?;
+        let (stored_key, server_key) = keys.split_once(':')?;
         let decode = |part: &str| STANDARD.decode(part).ok();
         Some(Self {
             rounds: rounds.parse().ok().filter(|n| (1..=1_000_000).contains(n))?,
             salt: decode(salt)?.into(),
-            stored: decode(stored)?.try_into().ok()?,
-            server: decode(server)?.try_into().ok()?,
+            stored_key: decode(stored_key)?.try_into().ok()?,
+            server_key: decode(server_key)?.try_into().ok()?,
         })
     }
 }
--- a/components/contract/tests/config.rs
+++ b/components/contract/tests/config.rs
@@ -71,7 +71,7 @@
 #[test]
 fn a_withdrawn_key_that_would_stand_again_is_found() {
     let (stands, withdrawn) = (with_key(""), with_key("withdrawn = true"));
-    assert_eq!(diff::restored(&withdrawn, &stands).len(), 1);
-    assert_eq!(diff::restored(&withdrawn, &withdrawn).len(), 0);
-    assert_eq!(diff::restored(&stands, &withdrawn).len(), 0);
+    assert_eq!(diff::restored_keys(&withdrawn, &stands).len(), 1);
+    assert_eq!(diff::restored_keys(&withdrawn, &withdrawn).len(), 0);
+    assert_eq!(diff::restored_keys(&stands, &withdrawn).len(), 0);
 }
--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -133,7 +133,7 @@
         {
             self.adopt(self.chain.load(&head).await?);
         }
-        self.current.show(number, sent_at);
+        self.current.confirm(number, sent_at);
         Ok(self.current.get())
     }
 
@@ -181,7 +181,7 @@
     pub(crate) fn vote(&self) -> FreshnessVote {
         FreshnessVote {
             known: self.current.number(),
-            confirmed: self.current.vouches(),
+            confirmed: self.current.may_vote(),
             propagated: self.propagated.get(),
             unreachable: self.silent_hosts(),
         }
--- a/components/fleet/src/rounds.rs
+++ b/components/fleet/src/rounds.rs
@@ -71,7 +71,7 @@
             &answers,
         );
         if tally.newest {
-            self.current.show(doc.number, sent_at);
+            self.current.confirm(doc.number, sent_at);
         }
         self.record_propagation(&doc, &tally, &answers);
         self.update_unreachable(&doc, &answers);
--- a/components/operator/src/pages/change.rs
+++ b/components/operator/src/pages/change.rs
@@ -62,7 +62,7 @@
         if self.base < doc.config_revision {
             return Ok(());
         }
-        let restored = doc.config.iter().flat_map(|now| diff::restored(now, &self.config));
+        let restored = doc.config.iter().flat_map(|now| diff::restored_keys(now, &self.config));
         let names: Vec<String> =
             restored.map(|(account, key)| format!("{}.{}", account.id, key.id)).collect();
         if names.is_empty() {
@@ -128,7 +128,7 @@
 }
 
 fn keep_withdrawn(now: &Config, config: &mut Config) -> Vec<Box<str>> {
-    let restored = diff::restored(now, config);
+    let restored = diff::restored_keys(now, config);
     let names: Vec<_> =
         restored.iter().map(|(account, key)| (account.id.clone(), key.id.clone())).collect();
     let mut notes = Vec::new();
--- a/components/pg/src/scram.rs
+++ b/components/pg/src/scram.rs
@@ -74,13 +74,13 @@
             .ok()
             .and_then(|bytes| bytes.try_into().ok())
             .context("the proof is damaged")?;
-        let mask = verifier::hmac(&self.verifier.stored, auth_message.as_bytes());
+        let mask = verifier::hmac(&self.verifier.stored_key, auth_message.as_bytes());
         let mut client = proof;
         client.iter_mut().zip(mask).for_each(|(byte, m)| *byte ^= m);
         let stored: [u8; 32] = Sha256::digest(client).into();
         // Both sides are hashes of secrets, so the duration of the comparison reveals nothing.
-        ensure!(stored == self.verifier.stored, "the key does not match");
-        let answer = verifier::hmac(&self.verifier.server, auth_message.as_bytes());
+        ensure!(stored == self.verifier.stored_key, "the key does not match");
+        let answer = verifier::hmac(&self.verifier.server_key, auth_message.as_bytes());
         Ok(format!("v={}", STANDARD.encode(answer)))
     }
 }
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -19,6 +19,6 @@
 
 /// Prints the merged text with the file and line of each value.
 pub fn show(args: &FileArgs) -> Result<(), Failure> {
-    print!("{}", show::show(&files::read(args)?.node));
+    print!("{}", show::with_origins(&files::read(args)?.node));
     Ok(())
 }
--- a/src/cmd/key.rs
+++ b/src/cmd/key.rs
@@ -30,7 +30,7 @@
     for account in &files::read(args)?.config.accounts {
         for key in &account.keys {
             let standing = if key.withdrawn { "withdrawn" } else { "stands" };
-            let row = [account.id.as_str(), key.id.as_str(), standing, &key.verifier.mark()];
+            let row = [account.id.as_str(), key.id.as_str(), standing, &key.verifier.fingerprint()];
             table.row(row);
         }
     }
