--- a/components/contract/src/check.rs
+++ b/components/contract/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a configuration and reads it.
+//! Validates and parses a configuration.
 
 use std::collections::HashMap;
 
@@ -11,10 +11,10 @@
     source::{Data, Node, Origin},
 };
 
-/// Servers of a database group: two of three hold each acknowledged write.
+/// Number of servers in a database group; two of the three hold each acknowledged write.
 pub const SERVERS_PER_GROUP: usize = 3;
 
-/// Reads a whole configuration; every fault of it at once.
+/// Parses a complete configuration; on failure returns all of its faults.
 pub fn read(node: &Node) -> Result<Config, Faults> {
     let mut check = Check::default();
     let value = check.table("", node, &schema::site());
@@ -38,7 +38,7 @@
     Err(faults)
 }
 
-/// Bounds of policies in milliseconds, and why.
+/// Inclusive bounds of policy fields in milliseconds, each with the reason.
 const POLICY_BOUNDS: [(&str, i64, i64, &str); 2] = [
     ("fresh_ms", 2_000, 10_000, "hosts show freshness once a second, and withdrawn keys end by it"),
     ("silence_ms", 350, 60_000, "a stall of 300 ms is no failure, and callers wait for a failover"),
@@ -61,23 +61,23 @@
         self.faults.0.push(Fault { origin, path: path.into(), found, expected });
     }
 
-    /// Checks a table; gives it as the configuration keeps it.
+    /// Checks a table; returns its values in the form in which [`Config`] reads them.
     fn table(&mut self, path: &str, node: &Node, shape: &Shape) -> toml::Value {
         let mut out = toml::Table::new();
         if !matches!(node.data, Data::Table(_)) {
             self.fault(&node.origin, path, describe(node, None), "a table");
         }
         for (name, value) in node.entries() {
-            let below = join(path, name);
+            let child_path = join(path, name);
             let field = shape.fields.iter().find(|field| field.name == *name);
             let list = shape.lists.iter().find(|list| list.name == &**name);
             let table = shape.tables.iter().find(|table| table.name == &**name);
             let read = match (field, list, table) {
-                (Some(field), ..) => self.field(&below, value, field),
+                (Some(field), ..) => self.field(&child_path, value, field),
                 (_, Some(list), _) => Some(self.list(path, value, list)),
-                (.., Some(table)) => Some(self.table(&below, value, table)),
+                (.., Some(table)) => Some(self.table(&child_path, value, table)),
                 _ => {
-                    self.fault(&value.origin, &below, "an unknown field", known_fields(shape));
+                    self.fault(&value.origin, &child_path, "an unknown field", known_fields(shape));
                     None
                 }
             };
@@ -112,14 +112,14 @@
         };
         let mut out = Vec::new();
         for item in items {
-            let named = format!("{} {}", shape.name, item.id().unwrap_or("without an id"));
-            out.push(self.table(&join(path, &named), item, shape));
+            let name = format!("{} {}", shape.name, item.id().unwrap_or("without an id"));
+            out.push(self.table(&join(path, &name), item, shape));
         }
         toml::Value::Array(out)
     }
 
-    /// Guards against a policy with which the whole fleet would stop, or a
-    /// promise would be void, as soon as it is in force.
+    /// Guards against a policy that would stop the whole fleet, or void a guarantee, as soon as it
+    /// is in force.
     fn check_policy(&mut self, node: &Node, value: &toml::Value) {
         let Some(policy) = node.get("policy") else { return };
         for (name, min, max, reason) in POLICY_BOUNDS {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A slot without a connection could never be used.
+    /// Checks that a server has a connection for each slot, as other slots could never be used.
     fn check_slots(&mut self, server: &Node) {
         let number = |name| match server.get(name).map(|node| &node.data) {
             Some(Data::Value(value)) => value.as_integer(),
@@ -174,7 +174,7 @@
         self.check_unique(path, "id", items);
     }
 
-    /// Checks that no two items have the same text in a field.
+    /// Checks that no two items have the same value in a text field.
     fn check_unique<'a>(
         &mut self,
         path: &str,
@@ -200,14 +200,15 @@
     if path.is_empty() { name.to_owned() } else { format!("{path}, {name}") }
 }
 
+/// Describes the fields that a table may have, for an error message.
 fn known_fields(shape: &Shape) -> String {
     let fields = shape.fields.iter().map(|field| &*field.name);
-    let below = shape.lists.iter().chain(&shape.tables).map(|shape| shape.name);
-    format!("one of {}", fields.chain(below).collect::<Vec<_>>().join(", "))
+    let tables = shape.lists.iter().chain(&shape.tables).map(|shape| shape.name);
+    format!("one of {}", fields.chain(tables).collect::<Vec<_>>().join(", "))
 }
 
-/// What was given, for a person. A key may stand where its verifier belongs, so
-/// that is never shown.
+/// Describes the value of a node for an error message. Values of verifier fields are never shown,
+/// since a key may have been entered by mistake.
 fn describe(node: &Node, kind: Option<Kind>) -> String {
     match &node.data {
         _ if kind == Some(Kind::Verifier) => "something else (not shown)".to_owned(),
