--- a/components/contract/src/config.rs
+++ b/components/contract/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operator describes.
+//! Configuration of a site.
 
 use std::net::SocketAddr;
 
@@ -7,34 +7,34 @@
 
 use crate::{check, fault::Faults, source::Node, verifier::Verifier};
 
-/// All that an operator describes for one site.
+/// Configuration of one site.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
     /// Name of the site.
     pub site: Box<str>,
-    /// How requests are treated.
+    /// Limits for requests, failover and freshness.
     #[serde(default)]
     pub policy: Policy,
-    /// The database groups.
+    /// Database groups.
     #[serde(default, rename = "group")]
     pub groups: Vec<Group>,
-    /// The client accounts.
+    /// Client accounts.
     #[serde(default, rename = "account")]
     pub accounts: Vec<ClientAccount>,
 }
 
-/// How requests are treated; times in milliseconds.
+/// Limits for requests, failover and freshness; all in milliseconds.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// The longest a request may take when its caller states nothing.
+    /// Default timeout of a request, used if the caller sets none.
     pub request_ms: u64,
-    /// The longest a transaction may stand idle between two statements.
+    /// Maximum idle time of a transaction between two statements.
     pub idle_ms: u64,
-    /// How long a silent primary is left in place.
+    /// Time without contact after which a primary is replaced.
     pub silence_ms: u64,
-    /// How long a host may act on a revision that it could not show to be the newest.
+    /// Maximum time for which a host acts on a revision without proving that it is the newest.
     pub fresh_ms: u64,
 }
 
@@ -44,13 +44,13 @@
     }
 }
 
-/// A database group: servers that hold the same data.
+/// A database group: servers with the same data.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// Its name, by which callers choose it as their database.
+    /// Id of the group; callers connect to it as their database name.
     pub id: GroupId,
-    /// Its servers.
+    /// Servers of the group.
     #[serde(rename = "server")]
     pub servers: Vec<BackendServer>,
 }
@@ -59,27 +59,27 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServer {
-    /// Its name.
+    /// Id of the server.
     pub id: ServerId,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
-    /// The failure domain it stands in.
+    /// Failure domain of the server.
     pub domain: FailureDomain,
-    /// Statements it can run at once.
+    /// Number of statements that the server can run concurrently.
     #[serde(default = "default_slots")]
     pub slots: u16,
-    /// Connections it accepts.
+    /// Number of connections that the server accepts.
     #[serde(default = "default_connections")]
     pub connections: u16,
-    /// Whether the operator takes it out of work.
+    /// Whether the operator is decommissioning the server, so that it gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Slots of a server of which nothing else is said.
+/// Default number of slots of a server.
 pub const DEFAULT_SLOTS: u16 = 5;
 
-/// Connections of a server of which nothing else is said.
+/// Default number of connections of a server.
 pub const DEFAULT_CONNECTIONS: u16 = 35;
 
 fn default_slots() -> u16 {
@@ -94,16 +94,16 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientAccount {
-    /// Its name.
+    /// Id of the account.
     pub id: AccountId,
-    /// Requests a second that it may make over all hosts.
+    /// Maximum sustained rate over all hosts, in requests per second.
     pub rate: Rate,
-    /// Requests above the rate that it may make at once over all hosts.
+    /// Maximum number of requests above the rate at once, over all hosts.
     pub burst: Burst,
-    /// Its share of a busy server beside other accounts.
+    /// Weight against other accounts when a server is busy.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Its keys.
+    /// Keys of the account.
     #[serde(default, rename = "key")]
     pub keys: Vec<Key>,
 }
@@ -112,38 +112,38 @@
     1
 }
 
-/// A key of a client account; only a salted verifier of it is kept.
+/// A key of a client account; only its salted verifier is stored.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// Its name.
+    /// Id of the key.
     pub id: KeyId,
-    /// What the key is checked against.
+    /// Verifier against which the key is checked.
     pub verifier: Verifier,
-    /// Whether it has been withdrawn.
+    /// Whether the key has been withdrawn.
     #[serde(default)]
     pub withdrawn: bool,
 }
 
 impl Config {
-    /// Reads a whole configuration in TOML; every fault of it at once.
+    /// Parses a complete configuration in TOML; on failure returns all of its faults.
     pub fn parse(text: &str) -> Result<Self, Faults> {
         check::read(&Node::parse("configuration", text)?)
     }
 
-    /// The group of that name.
+    /// Returns the group with the given id.
     pub fn group(&self, id: &GroupId) -> Option<&Group> {
         self.groups.iter().find(|g| g.id == *id)
     }
 
-    /// The account of that name.
+    /// Returns the account with the given id.
     pub fn account(&self, id: &AccountId) -> Option<&ClientAccount> {
         self.accounts.iter().find(|a| a.id == *id)
     }
 }
 
 impl ClientAccount {
-    /// The key of that name, unless it has been withdrawn.
+    /// Returns the key with the given id, unless it has been withdrawn.
     pub fn key(&self, id: &KeyId) -> Option<&Key> {
         self.keys.iter().find(|k| k.id == *id && !k.withdrawn)
     }
