--- a/components/contract/src/diff.rs
+++ b/components/contract/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations.
+//! Differences between two configurations.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,14 +9,14 @@
 
 use crate::config::{BackendServer, ClientAccount, Config, Key};
 
-/// One thing that differs.
+/// One difference.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
-    /// What differs, such as `account baobab, rate`.
+    /// Path of the object or field that differs, such as `account baobab, rate`.
     pub place: Box<str>,
-    /// What stood there before, if anything.
+    /// Value before the change; `None` if it was added.
     pub before: Option<Box<str>>,
-    /// What stands there after, if anything.
+    /// Value after the change; `None` if it was removed.
     pub after: Option<Box<str>>,
 }
 
@@ -31,7 +31,8 @@
     }
 }
 
-/// What differs, in order of place. What one of them lacks whole is one change.
+/// Returns the differences, ordered by `place`. An object that only one configuration has is a
+/// single change.
 pub fn diff(before: Option<&Config>, after: &Config) -> Vec<Change> {
     let before = before.map(objects).unwrap_or_default();
     let after = objects(after);
@@ -50,7 +51,7 @@
     changes
 }
 
-/// The fields that differ; both things have the same ones.
+/// Returns the properties that differ; both objects must have the same properties.
 fn compare(place: &str, before: &Object, after: &Object) -> Vec<Change> {
     let pairs = before.iter().zip(after).filter(|(before, after)| before.value != after.value);
     let change = |(before, after): (&Property, &Property)| Change {
@@ -61,12 +62,13 @@
     pairs.map(change).collect()
 }
 
+/// Lists all properties of an object in one line.
 fn summary(object: &Object) -> Box<str> {
     let properties = object.iter().map(|property| format!("{} {}", property.name, property.value));
     properties.collect::<Vec<_>>().join(", ").into()
 }
 
-/// The keys that `before` withdrew and `after` would let work again.
+/// Returns the keys that are withdrawn in `before` and valid in `after`.
 pub fn restored_keys<'a>(before: &'a Config, after: &Config) -> Vec<(&'a ClientAccount, &'a Key)> {
     let withdrawn = before.accounts.iter().flat_map(|account| {
         account.keys.iter().filter(|key| key.withdrawn).map(move |key| (account, key))
@@ -78,20 +80,21 @@
         .collect()
 }
 
-/// A field as a person reads it.
+/// A field in the form shown to people.
 struct Property {
     name: Box<str>,
     value: Box<str>,
 }
 
-/// A thing's fields; those of the same kind have the same ones.
+/// Properties of an object; objects of the same kind have the same properties.
 type Object = Vec<Property>;
 
+/// Creates a property from a value.
 fn property(name: &str, value: impl fmt::Display) -> Property {
     Property { name: name.into(), value: value.to_string().into() }
 }
 
-/// All things by what they are called.
+/// Returns all objects of a configuration by path.
 fn objects(config: &Config) -> BTreeMap<Box<str>, Object> {
     let mut objects = BTreeMap::new();
     objects.insert("site".into(), vec![property("name", &config.site)]);
