--- a/components/contract/src/fault.rs
+++ b/components/contract/src/fault.rs
@@ -1,19 +1,19 @@
-//! What is wrong with a configuration: all of it at once.
+//! Faults in a configuration, all reported together.
 
 use std::fmt;
 
 use crate::source::Origin;
 
-/// One thing that is wrong.
+/// One fault in a configuration.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Fault {
-    /// Where it was written.
+    /// File and line of the fault.
     pub origin: Origin,
-    /// What it belongs to, such as `account baobab, rate`.
+    /// Path of the object or field, such as `account baobab, rate`.
     pub path: Box<str>,
-    /// What was given; never a key or a verifier.
+    /// Value that was found; never a key or a verifier.
     pub found: Box<str>,
-    /// What is wanted.
+    /// Description of an acceptable value.
     pub expected: Box<str>,
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Everything that is wrong with a configuration; at least one fault.
+/// All faults of a configuration; as an error, at least one.
 #[derive(Clone, Debug, Default, Eq, PartialEq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
