--- a/components/contract/src/lib.rs
+++ b/components/contract/src/lib.rs
@@ -1,4 +1,4 @@
-//! The configuration: groups, backend servers, client accounts, keys and rates.
+//! Configuration of a site: database groups, backend servers, client accounts, keys and rates.
 
 pub mod check;
 pub mod config;
