--- a/components/contract/src/merge.rs
+++ b/components/contract/src/merge.rs
@@ -1,20 +1,20 @@
-//! Lays a site's overlay over the base.
+//! Merges a site's overlay into the base configuration.
 //!
-//! A value of the overlay replaces that of the base. Tables merge entry by
-//! entry, and lists of tables (`group`, `server`, `account`, `key`) item by item
-//! with equal `id`. An item whose `id` the base lacks must say `new = true`, so
-//! that a misspelt name is a fault and not a new account. Nothing is taken out
-//! by an overlay: a server is marked `leaving`, a key `withdrawn`.
+//! A value in the overlay replaces that in the base. Tables are merged entry by entry, and lists
+//! of tables (`group`, `server`, `account`, `key`) item by item with equal `id`. An item whose
+//! `id` is not in the base must contain `new = true`, so that a misspelt id is a fault and does
+//! not create an account. An overlay cannot remove anything: servers are marked `leaving` and
+//! keys `withdrawn`.
 
 use crate::{
     fault::{Fault, Faults},
     source::{Data, Node},
 };
 
-/// Marks an item of an overlay that the base does not have.
+/// Field that marks an overlay item as missing from the base.
 pub const NEW: &str = "new";
 
-/// The base with the overlay laid over it.
+/// Returns the base merged with the overlay.
 pub fn merge(base: &Node, overlay: &Node) -> Result<Node, Faults> {
     let mut faults = Faults::default();
     let merged = merge_node("", base, overlay, &mut faults);
@@ -40,13 +40,13 @@
 ) -> Vec<(Box<str>, Node)> {
     let mut merged: Vec<_> = base.to_vec();
     for (name, over) in overlay.entries() {
-        let below = if path.is_empty() { name.to_string() } else { format!("{path}, {name}") };
+        let child_path = if path.is_empty() { name.to_string() } else { format!("{path}, {name}") };
         match merged.iter_mut().find(|(known, _)| known == name) {
-            Some((_, node)) => *node = merge_node(&below, node, over, faults),
-            // All that a list lacks in the base is new.
+            Some((_, node)) => *node = merge_node(&child_path, node, over, faults),
+            // A list that the base lacks is merged as if the base had an empty one.
             None if matches!(over.data, Data::List(_)) => {
                 let empty = Node { origin: over.origin.clone(), data: Data::List(Vec::new()) };
-                merged.push((name.clone(), merge_node(&below, &empty, over, faults)));
+                merged.push((name.clone(), merge_node(&child_path, &empty, over, faults)));
             }
             None => merged.push((name.clone(), over.clone())),
         }
@@ -58,10 +58,10 @@
     let mut merged = base.to_vec();
     for (i, over) in overlay.iter().enumerate() {
         let id = over.id().unwrap_or_default();
-        let below = format!("{path} {id}");
+        let child_path = format!("{path} {id}");
         let mut fault = |found: String, expected: &str| {
             let origin = over.origin.clone();
-            let path = below.as_str().into();
+            let path = child_path.as_str().into();
             faults.0.push(Fault { origin, path, found: found.into(), expected: expected.into() });
         };
         if let Some(first) = overlay[..i].iter().find(|other| other.id() == over.id()) {
@@ -74,7 +74,7 @@
             Some(node) if is_new => {
                 fault(format!("{NEW} = true"), &format!("none, for {} has it", node.origin));
             }
-            Some(node) => *node = merge_node(&below, node, over, faults),
+            Some(node) => *node = merge_node(&child_path, node, over, faults),
             None if is_new => merged.push(strip_new(over)),
             None => fault(
                 format!("the id {id:?}"),
@@ -90,7 +90,7 @@
     matches!(mark, Some(Data::Value(toml::Value::Boolean(true))))
 }
 
-/// A new item as the merged text has it: all that it holds is new with it.
+/// Returns a new item without [`NEW`] marks, in its nested items too.
 fn strip_new(node: &Node) -> Node {
     let data = match &node.data {
         Data::Table(entries) => Data::Table(
