--- a/components/contract/src/revision.rs
+++ b/components/contract/src/revision.rs
@@ -1,4 +1,4 @@
-//! A revision: the configuration and the hosts that act on it.
+//! Revisions: a configuration together with the roster of hosts that act on it.
 
 use std::{
     cell::RefCell,
@@ -16,49 +16,50 @@
 /// An entry host of the fleet.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Host {
-    /// Its name.
+    /// Id of the host.
     pub id: HostId,
-    /// The failure domain it stands in.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// Where other hosts reach it.
+    /// Address for connections from other hosts.
     pub peer: SocketAddr,
 }
 
-/// One link of the chain of revisions.
+/// A revision in the chain.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RevisionDoc {
-    /// Its number; each revision is one more than the one it was made from.
+    /// Number of the revision; one more than its predecessor's.
     pub number: Revision,
-    /// The submit that made it.
+    /// Submit that created the revision.
     pub submit: SubmitId,
-    /// Who made it.
+    /// Author of the revision.
     pub author: Box<str>,
-    /// When it was made, in seconds since 1970, for people to read.
+    /// Time of creation in seconds since 1970; for display only.
     pub at: u64,
-    /// What the operator describes; none before the first submit.
+    /// Configuration; `None` before the first submit.
     pub config: Option<Config>,
-    /// The revision that brought this configuration; later ones only changed the roster.
+    /// Revision that introduced the configuration; later ones changed only the roster.
     pub config_revision: Revision,
-    /// The hosts that act on it; none twice.
+    /// Hosts that act on the revision, without duplicates.
     pub roster: Vec<Host>,
-    /// The roster of the revision before.
+    /// Roster of the preceding revision.
     pub before: Vec<Host>,
 }
 
 impl RevisionDoc {
-    /// The host of that name, if it is of the roster.
+    /// Returns the host with the given id, if it is in the roster.
     pub fn host(&self, id: &HostId) -> Option<&Host> {
         self.roster.iter().find(|h| h.id == *id)
     }
 
-    /// How long a host may act on it without showing that it is the newest.
+    /// Returns the time for which a host may act on the revision without proving that it is the
+    /// newest.
     pub fn fresh_limit(&self) -> Duration {
         let policy = self.config.as_ref().map(|config| config.policy.fresh_ms);
         Duration::from_millis(policy.unwrap_or(Policy::default().fresh_ms))
     }
 }
 
-/// The revision that this host acts on; it never goes down.
+/// The revision on which this host acts; its number never decreases.
 #[derive(Debug, Default)]
 pub struct Current {
     doc: RefCell<Option<Rc<RevisionDoc>>>,
@@ -67,20 +68,20 @@
 }
 
 impl Current {
-    /// The revision in force here; `None` before the first one is known.
+    /// Returns the revision in force on this host; `None` before the first one is known.
     pub fn get(&self) -> Option<Rc<RevisionDoc>> {
         self.doc.borrow().clone()
     }
 
-    /// The number of the revision in force; 0 before the first one is known.
+    /// Returns the number of the revision in force; 0 before the first one is known.
     pub fn number(&self) -> Revision {
         self.doc.borrow().as_ref().map(|doc| doc.number).unwrap_or_default()
     }
 
-    /// Puts a revision in force unless a newer one, or the same, already is.
+    /// Puts a revision into force unless it or a newer one already is; returns whether it did.
     ///
-    /// Guards against an old object or a late message: without it a withdrawn
-    /// key would work again. The number alone decides, whatever the source.
+    /// Guards against an old object or a delayed message, by which a withdrawn key would work
+    /// again. Only the number decides, whatever the source.
     pub fn advance(&self, doc: RevisionDoc) -> bool {
         if doc.number <= self.number() {
             return false;
@@ -91,22 +92,22 @@
         true
     }
 
-    /// Notes that nothing newer than `newest` had been accepted at `sent_at`.
+    /// Records a proof that no revision newer than `newest` had been accepted at `sent_at`.
     pub fn confirm(&self, newest: Revision, sent_at: Instant) {
         self.freshness.borrow_mut().confirm(newest, sent_at);
     }
 
-    /// Whether this host may vouch for others.
+    /// Returns whether this host's vote counts in freshness rounds of other hosts.
     pub fn may_vote(&self) -> bool {
         self.freshness.borrow().may_vote()
     }
 
-    /// How long ago the revision in force here was the newest for certain.
+    /// Returns the time since the revision in force was last proven to be the newest.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.freshness.borrow().age(now)
     }
 
-    /// Whether this host may act on its revision.
+    /// Returns whether this host may act on its revision.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let limit = self.get().map(|doc| doc.fresh_limit());
         limit.is_some_and(|limit| self.freshness.borrow().is_fresh(now, limit))
