--- a/components/contract/src/routes.rs
+++ b/components/contract/src/routes.rs
@@ -1,18 +1,18 @@
-//! Addresses that a host reaches under another one.
+//! Address translation for outgoing connections of a host.
 
 use std::{collections::HashMap, net::SocketAddr, str::FromStr};
 
-/// A text is not a pair of addresses.
+/// Error for a text that is not a pair of addresses.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("{0:?} is not a pair of addresses such as 10.0.0.1:5432=192.0.2.1:5432")]
 pub struct RouteError(Box<str>);
 
-/// One address and the one under which this host reaches it.
+/// An address and the one to which this host connects instead.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Route {
-    /// The address as the configuration names it.
+    /// Address in the configuration.
     pub address: SocketAddr,
-    /// The address to connect to instead.
+    /// Address to which this host connects instead.
     pub via: SocketAddr,
 }
 
@@ -28,17 +28,17 @@
     }
 }
 
-/// Addresses that a host reaches under another one, as behind an address translation.
+/// Routes of a host by address, such as for address translation (NAT).
 #[derive(Clone, Debug, Default)]
 pub struct Routes(HashMap<SocketAddr, SocketAddr>);
 
 impl Routes {
-    /// The given routes.
+    /// Creates a table of the given routes.
     pub fn new(routes: &[Route]) -> Self {
         Self(routes.iter().map(|route| (route.address, route.via)).collect())
     }
 
-    /// The address to connect to.
+    /// Returns the address to connect to; `address` itself if it has no route.
     pub fn to(&self, address: SocketAddr) -> SocketAddr {
         self.0.get(&address).copied().unwrap_or(address)
     }
