--- a/components/contract/src/schema.rs
+++ b/components/contract/src/schema.rs
@@ -1,4 +1,4 @@
-//! What a configuration may hold, field by field.
+//! Schema of a configuration: its tables and fields.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,33 +6,33 @@
 
 use crate::{config::Policy, verifier::Verifier};
 
-/// What a field holds.
+/// Type of a field's value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
     /// Any text.
     Text,
-    /// A name of a thing.
+    /// An id: letters, digits, `-`, `_` and `:`.
     Name,
     /// An IP address and a port.
     Address,
-    /// Requests a second.
+    /// Requests per second, above 0.
     Rate,
-    /// Requests at once.
+    /// Number of requests at once, above 0.
     Burst,
-    /// A whole number of at least 1.
+    /// A whole number from 1 to 65,535.
     Count,
-    /// A time, kept in milliseconds.
+    /// A duration above 0, stored in milliseconds.
     Millis,
     /// Any number.
     Number,
-    /// Yes or no.
+    /// A boolean.
     Flag,
-    /// A salted verifier of a key.
+    /// Salted verifier of a key.
     Verifier,
 }
 
 impl Kind {
-    /// What is wanted, for a person.
+    /// Describes acceptable values for an error message.
     pub fn expected(self) -> &'static str {
         match self {
             Self::Text => "a text",
@@ -48,7 +48,8 @@
         }
     }
 
-    /// The value as the configuration keeps it; `None` when it is not of this kind.
+    /// Converts a value to the form in which the configuration stores it; `None` if it is not of
+    /// this kind.
     pub fn read(self, value: &toml::Value) -> Option<toml::Value> {
         let text = value.as_str();
         match self {
@@ -85,7 +86,7 @@
     (number.is_finite() && number > 0.0).then_some(toml::Value::Float(number))
 }
 
-/// Reads a time such as `450ms`, `5s` or `2m`.
+/// Parses a duration such as `450ms`, `5s` or `2m`.
 pub fn duration(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
     let (number, unit) = text.split_at(split);
@@ -102,28 +103,28 @@
 /// A field of a table.
 #[derive(Clone, Debug)]
 pub struct Field {
-    /// Its name.
+    /// Name of the field.
     pub name: Box<str>,
-    /// What it holds.
+    /// Type of its value.
     pub kind: Kind,
-    /// Whether it must be there.
+    /// Whether it must be present.
     pub required: bool,
 }
 
-/// What a table may hold.
+/// Schema of a table.
 #[derive(Clone, Debug, Default)]
 pub struct Shape {
-    /// Its name; empty for the whole configuration.
+    /// Name of the table; empty for the whole configuration.
     pub name: &'static str,
-    /// Its fields.
+    /// Fields of the table.
     pub fields: Vec<Field>,
-    /// Its lists of tables.
+    /// Lists of tables in the table.
     pub lists: Vec<Self>,
-    /// Its single tables.
+    /// Single tables in the table.
     pub tables: Vec<Self>,
 }
 
-/// The shape of a whole configuration.
+/// Returns the schema of a whole configuration.
 pub fn site() -> Shape {
     Shape {
         name: "",
@@ -160,13 +161,14 @@
     Shape { lists: vec![key], ..list_item("account", fields) }
 }
 
-/// A table of a list: it has an id and `fields`.
+/// Returns the schema of the tables in a list: an id and `fields`.
 fn list_item(name: &'static str, mut fields: Vec<Field>) -> Shape {
     fields.insert(0, required("id", Kind::Name));
     Shape { name, fields, ..Shape::default() }
 }
 
-/// The policy's fields are those of [`Policy`]; names that end in `_ms` hold times.
+/// Returns the schema of the policy, derived from the fields of [`Policy`]; fields whose names end
+/// in `_ms` contain durations.
 fn policy() -> Shape {
     let default = serde_json::to_value(Policy::default()).unwrap_or_default();
     let field = |(name, value): (&String, &serde_json::Value)| {
