--- a/components/contract/src/show.rs
+++ b/components/contract/src/show.rs
@@ -1,20 +1,20 @@
-//! Writes a configuration as TOML.
+//! Formats a configuration as TOML.
 
 use std::fmt::Write;
 
 use crate::source::{Data, Node};
 
-/// Column at which origins begin.
+/// Column at which the comments with origins start.
 const ORIGIN_COLUMN: usize = 44;
 
-/// The text of a configuration; each value is followed by its file and line.
+/// Formats a configuration as TOML; each value is followed by a comment with its file and line.
 pub fn with_origins(node: &Node) -> String {
     let mut out = String::new();
     table(&mut out, "", node, true);
     out
 }
 
-/// The plain text of a configuration.
+/// Formats a configuration as TOML without origins.
 pub fn text(node: &Node) -> String {
     let mut out = String::new();
     table(&mut out, "", node, false);
