--- a/components/contract/src/source.rs
+++ b/components/contract/src/source.rs
@@ -1,4 +1,4 @@
-//! A configuration text as a tree in which each value knows its file and line.
+//! Parses a configuration text into a tree whose values carry their file and line.
 
 use std::{fmt, sync::Arc};
 
@@ -9,12 +9,12 @@
 
 use crate::fault::{Fault, Faults};
 
-/// Where a value was written.
+/// Position of a value in its source.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Origin {
-    /// The file.
+    /// Name of the file.
     pub file: Arc<str>,
-    /// The line, counted from 1.
+    /// Line number, starting at 1.
     pub line: usize,
 }
 
@@ -24,28 +24,28 @@
     }
 }
 
-/// A value and where it was written.
+/// A value with its position.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where it was written.
+    /// Position of the value.
     pub origin: Origin,
-    /// What was written.
+    /// Content of the value.
     pub data: Data,
 }
 
-/// What was written.
+/// Content of a node.
 #[derive(Clone, Debug)]
 pub enum Data {
-    /// A text, number or flag, or a plain list of them.
+    /// A scalar value, or an array that is not a list of tables.
     Value(toml::Value),
-    /// Named values in the order of the file; no name twice.
+    /// Named values in file order, without duplicate names.
     Table(Vec<(Box<str>, Node)>),
-    /// Tables of one kind, such as `[[group]]`.
+    /// A list of tables such as `[[group]]`.
     List(Vec<Node>),
 }
 
 impl Node {
-    /// Reads a text; `file` names it in faults.
+    /// Parses a text; `file` is its name in faults.
     pub fn parse(file: &str, text: &str) -> Result<Self, Faults> {
         let reader = Reader::new(file, text);
         let (table, errors) = DeTable::parse_recoverable(text);
@@ -63,12 +63,12 @@
         Ok(Self { origin: reader.origin(0), data: reader.table(table.get_ref()) })
     }
 
-    /// The value of that name in a table.
+    /// Returns the entry with the given name, if this is a table that has one.
     pub fn get(&self, name: &str) -> Option<&Self> {
         self.entries().iter().find(|(known, _)| &**known == name).map(|(_, node)| node)
     }
 
-    /// The entries of a table; none of anything else.
+    /// Returns the entries of a table; empty for other nodes.
     pub fn entries(&self) -> &[(Box<str>, Self)] {
         match &self.data {
             Data::Table(entries) => entries,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The tables of the list of that name; none when there is no such list.
+    /// Returns the tables in the list with the given name; empty if there is no such list.
     pub fn list(&self, name: &str) -> &[Self] {
         match self.get(name).map(|node| &node.data) {
             Some(Data::List(items)) => items,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The text of that name.
+    /// Returns the text in the entry with the given name, if it is a text.
     pub fn text(&self, name: &str) -> Option<&str> {
         match &self.get(name)?.data {
             Data::Value(value) => value.as_str(),
@@ -92,15 +92,16 @@
         }
     }
 
-    /// The `id` of a table.
+    /// Returns the `id` of a table.
     pub fn id(&self) -> Option<&str> {
         self.text("id")
     }
 }
 
+/// Converts parsed TOML into nodes.
 struct Reader {
     file: Arc<str>,
-    /// Where each line ends, in order.
+    /// Byte offset of each line end, in ascending order.
     line_ends: Vec<usize>,
 }
 
