--- a/components/contract/src/verifier.rs
+++ b/components/contract/src/verifier.rs
@@ -1,4 +1,4 @@
-//! What a key is checked against: the SCRAM-SHA-256 verifier of RFC 5803.
+//! SCRAM-SHA-256 verifiers of keys (RFC 5803).
 
 use std::{fmt, str::FromStr};
 
@@ -7,45 +7,45 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Rounds of the salted hash for new verifiers.
+/// Number of rounds of the salted hash in new verifiers.
 pub const DEFAULT_ROUNDS: u32 = 4096;
 
-/// A text is not a verifier.
+/// Error for a text that is not a verifier.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not a SCRAM-SHA-256 verifier; make one with `bergamottrack key new`")]
 pub struct VerifierError;
 
-/// Proves that a caller knows a key without holding the key.
+/// Verifies that a caller has a key, without containing the key.
 #[derive(Clone, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(try_from = "Box<str>", into = "Box<str>")]
 pub struct Verifier {
-    /// Rounds of the salted hash.
+    /// Number of rounds of the salted hash.
     pub rounds: u32,
-    /// The salt.
+    /// Salt of the hash.
     pub salt: Box<[u8]>,
-    /// The hash of the client's part.
+    /// `StoredKey` of SCRAM: hash of the client key.
     pub stored_key: [u8; 32],
-    /// The server's part.
+    /// `ServerKey` of SCRAM.
     pub server_key: [u8; 32],
 }
 
-/// The keyed hash that SCRAM is built of.
+/// Computes the HMAC-SHA-256 used by SCRAM.
 pub fn hmac(key: &[u8], data: &[u8]) -> [u8; 32] {
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("a key of any length");
+    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts keys of any length");
     mac.update(data);
     mac.finalize().into_bytes().into()
 }
 
-/// The salted hash of a key.
+/// Computes the salted hash of a key (`SaltedPassword` of SCRAM).
 pub fn salted_password(key: &str, salt: &[u8], rounds: u32) -> [u8; 32] {
     let mut out = [0; 32];
     pbkdf2::pbkdf2::<Hmac<Sha256>>(key.as_bytes(), salt, rounds, &mut out)
-        .expect("a key of any length");
+        .expect("HMAC accepts keys of any length");
     out
 }
 
 impl Verifier {
-    /// The verifier of `key` with the given salt.
+    /// Creates the verifier of `key` with the given salt.
     pub fn new(key: &str, salt: &[u8]) -> Self {
         let salted = salted_password(key, salt, DEFAULT_ROUNDS);
         Self {
@@ -58,7 +58,7 @@
 }
 
 impl Verifier {
-    /// A few digits that tell verifiers apart for a person and prove nothing.
+    /// Returns six hexadecimal digits by which people can tell verifiers apart; they prove nothing.
     pub fn fingerprint(&self) -> String {
         let digest = Sha256::digest(self.stored_key);
         digest.iter().take(3).map(|byte| format!("{byte:02x}")).collect()
