--- a/components/contract/tests/config.rs
+++ b/components/contract/tests/config.rs
@@ -1,4 +1,4 @@
-//! Merging, checking, showing and comparing configurations.
+//! Merging, validation, formatting and comparison of configurations.
 
 use bergamottrack_contract::{Config, Node, Verifier, check, diff, merge, show};
 
@@ -13,21 +13,22 @@
 burst = 40
 "#;
 
-fn with_key(standing: &str) -> Config {
+/// Parses [`BASE`] with a key; `state` is an additional line of the key's table.
+fn with_key(state: &str) -> Config {
     let verifier = Verifier::new("secret", b"salt");
-    let key = format!("[[account.key]]\nid = \"k1\"\nverifier = \"{verifier}\"\n{standing}");
+    let key = format!("[[account.key]]\nid = \"k1\"\nverifier = \"{verifier}\"\n{state}");
     Config::parse(&format!("{BASE}{key}")).unwrap()
 }
 
 #[test]
-fn units_are_read_with_or_without_a_suffix() {
+fn values_with_and_without_units_are_parsed() {
     let config = Config::parse(BASE).unwrap();
     assert_eq!((config.policy.silence_ms, config.policy.request_ms), (450, 2000));
     assert_eq!(config.accounts[0].rate.0, 20.0);
 }
 
 #[test]
-fn an_overlay_changes_only_what_it_names() {
+fn overlay_changes_only_its_own_fields() {
     let overlay = "site = \"dakar\"\n[policy]\nrequest_ms = \"9s\"\n[[account]]\nid = \"atelier\"\nburst = 80";
     let base = Node::parse("base", BASE).unwrap();
     let merged = merge::merge(&base, &Node::parse("overlay", overlay).unwrap()).unwrap();
@@ -40,20 +41,20 @@
 }
 
 #[test]
-fn the_plain_text_of_a_configuration_reads_back_the_same() {
+fn formatted_configuration_parses_to_the_same_configuration() {
     let node = Node::parse("base", BASE).unwrap();
     assert_eq!(Config::parse(&show::text(&node)), Ok(check::read(&node).unwrap()));
 }
 
 #[test]
-fn every_syntax_fault_is_told() {
+fn all_syntax_faults_are_reported() {
     let faults = Node::parse("f", "a = \nb = 1\nc = ]\n").unwrap_err();
     let lines: Vec<usize> = faults.0.iter().map(|fault| fault.origin.line).collect();
     assert_eq!(lines, [1, 3], "{faults}");
 }
 
 #[test]
-fn a_difference_names_what_changed_and_no_verifier() {
+fn added_key_is_one_change_without_its_verifier() {
     let before = Config::parse(BASE).unwrap();
     let after = with_key("");
     let changes = diff::diff(Some(&before), &after);
@@ -66,12 +67,12 @@
     assert!(!lines[0].contains("SCRAM"));
 }
 
-/// A key that was withdrawn by phone works again: the operator's file still has it
-/// standing, and a later submit of that file for another reason brings it back.
+/// Guards against a withdrawn key that works again: the operator's file still has it as valid, and
+/// a later submit of that file for another reason restores it.
 #[test]
-fn a_withdrawn_key_that_would_stand_again_is_found() {
-    let (stands, withdrawn) = (with_key(""), with_key("withdrawn = true"));
-    assert_eq!(diff::restored_keys(&withdrawn, &stands).len(), 1);
+fn restored_keys_are_detected() {
+    let (valid, withdrawn) = (with_key(""), with_key("withdrawn = true"));
+    assert_eq!(diff::restored_keys(&withdrawn, &valid).len(), 1);
     assert_eq!(diff::restored_keys(&withdrawn, &withdrawn).len(), 0);
-    assert_eq!(diff::restored_keys(&stands, &withdrawn).len(), 0);
+    assert_eq!(diff::restored_keys(&valid, &withdrawn).len(), 0);
 }
