--- a/components/contract/src/config.rs
+++ b/components/contract/src/config.rs
@@ -71,7 +71,7 @@
     /// Number of connections that the server accepts.
     #[serde(default = "default_connections")]
     pub connections: u16,
-    /// Whether the operator is decommissioning the server, so that it gets no new work.
+    /// Whether the operator is taking the server out of service, so that it gets no new work.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/components/contract/src/schema.rs
+++ b/components/contract/src/schema.rs
@@ -11,7 +11,7 @@
 pub enum Kind {
     /// Any text.
     Text,
-    /// An id: letters, digits, `-`, `_` and `:`.
+    /// A name or id of letters, digits, `-`, `_` and `:`.
     Name,
     /// An IP address and a port.
     Address,
