--- a/components/operator/src/client.rs
+++ b/components/operator/src/client.rs
@@ -10,7 +10,7 @@
 use crate::api::{ErrorPage, Verdict};
 
 /// How long a host may take to answer: a submit waits for the platform and the fleet.
-const ANSWER_WITHIN: Duration = Duration::from_secs(30);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a command has no answer.
 #[derive(Debug, thiserror::Error)]
@@ -20,10 +20,10 @@
     Http(#[from] HttpError),
     /// The host did not carry it out.
     #[error("{}", .0.message)]
-    Told(ErrorPage),
+    Reported(ErrorPage),
     /// The host answered something else.
     #[error("{address} answered {status}, which no host of this version does")]
-    Strange {
+    Unexpected {
         /// The host.
         address: SocketAddr,
         /// What it answered.
@@ -36,8 +36,8 @@
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::Http(HttpError::Unreachable { .. }) => Verdict::Refused,
-            Self::Told(page) => page.verdict,
-            Self::Http(HttpError::NoAnswer { .. }) | Self::Strange { .. } => Verdict::Unknown,
+            Self::Reported(page) => page.verdict,
+            Self::Http(HttpError::NoAnswer { .. }) | Self::Unexpected { .. } => Verdict::Unknown,
         }
     }
 }
@@ -76,12 +76,12 @@
     ) -> Result<T, ClientError> {
         let headers = [("authorization", &*self.authorization)];
         let call = http::Call { method, path, headers: &headers, body };
-        let response = http::call(self.address, call, ANSWER_WITHIN).await?;
-        let strange = ClientError::Strange { address: self.address, status: response.status };
+        let response = http::call(self.address, call, ANSWER_TIMEOUT).await?;
+        let unexpected = ClientError::Unexpected { address: self.address, status: response.status };
         if response.status == StatusCode::OK {
-            return serde_json::from_slice(&response.body).map_err(|_| strange);
+            return serde_json::from_slice(&response.body).map_err(|_| unexpected);
         }
         let page = serde_json::from_slice(&response.body);
-        Err(page.map_or(strange, ClientError::Told))
+        Err(page.map_or(unexpected, ClientError::Reported))
     }
 }
--- a/components/operator/src/operator.rs
+++ b/components/operator/src/operator.rs
@@ -22,20 +22,20 @@
 /// answer: the hashes are compared in constant time.
 pub struct OperatorKey {
     secret: Secret,
-    proof: [u8; 32],
+    hash: [u8; 32],
 }
 
 impl OperatorKey {
     /// Keeps a key.
     pub fn new(key: &str) -> Self {
         let secret = Secret::new(&rand::random::<[u8; 32]>());
-        let proof = secret.sign(&[key.as_bytes()]);
-        Self { secret, proof }
+        let hash = secret.sign(&[key.as_bytes()]);
+        Self { secret, hash }
     }
 
     /// Whether the key is the same.
     pub fn matches(&self, key: &str) -> bool {
-        self.secret.verify(&[key.as_bytes()], &self.proof)
+        self.secret.verify(&[key.as_bytes()], &self.hash)
     }
 }
 
@@ -78,7 +78,7 @@
     }
 
     /// Drops what was measured of what leaves the configuration; until the process ends.
-    pub async fn keep_metrics(self: Rc<Self>) {
+    pub async fn prune_metrics(self: Rc<Self>) {
         loop {
             self.fleet.current.changed().await;
             if let Some(config) = self.fleet.current.get().and_then(|doc| doc.config.clone()) {
--- a/components/operator/src/pages/change.rs
+++ b/components/operator/src/pages/change.rs
@@ -9,7 +9,7 @@
 use hyper::StatusCode;
 use tracing::info;
 
-use super::Shown;
+use super::PageResult;
 use crate::{
     api::AcceptedPage,
     operator::Operator,
@@ -17,10 +17,10 @@
 };
 
 /// How often a withdrawal is made again on top of other changes.
-const WITHDRAW_TRIES: usize = 5;
+const MAX_WITHDRAW_ATTEMPTS: usize = 5;
 
 /// The most differences that a lost race shows.
-const SHOWN: usize = 20;
+const MAX_DIFFERENCES: usize = 20;
 
 /// A change as an operator sent it.
 struct Change {
@@ -29,7 +29,7 @@
     submit: SubmitId,
     base: Revision,
     /// What the log says of it.
-    what: Box<str>,
+    description: Box<str>,
     notes: Vec<Box<str>>,
 }
 
@@ -38,16 +38,16 @@
         operator: &Operator,
         request: &Request,
         config: Config,
-        what: impl Into<Box<str>>,
+        description: impl Into<Box<str>>,
     ) -> Result<Self, Reply> {
-        let author = super::setting(request, "author")?;
+        let author = super::query_param(request, "author")?;
         Ok(Self {
             config,
             author: author.unwrap_or_else(|| "operator".parse().expect("a name")),
-            submit: super::setting(request, "submit")?.unwrap_or_else(fleet::new_submit_id),
-            base: super::setting(request, "base")?
+            submit: super::query_param(request, "submit")?.unwrap_or_else(fleet::new_submit_id),
+            base: super::query_param(request, "base")?
                 .unwrap_or_else(|| operator.fleet.current.number()),
-            what: what.into(),
+            description: description.into(),
             notes: Vec::new(),
         })
     }
@@ -76,9 +76,9 @@
     }
 
     async fn send(self, operator: &Operator) -> Result<AcceptedPage, SubmitError> {
-        let Self { config, author, submit, base, what, notes } = self;
+        let Self { config, author, submit, base, description, notes } = self;
         let accepted = operator.fleet.submit(config, author.as_str(), submit, base).await?;
-        info!("operator: {author} {what}: revision {} is accepted.", accepted.revision);
+        info!("operator: {author} {description}: revision {} is accepted.", accepted.revision);
         let (mut in_force, mut missing) = (accepted.in_force, accepted.missing);
         in_force.sort();
         missing.sort();
@@ -88,29 +88,29 @@
 
 /// Reads the newest revision, so that what is checked here is not checked against
 /// an older one than the operator has seen through another host.
-async fn look_anew(operator: &Operator) -> Result<(), Reply> {
+async fn refresh_revision(operator: &Operator) -> Result<(), Reply> {
     let newest = operator.fleet.refresh().await;
     newest.map_err(|error| super::refused(SubmitError::Platform(error).to_string()))?;
     Ok(())
 }
 
 /// Puts a whole configuration in force.
-pub async fn submit(operator: &Operator, request: &Request) -> Shown {
+pub async fn submit(operator: &Operator, request: &Request) -> PageResult {
     let text = String::from_utf8_lossy(&request.body);
     let config = Config::parse(&text).map_err(|faults| super::faulty(faults.to_string()))?;
-    look_anew(operator).await?;
-    let restores: bool = super::setting(request, "restore")?.unwrap_or_default();
+    refresh_revision(operator).await?;
+    let restore_keys: bool = super::query_param(request, "restore")?.unwrap_or_default();
     let change = Change::read(operator, request, config, "submitted a configuration")?;
-    if !restores {
+    if !restore_keys {
         change.check_withdrawn(operator)?;
     }
-    shown(operator, change.send(operator).await).await
+    reply(operator, change.send(operator).await).await
 }
 
 /// Puts an earlier configuration in force as a new revision; withdrawn keys stay withdrawn.
-pub async fn rollback(operator: &Operator, request: &Request) -> Shown {
-    let to: Revision = super::needed(request, "to")?;
-    look_anew(operator).await?;
+pub async fn rollback(operator: &Operator, request: &Request) -> PageResult {
+    let to: Revision = super::required_param(request, "to")?;
+    refresh_revision(operator).await?;
     let doc = operator.fleet.load(to).await;
     let doc = doc.map_err(|error| {
         let message = format!("not accepted, nothing changed: reading revision {to}: {error:#}");
@@ -119,12 +119,12 @@
     let config = doc.and_then(|doc| doc.config).ok_or_else(|| {
         super::refused(format!("not accepted, nothing changed: revision {to} has no configuration"))
     })?;
-    let what = format!("went back to the configuration of revision {to}");
-    let mut change = Change::read(operator, request, config, what)?;
+    let description = format!("went back to the configuration of revision {to}");
+    let mut change = Change::read(operator, request, config, description)?;
     if let Some(now) = operator.fleet.current.get().and_then(|doc| doc.config.clone()) {
         change.notes = keep_withdrawn(&now, &mut change.config);
     }
-    shown(operator, change.send(operator).await).await
+    reply(operator, change.send(operator).await).await
 }
 
 fn keep_withdrawn(now: &Config, config: &mut Config) -> Vec<Box<str>> {
@@ -140,12 +140,12 @@
 }
 
 /// Withdraws a key, whatever else changes at the same time.
-pub async fn withdraw(operator: &Operator, request: &Request) -> Shown {
-    let account: AccountId = super::needed(request, "account")?;
-    let key: KeyId = super::needed(request, "key")?;
-    let mut tries = 0;
+pub async fn withdraw(operator: &Operator, request: &Request) -> PageResult {
+    let account: AccountId = super::required_param(request, "account")?;
+    let key: KeyId = super::required_param(request, "key")?;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let doc = operator.fleet.current.get();
         let doc = doc.ok_or_else(|| super::refused("this host knows no revision yet"))?;
         let mut config = doc.config.clone();
@@ -154,12 +154,12 @@
             let message = format!("account {account} has no key {key}");
             super::refused(format!("not accepted, nothing changed: {message}"))
         })?;
-        let what = format!("withdrew key {account}.{key}");
-        let mut change = Change::read(operator, request, config, what)?;
+        let description = format!("withdrew key {account}.{key}");
+        let mut change = Change::read(operator, request, config, description)?;
         change.base = doc.number;
         match change.send(operator).await {
-            Err(SubmitError::Conflict { .. }) if tries < WITHDRAW_TRIES => {}
-            result => return shown(operator, result).await,
+            Err(SubmitError::Conflict { .. }) if attempts < MAX_WITHDRAW_ATTEMPTS => {}
+            result => return reply(operator, result).await,
         }
     }
 }
@@ -171,11 +171,11 @@
     key.map(|key| key.withdrawn = true).is_some()
 }
 
-async fn shown(operator: &Operator, result: Result<AcceptedPage, SubmitError>) -> Shown {
+async fn reply(operator: &Operator, result: Result<AcceptedPage, SubmitError>) -> PageResult {
     match result {
         Ok(page) => Ok(Reply::json(StatusCode::OK, &page)),
         Err(SubmitError::Conflict { base, changes }) => {
-            Err(super::refused(lost(operator, base, &changes).await))
+            Err(super::refused(describe_conflict(operator, base, &changes).await))
         }
         Err(error @ (SubmitError::Unknown(_) | SubmitError::NotPropagated { .. })) => {
             Err(super::unknown(error.to_string()))
@@ -185,7 +185,7 @@
 }
 
 /// Who changed what since the revision that a submit was made against.
-async fn lost(operator: &Operator, base: Revision, changes: &[Entry]) -> String {
+async fn describe_conflict(operator: &Operator, base: Revision, changes: &[Entry]) -> String {
     let mut text = format!(
         "not accepted, nothing changed: the configuration has been changed since revision {base}:"
     );
@@ -197,7 +197,7 @@
     let before = operator.fleet.load(base).await.ok().flatten();
     let after = operator.fleet.current.get();
     if let (Some(before), Some(after)) = (before, after.and_then(|doc| doc.config.clone())) {
-        for change in diff::diff(before.config.as_ref(), &after).iter().take(SHOWN) {
+        for change in diff::diff(before.config.as_ref(), &after).iter().take(MAX_DIFFERENCES) {
             text += &format!("\n  {change}");
         }
     }
--- a/components/operator/src/pages/config.rs
+++ b/components/operator/src/pages/config.rs
@@ -3,7 +3,7 @@
 use bergamottrack_coordination::Revision;
 use hyper::StatusCode;
 
-use super::Shown;
+use super::PageResult;
 use crate::{
     api::ConfigPage,
     operator::Operator,
@@ -11,33 +11,33 @@
 };
 
 /// Revisions that the history shows when nothing is asked.
-const SHOWN: usize = 20;
+const DEFAULT_ENTRIES: usize = 20;
 
 /// The most revisions that the history shows.
-const MOST: usize = 200;
+const MAX_ENTRIES: usize = 200;
 
 /// Shows the revision in force here.
-pub fn show(operator: &Operator) -> Shown {
+pub fn show(operator: &Operator) -> PageResult {
     let doc = operator.fleet.current.get();
     let doc = doc.ok_or_else(|| super::refused("this host knows no revision yet"))?;
     Ok(Reply::json(StatusCode::OK, &ConfigPage::from(&*doc)))
 }
 
 /// Shows a revision of the history.
-pub async fn revision(operator: &Operator, request: &Request) -> Shown {
-    let number: Revision = super::needed(request, "number")?;
-    let doc = operator.fleet.load(number).await.map_err(unusable)?;
+pub async fn revision(operator: &Operator, request: &Request) -> PageResult {
+    let number: Revision = super::required_param(request, "number")?;
+    let doc = operator.fleet.load(number).await.map_err(platform_error)?;
     let doc = doc.ok_or_else(|| super::faulty(format!("there is no revision {number}")))?;
     Ok(Reply::json(StatusCode::OK, &ConfigPage::from(&doc)))
 }
 
-fn unusable(error: anyhow::Error) -> Reply {
+fn platform_error(error: anyhow::Error) -> Reply {
     super::refused(format!("the platform cannot be used: {error:#}"))
 }
 
 /// Shows the last revisions, newest first.
-pub async fn history(operator: &Operator, request: &Request) -> Shown {
-    let n = super::setting(request, "n")?.unwrap_or(SHOWN).min(MOST);
-    let entries = operator.fleet.history(n).await.map_err(unusable)?;
+pub async fn history(operator: &Operator, request: &Request) -> PageResult {
+    let n = super::query_param(request, "n")?.unwrap_or(DEFAULT_ENTRIES).min(MAX_ENTRIES);
+    let entries = operator.fleet.history(n).await.map_err(platform_error)?;
     Ok(Reply::json(StatusCode::OK, &entries))
 }
--- a/components/operator/src/pages/mod.rs
+++ b/components/operator/src/pages/mod.rs
@@ -18,11 +18,11 @@
 };
 
 /// Why a page can't be shown, as the answer to it.
-type Shown = Result<Reply, Reply>;
+type PageResult = Result<Reply, Reply>;
 
 /// Answers a request that has shown the key.
 pub async fn answer(operator: &Operator, request: &Request) -> Reply {
-    let shown = match (&request.method, &*request.path) {
+    let result = match (&request.method, &*request.path) {
         (&Method::GET, "/config") => config::show(operator),
         (&Method::GET, "/history") => config::history(operator, request).await,
         (&Method::GET, "/revision") => config::revision(operator, request).await,
@@ -37,11 +37,11 @@
             Err(Reply::error(StatusCode::NOT_FOUND, Verdict::Faulty, message))
         }
     };
-    shown.unwrap_or_else(|error| error)
+    result.unwrap_or_else(|error| error)
 }
 
 /// A setting of the query; `None` when it is not there.
-fn setting<T: FromStr>(request: &Request, name: &str) -> Result<Option<T>, Reply> {
+fn query_param<T: FromStr>(request: &Request, name: &str) -> Result<Option<T>, Reply> {
     let pairs = request.query.split('&').filter_map(|pair| pair.split_once('='));
     let Some((_, text)) = pairs.into_iter().find(|(known, _)| *known == name) else {
         return Ok(None);
@@ -50,8 +50,8 @@
 }
 
 /// A setting of the query that must be there.
-fn needed<T: FromStr>(request: &Request, name: &str) -> Result<T, Reply> {
-    setting(request, name)?.ok_or_else(|| faulty(format!("the setting {name} is missing")))
+fn required_param<T: FromStr>(request: &Request, name: &str) -> Result<T, Reply> {
+    query_param(request, name)?.ok_or_else(|| faulty(format!("the setting {name} is missing")))
 }
 
 fn faulty(message: impl Into<Box<str>>) -> Reply {
--- a/components/operator/src/pages/outcome.rs
+++ b/components/operator/src/pages/outcome.rs
@@ -8,20 +8,20 @@
 use crate::{
     api::OutcomePage,
     operator::Operator,
-    pages::{Shown, needed, unknown},
+    pages::{PageResult, required_param, unknown},
     serve::{Reply, Request},
 };
 
 /// How long an answer is waited for: longer than a failover takes.
-const WITHIN: Duration = Duration::from_secs(3);
+const OUTCOME_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Asks the home of the group.
-pub async fn show(operator: &Operator, request: &Request) -> Shown {
+pub async fn show(operator: &Operator, request: &Request) -> PageResult {
     let of = OutcomeOf {
-        group: needed(request, "group")?,
-        account: needed(request, "account")?,
-        request: needed(request, "id")?,
-        within: WITHIN,
+        group: required_param(request, "group")?,
+        account: required_param(request, "account")?,
+        request: required_param(request, "id")?,
+        within: OUTCOME_TIMEOUT,
     };
     let doc = operator.fleet.current.get();
     let config = doc.as_ref().and_then(|doc| doc.config.as_ref());
--- a/components/operator/src/pages/status.rs
+++ b/components/operator/src/pages/status.rs
@@ -15,14 +15,15 @@
 };
 
 /// How long a host may take to report.
-const REPORT_WITHIN: Duration = Duration::from_millis(700);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Asks every host of the roster for its report.
 pub async fn show(operator: &Operator) -> Reply {
     let fleet = &operator.fleet;
     let doc = fleet.current.get();
     let roster = doc.as_ref().map(|doc| doc.roster.clone()).unwrap_or_default();
-    let lines = roster.iter().map(async |host| HostLine::new(host, ask(operator, host).await));
+    let lines =
+        roster.iter().map(async |host| HostLine::new(host, request_report(operator, host).await));
     let mut hosts = future::join_all(lines).await;
     hosts.sort_by(|a, b| a.host.cmp(&b.host));
     let config = doc.as_ref().and_then(|doc| doc.config.as_ref());
@@ -39,12 +40,12 @@
     Reply::json(StatusCode::OK, &page)
 }
 
-async fn ask(operator: &Operator, host: &Host) -> Option<HostReport> {
+async fn request_report(operator: &Operator, host: &Host) -> Option<HostReport> {
     if host.id == operator.fleet.me.id {
         return Some(operator.report());
     }
     let link = operator.fleet.mesh.link(&host.id)?;
-    match link.ask(Question::Report, REPORT_WITHIN).await {
+    match link.ask(Question::Report, REPORT_TIMEOUT).await {
         Ok(Answer::Report(report)) => Some(*report),
         _ => None,
     }
--- a/components/operator/src/serve.rs
+++ b/components/operator/src/serve.rs
@@ -20,10 +20,10 @@
 use crate::api::{ErrorPage, Verdict};
 
 /// The most bytes of a request's body.
-const MAX_BODY: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// How long a connection may stay without a whole head of a request.
-const HEADER_WITHIN: Duration = Duration::from_secs(30);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A request, read whole.
 pub struct Request {
@@ -103,7 +103,7 @@
     let Ok(io) = stream.into_poll_io() else { return };
     let service = service_fn(move |request| answer(request, handler.clone()));
     let mut builder = http1::Builder::new();
-    builder.timer(MonoioTimer).header_read_timeout(HEADER_WITHIN);
+    builder.timer(MonoioTimer).header_read_timeout(HEADER_TIMEOUT);
     if let Err(error) = builder.serve_connection(MonoioIo::new(io), service).await {
         debug!("operator: a connection ended: {error}.");
     }
@@ -127,7 +127,7 @@
     let (parts, body) = request.into_parts();
     let key = parts.headers.get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
     let key = key.and_then(|v| v.strip_prefix("Bearer ")).map(Into::into);
-    let body = Limited::new(body, MAX_BODY).collect().await;
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body = body.map_err(|error| anyhow::anyhow!("reading the request: {error}"))?;
     Ok(Request {
         method: parts.method,
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -97,7 +97,7 @@
     monoio::spawn(homes.poll_machines(operator.platform.clone()));
     monoio::spawn(accept_peers(peers, operator.clone(), entry.clone()));
     monoio::spawn(fleet.clone().run());
-    monoio::spawn(operator.clone().keep_metrics());
+    monoio::spawn(operator.clone().prune_metrics());
     if let Some(tls) = args.tls {
         monoio::spawn(stop::reload(tls));
     }
