--- a/components/metrics/src/spread.rs
+++ b/components/metrics/src/latency.rs
@@ -12,11 +12,11 @@
 
 /// How long requests took: a count for each step.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Spread {
+pub struct LatencyHistogram {
     counts: [u64; STEPS],
 }
 
-impl Spread {
+impl LatencyHistogram {
     /// Counts a request.
     pub fn add(&mut self, took: Duration) {
         let step = (0..STEPS - 1).find(|step| took <= bound(*step)).unwrap_or(STEPS - 1);
--- a/components/metrics/src/lib.rs
+++ b/components/metrics/src/lib.rs
@@ -1,11 +1,11 @@
-//! What a host measures and what it reports of itself.
+//! Measurements of a host and its reports.
 
 mod gauges;
 mod label;
+pub mod latency;
 pub mod metrics;
 pub mod report;
-pub mod spread;
 
+pub use latency::LatencyHistogram;
 pub use metrics::{Caller, Metrics, Phase, Timing};
 pub use report::{AccountReport, GroupReport, HostReport, ServerReport};
-pub use spread::Spread;
--- a/components/metrics/src/metrics.rs
+++ b/components/metrics/src/metrics.rs
@@ -24,8 +24,8 @@
 use crate::{
     gauges,
     label::{AccountLabels, GroupLabels, PhaseLabels, ReadLabels, RefusalLabels},
+    latency::{self, LatencyHistogram},
     report::{AccountReport, HostReport, Refused},
-    spread::{self, Spread},
 };
 
 /// The prefix of every name.
@@ -37,7 +37,7 @@
 
 impl MetricConstructor<Histogram> for Seconds {
     fn new_metric(&self) -> Histogram {
-        Histogram::new(spread::bounds())
+        Histogram::new(latency::bounds())
     }
 }
 
@@ -79,7 +79,7 @@
 #[derive(Clone, Default)]
 struct Served {
     total: Duration,
-    spread: Spread,
+    spread: LatencyHistogram,
 }
 
 /// What a host measures while it serves.
--- a/components/metrics/src/report.rs
+++ b/components/metrics/src/report.rs
@@ -8,7 +8,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::spread::Spread;
+use crate::latency::LatencyHistogram;
 
 /// What a host reports of itself.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -83,7 +83,7 @@
     /// Seconds that all of them took together, from the caller's message to the answer.
     pub seconds: f64,
     /// How long they took.
-    pub spread: Spread,
+    pub spread: LatencyHistogram,
     /// Requests refused, by reason; none that is 0.
     pub refused: Vec<Refused>,
 }
--- a/components/metrics/tests/labels.rs
+++ b/components/metrics/tests/labels.rs
@@ -5,7 +5,7 @@
 use bergamottrack_contract::Config;
 use bergamottrack_coordination::{AccountId, GroupId, Reason, Revision};
 use bergamottrack_metrics::{
-    GroupReport, HostReport, Metrics, Phase, ServerReport, Spread, Timing,
+    GroupReport, HostReport, LatencyHistogram, Metrics, Phase, ServerReport, Timing,
 };
 
 fn report() -> HostReport {
@@ -64,7 +64,7 @@
 
 #[test]
 fn times_of_several_hosts_add_up() {
-    let (mut here, mut there) = (Spread::default(), Spread::default());
+    let (mut here, mut there) = (LatencyHistogram::default(), LatencyHistogram::default());
     assert_eq!(here.within(0.99), None);
     (0..99).for_each(|_| here.add(Duration::from_micros(900)));
     assert_eq!(here.within(0.99), Some(Duration::from_millis(1)));
--- a/src/cmd/accounts.rs
+++ b/src/cmd/accounts.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_contract::ClientAccount;
 use bergamottrack_coordination::{AccountId, Reason};
-use bergamottrack_metrics::{AccountReport, Spread};
+use bergamottrack_metrics::{AccountReport, LatencyHistogram};
 use bergamottrack_operator::api::{ConfigPage, HostLine, StatusPage};
 use serde::Serialize;
 
@@ -15,7 +15,7 @@
 struct Faring {
     served: u64,
     seconds: f64,
-    spread: Spread,
+    spread: LatencyHistogram,
     refused: BTreeMap<Reason, u64>,
 }
 
