--- a/components/operator/src/api.rs
+++ b/components/operator/src/api.rs
@@ -1,4 +1,4 @@
-//! What the pages answer, as JSON.
+//! JSON types in the replies of the pages.
 
 use bergamottrack_contract::{Config, Host, RevisionDoc};
 use bergamottrack_coordination::{
@@ -10,15 +10,15 @@
 /// A revision of the configuration.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigPage {
-    /// The revision; it may have changed the roster only.
+    /// Number of the revision; it may have changed only the roster.
     pub revision: Revision,
-    /// The revision that brought the configuration.
+    /// Revision that introduced the configuration.
     pub config_revision: Revision,
-    /// Who made the revision.
+    /// Author of the revision.
     pub author: Box<str>,
-    /// When, in seconds since 1970.
+    /// Time of its creation in seconds since 1970.
     pub at: u64,
-    /// The configuration; none before the first submit.
+    /// Configuration; `None` before the first submit.
     pub config: Option<Config>,
 }
 
@@ -34,86 +34,86 @@
     }
 }
 
-/// A change that was accepted.
+/// An accepted change.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct AcceptedPage {
-    /// The revision that holds it.
+    /// Revision that contains the change.
     pub revision: Revision,
-    /// The hosts that have it in force.
+    /// Hosts that have it in force.
     pub in_force: Vec<HostId>,
-    /// The hosts that do not have it yet; they serve nobody before they have it.
+    /// Hosts that do not have it yet; they serve no requests until they have it.
     pub missing: Vec<HostId>,
-    /// What a person should know besides.
+    /// Additional notes for the operator.
     pub notes: Vec<Box<str>>,
 }
 
-/// What became of a caller's request that runs at most once.
+/// Outcome of a caller's request that runs at most once.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OutcomePage {
-    /// The database group.
+    /// Database group.
     pub group: GroupId,
-    /// The client account.
+    /// Client account.
     pub account: AccountId,
-    /// The caller's id of the request.
+    /// Id that the caller gave to the request.
     pub request: RequestId,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// What became of a request that was not carried out.
+/// Outcome of a request to a page that failed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
     /// Not accepted; it changed nothing.
     Refused,
-    /// The request itself is faulty.
+    /// The request itself is invalid.
     Faulty,
-    /// Not known yet; the same request may be sent again.
+    /// The outcome is not yet known; the same request may be sent again.
     Unknown,
 }
 
-/// Why a request was not carried out.
+/// Reply to a request to a page that failed.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ErrorPage {
-    /// What became of it.
+    /// Outcome of the request.
     pub verdict: Verdict,
-    /// What a person should know.
+    /// Message for the operator.
     pub message: Box<str>,
 }
 
-/// The fleet as one host sees it.
+/// State of the fleet as seen by one host.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StatusPage {
-    /// The host that answers.
+    /// Host that created this page.
     pub from: HostId,
-    /// The name of the site; none before the first submit.
+    /// Name of the site; `None` before the first submit.
     pub site: Option<Box<str>>,
-    /// The revision in force at the host that answers.
+    /// Revision in force on that host.
     pub revision: Revision,
-    /// The revision that brought the configuration.
+    /// Revision that introduced the configuration.
     pub config_revision: Revision,
-    /// Who made the revision.
+    /// Author of the revision.
     pub author: Box<str>,
-    /// When, in seconds since 1970.
+    /// Time of its creation in seconds since 1970.
     pub at: u64,
-    /// The database groups of the configuration.
+    /// Database groups in the configuration.
     pub groups: Vec<GroupId>,
-    /// All hosts of the roster.
+    /// Hosts of the roster.
     pub hosts: Vec<HostLine>,
 }
 
 /// A host of the roster.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HostLine {
-    /// The host.
+    /// Id of the host.
     pub host: HostId,
-    /// The failure domain it stands in.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// What it reports; `None` when it did not answer.
+    /// Report of the host; `None` if it did not answer.
     pub report: Option<HostReport>,
 }
 
 impl HostLine {
-    /// The line of a host.
+    /// Creates the entry of a host.
     pub fn new(host: &Host, report: Option<HostReport>) -> Self {
         Self { host: host.id.clone(), domain: host.domain.clone(), report }
     }
