--- a/components/operator/src/client.rs
+++ b/components/operator/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the pages, for the commands.
+//! Client of the pages, used by the commands.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,30 +9,30 @@
 
 use crate::api::{ErrorPage, Verdict};
 
-/// How long a host may take to answer: a submit waits for the platform and the fleet.
+/// Timeout of a request; a submit waits for the platform and the fleet.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a command has no answer.
+/// Error of a request to a page.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The host could not be reached, or what it answers can't be read.
+    /// The host could not be reached, or its reply could not be read.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The host did not carry it out.
+    /// The host replied with an error page.
     #[error("{}", .0.message)]
     Reported(ErrorPage),
-    /// The host answered something else.
+    /// The host replied with something other than a page.
     #[error("{address} answered {status}, which no host of this version does")]
     Unexpected {
-        /// The host.
+        /// Address of the host.
         address: SocketAddr,
-        /// What it answered.
+        /// Status of the reply.
         status: StatusCode,
     },
 }
 
 impl ClientError {
-    /// What became of the request.
+    /// Returns the outcome of the request.
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::Http(HttpError::Unreachable { .. }) => Verdict::Refused,
@@ -42,24 +42,24 @@
     }
 }
 
-/// A client of one host's pages.
+/// Client of one host's pages.
 pub struct Client {
     address: SocketAddr,
     authorization: Box<str>,
 }
 
 impl Client {
-    /// A client that shows the operator key.
+    /// Creates a client that authenticates with the operator key.
     pub fn new(address: SocketAddr, key: &str) -> Self {
         Self { address, authorization: format!("Bearer {key}").into() }
     }
 
-    /// Reads a page.
+    /// Requests a page.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// Has something done.
+    /// Requests an action.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
