--- a/components/operator/src/operator.rs
+++ b/components/operator/src/operator.rs
@@ -1,4 +1,4 @@
-//! What the pages are made of, and who may see them.
+//! Data source of the pages, and access to them.
 
 use std::{pin::Pin, rc::Rc};
 
@@ -16,49 +16,49 @@
     serve::{Handler, Reply, Request},
 };
 
-/// The key that operators show, kept as a keyed hash under a random secret.
+/// Key for the authentication of operators, stored as a keyed hash under a random secret.
 ///
-/// Guards against a key that is guessed letter by letter from the time of the
-/// answer: the hashes are compared in constant time.
+/// Guards against a timing attack that guesses the key character by character: the hashes are
+/// compared in constant time.
 pub struct OperatorKey {
     secret: Secret,
     hash: [u8; 32],
 }
 
 impl OperatorKey {
-    /// Keeps a key.
+    /// Stores the hash of a key.
     pub fn new(key: &str) -> Self {
         let secret = Secret::new(&rand::random::<[u8; 32]>());
         let hash = secret.sign(&[key.as_bytes()]);
         Self { secret, hash }
     }
 
-    /// Whether the key is the same.
+    /// Returns whether the given key is the same.
     pub fn matches(&self, key: &str) -> bool {
         self.secret.verify(&[key.as_bytes()], &self.hash)
     }
 }
 
-/// What the pages are made of.
+/// Data source of the pages.
 pub struct Operator {
-    /// What this host knows of the fleet.
+    /// State of the fleet as seen by this host.
     pub fleet: Rc<Fleet>,
-    /// The groups whose home this host is.
+    /// Groups whose home is this host.
     pub homes: Rc<Homes>,
-    /// What this host measures.
+    /// Metrics of this host.
     pub metrics: Rc<Metrics>,
-    /// The platform, for the number of calls.
+    /// Platform client, for the number of calls.
     pub platform: Rc<Platform>,
-    /// The clock.
+    /// Clock of this host.
     pub clock: Rc<dyn Clock>,
-    /// The key that operators show; without one all pages but `/metrics` are closed.
+    /// Key for the authentication of operators; without one only `/metrics` is available.
     pub key: Option<OperatorKey>,
-    /// Woken when an operator wants this host drained.
+    /// Notified when an operator requests that this host be drained.
     pub drain: Rc<Notify>,
 }
 
 impl Operator {
-    /// What this host reports of itself.
+    /// Returns the report of this host.
     pub fn report(&self) -> HostReport {
         let (current, me) = (&self.fleet.current, &self.fleet.me);
         let (doc, now) = (current.get(), self.clock.now());
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Drops what was measured of what leaves the configuration; until the process ends.
+    /// Drops the metrics of accounts and groups that are removed from the configuration; runs
+    /// until the process ends.
     pub async fn prune_metrics(self: Rc<Self>) {
         loop {
             self.fleet.current.changed().await;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Answers the requests of operators.
+    /// Returns the handler of requests by operators.
     pub fn handler(self: Rc<Self>) -> Rc<Handler> {
         Rc::new(move |request: Request| -> Pin<Box<dyn Future<Output = Reply>>> {
             let operator = self.clone();
@@ -95,7 +96,8 @@
         })
     }
 
-    /// `/metrics` is open, so that a scraper needs no key that may also change things.
+    /// Answers a request. `/metrics` needs no key, so that a scraper does not have one that also
+    /// permits changes.
     async fn answer(&self, request: &Request) -> Reply {
         if &*request.path == "/metrics" {
             return pages::metrics::show(self);
