--- a/components/operator/src/pages/change.rs
+++ b/components/operator/src/pages/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration.
+//! Pages that change the configuration.
 
 use std::time::UNIX_EPOCH;
 
@@ -16,24 +16,25 @@
     serve::{Reply, Request},
 };
 
-/// How often a withdrawal is made again on top of other changes.
+/// Maximum number of attempts to withdraw a key while other changes conflict with it.
 const MAX_WITHDRAW_ATTEMPTS: usize = 5;
 
-/// The most differences that a lost race shows.
+/// Maximum number of differences listed in a conflict.
 const MAX_DIFFERENCES: usize = 20;
 
-/// A change as an operator sent it.
+/// A change submitted by an operator.
 struct Change {
     config: Config,
     author: OperatorId,
     submit: SubmitId,
     base: Revision,
-    /// What the log says of it.
+    /// Description for the log.
     description: Box<str>,
     notes: Vec<Box<str>>,
 }
 
 impl Change {
+    /// Creates a change from the parameters of a request.
     fn read(
         operator: &Operator,
         request: &Request,
@@ -52,13 +53,14 @@
         })
     }
 
-    /// Guards against a withdrawn key that works again because the operator's files
-    /// still have it standing: it shows as a caller that gets in after the phone call
-    /// that withdrew it. What is in force here was just read anew, so it knows of the
-    /// withdrawal, or else the submit loses against the revision that made it.
+    /// Refuses a change that makes a withdrawn key valid again because the operator's files still
+    /// have it as valid; a caller could then log in with a key that had been withdrawn by phone.
+    ///
+    /// The revision in force was read immediately before, so it contains the withdrawal;
+    /// otherwise the submit conflicts with the revision that made it.
     fn check_withdrawn(&self, operator: &Operator) -> Result<(), Reply> {
         let Some(doc) = operator.fleet.current.get() else { return Ok(()) };
-        // Made against an older configuration it loses anyway, or was accepted before.
+        // A change based on an older configuration is a conflict anyway, or was accepted before.
         if self.base < doc.config_revision {
             return Ok(());
         }
@@ -75,10 +77,11 @@
         )))
     }
 
+    /// Submits the change.
     async fn send(self, operator: &Operator) -> Result<AcceptedPage, SubmitError> {
         let Self { config, author, submit, base, description, notes } = self;
         let accepted = operator.fleet.submit(config, author.as_str(), submit, base).await?;
-        info!("operator: {author} {description}: revision {} is accepted.", accepted.revision);
+        info!("operator: {author} {description}: revision {} was accepted.", accepted.revision);
         let (mut in_force, mut missing) = (accepted.in_force, accepted.missing);
         in_force.sort();
         missing.sort();
@@ -86,15 +89,15 @@
     }
 }
 
-/// Reads the newest revision, so that what is checked here is not checked against
-/// an older one than the operator has seen through another host.
+/// Reads the newest revision, so that a change is not checked against an older one than the
+/// operator has seen on another host.
 async fn refresh_revision(operator: &Operator) -> Result<(), Reply> {
     let newest = operator.fleet.refresh().await;
     newest.map_err(|error| super::refused(SubmitError::Platform(error).to_string()))?;
     Ok(())
 }
 
-/// Puts a whole configuration in force.
+/// Puts a complete configuration into force.
 pub async fn submit(operator: &Operator, request: &Request) -> PageResult {
     let text = String::from_utf8_lossy(&request.body);
     let config = Config::parse(&text).map_err(|faults| super::faulty(faults.to_string()))?;
@@ -107,7 +110,7 @@
     reply(operator, change.send(operator).await).await
 }
 
-/// Puts an earlier configuration in force as a new revision; withdrawn keys stay withdrawn.
+/// Puts an earlier configuration into force as a new revision; withdrawn keys stay withdrawn.
 pub async fn rollback(operator: &Operator, request: &Request) -> PageResult {
     let to: Revision = super::required_param(request, "to")?;
     refresh_revision(operator).await?;
@@ -127,6 +130,7 @@
     reply(operator, change.send(operator).await).await
 }
 
+/// Withdraws the keys in `config` that are withdrawn in `now`; returns a note for each.
 fn keep_withdrawn(now: &Config, config: &mut Config) -> Vec<Box<str>> {
     let restored = diff::restored_keys(now, config);
     let names: Vec<_> =
@@ -139,7 +143,7 @@
     notes
 }
 
-/// Withdraws a key, whatever else changes at the same time.
+/// Withdraws a key, also if other changes are made concurrently.
 pub async fn withdraw(operator: &Operator, request: &Request) -> PageResult {
     let account: AccountId = super::required_param(request, "account")?;
     let key: KeyId = super::required_param(request, "key")?;
@@ -164,13 +168,14 @@
     }
 }
 
-/// Marks a key as withdrawn; false when there is no such key.
+/// Marks a key as withdrawn; returns `false` if there is no such key.
 fn withdraw_key(config: &mut Config, account: &AccountId, key: &KeyId) -> bool {
     let accounts = config.accounts.iter_mut().filter(|known| known.id == *account);
     let key = accounts.flat_map(|account| &mut account.keys).find(|known| known.id == *key);
     key.map(|key| key.withdrawn = true).is_some()
 }
 
+/// Creates the reply to a submit from its result.
 async fn reply(operator: &Operator, result: Result<AcceptedPage, SubmitError>) -> PageResult {
     match result {
         Ok(page) => Ok(Reply::json(StatusCode::OK, &page)),
@@ -184,7 +189,7 @@
     }
 }
 
-/// Who changed what since the revision that a submit was made against.
+/// Lists the revisions since the base revision of a submit and the differences they made.
 async fn describe_conflict(operator: &Operator, base: Revision, changes: &[Entry]) -> String {
     let mut text = format!(
         "not accepted, nothing changed: the configuration has been changed since revision {base}:"
@@ -193,7 +198,7 @@
     for Entry { number, author, at, .. } in changes {
         text += &format!("\n  revision {number} by {author}, {}s ago", now.saturating_sub(*at));
     }
-    // Without the platform it is still told who made the changes.
+    // The authors of the changes are listed even if the platform is unavailable.
     let before = operator.fleet.load(base).await.ok().flatten();
     let after = operator.fleet.current.get();
     if let (Some(before), Some(after)) = (before, after.and_then(|doc| doc.config.clone())) {
