--- a/components/operator/src/pages/config.rs
+++ b/components/operator/src/pages/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and how it came about.
+//! Pages with the configuration in force and its history.
 
 use bergamottrack_coordination::Revision;
 use hyper::StatusCode;
@@ -10,20 +10,20 @@
     serve::{Reply, Request},
 };
 
-/// Revisions that the history shows when nothing is asked.
+/// Default number of revisions in the history.
 const DEFAULT_ENTRIES: usize = 20;
 
-/// The most revisions that the history shows.
+/// Maximum number of revisions in the history.
 const MAX_ENTRIES: usize = 200;
 
-/// Shows the revision in force here.
+/// Shows the revision in force on this host.
 pub fn show(operator: &Operator) -> PageResult {
     let doc = operator.fleet.current.get();
     let doc = doc.ok_or_else(|| super::refused("this host knows no revision yet"))?;
     Ok(Reply::json(StatusCode::OK, &ConfigPage::from(&*doc)))
 }
 
-/// Shows a revision of the history.
+/// Shows the revision with a given number.
 pub async fn revision(operator: &Operator, request: &Request) -> PageResult {
     let number: Revision = super::required_param(request, "number")?;
     let doc = operator.fleet.load(number).await.map_err(platform_error)?;
