--- a/components/operator/src/pages/metrics.rs
+++ b/components/operator/src/pages/metrics.rs
@@ -1,10 +1,10 @@
-//! What a scraper reads.
+//! Page with the metrics for a scraper.
 
 use hyper::StatusCode;
 
 use crate::{api::Verdict, operator::Operator, serve::Reply};
 
-/// All that is measured, in the OpenMetrics text format.
+/// Shows all metrics in the OpenMetrics text format.
 pub fn show(operator: &Operator) -> Reply {
     match operator.metrics.render(&operator.report()) {
         Ok(text) => Reply {
