--- a/components/operator/src/pages/mod.rs
+++ b/components/operator/src/pages/mod.rs
@@ -1,4 +1,4 @@
-//! The pages, a file each.
+//! Pages of the HTTP interface, one file for each topic.
 
 pub mod change;
 pub mod config;
@@ -17,10 +17,10 @@
     serve::{Reply, Request},
 };
 
-/// Why a page can't be shown, as the answer to it.
+/// Reply to a request; the error is an error page.
 type PageResult = Result<Reply, Reply>;
 
-/// Answers a request that has shown the key.
+/// Answers an authenticated request.
 pub async fn answer(operator: &Operator, request: &Request) -> Reply {
     let result = match (&request.method, &*request.path) {
         (&Method::GET, "/config") => config::show(operator),
@@ -40,7 +40,7 @@
     result.unwrap_or_else(|error| error)
 }
 
-/// A setting of the query; `None` when it is not there.
+/// Returns a parameter of the query; `None` if it is missing.
 fn query_param<T: FromStr>(request: &Request, name: &str) -> Result<Option<T>, Reply> {
     let pairs = request.query.split('&').filter_map(|pair| pair.split_once('='));
     let Some((_, text)) = pairs.into_iter().find(|(known, _)| *known == name) else {
@@ -49,7 +49,7 @@
     text.parse().map(Some).map_err(|_| faulty(format!("{name}={text} can't be read")))
 }
 
-/// A setting of the query that must be there.
+/// Returns a required parameter of the query.
 fn required_param<T: FromStr>(request: &Request, name: &str) -> Result<T, Reply> {
     query_param(request, name)?.ok_or_else(|| faulty(format!("the setting {name} is missing")))
 }
