--- a/components/operator/src/pages/outcome.rs
+++ b/components/operator/src/pages/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request that runs at most once.
+//! Page with the outcome of a request that runs at most once.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
     serve::{Reply, Request},
 };
 
-/// How long an answer is waited for: longer than a failover takes.
+/// Timeout of the request to the group's home; longer than a failover.
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Asks the home of the group.
+/// Requests the outcome from the home of the group.
 pub async fn show(operator: &Operator, request: &Request) -> PageResult {
     let of = OutcomeOf {
         group: required_param(request, "group")?,
@@ -26,7 +26,7 @@
     let doc = operator.fleet.current.get();
     let config = doc.as_ref().and_then(|doc| doc.config.as_ref());
     let config = config.ok_or_else(|| unknown("this host has no configuration yet"))?;
-    // Mistyped, nothing would be found, and a caller would hear "not run" of what ran.
+    // Nothing would be found for a mistyped id, and a request that ran would be reported as not run.
     if config.group(&of.group).is_none() {
         return Err(super::faulty(format!("there is no group {}", of.group)));
     }
