--- a/components/operator/src/pages/status.rs
+++ b/components/operator/src/pages/status.rs
@@ -1,4 +1,4 @@
-//! The fleet as this host sees it.
+//! Page with the state of the fleet as seen by this host.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     serve::Reply,
 };
 
-/// How long a host may take to report.
+/// Timeout of a request for a host's report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Asks every host of the roster for its report.
+/// Requests the reports of all hosts of the roster.
 pub async fn show(operator: &Operator) -> Reply {
     let fleet = &operator.fleet;
     let doc = fleet.current.get();
@@ -40,6 +40,7 @@
     Reply::json(StatusCode::OK, &page)
 }
 
+/// Returns the report of a host; `None` if it does not answer.
 async fn request_report(operator: &Operator, host: &Host) -> Option<HostReport> {
     if host.id == operator.fleet.me.id {
         return Some(operator.report());
