--- a/components/operator/src/serve.rs
+++ b/components/operator/src/serve.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 for operators: one task a connection.
+//! HTTP/1.1 server for operators, with one task per connection.
 
 use std::{future::Future, io, net::SocketAddr, pin::Pin, rc::Rc, time::Duration};
 
@@ -19,71 +19,71 @@
 
 use crate::api::{ErrorPage, Verdict};
 
-/// The most bytes of a request's body.
+/// Maximum size of a request body.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// How long a connection may stay without a whole head of a request.
+/// Time within which a connection must send a complete request head.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request, read whole.
+/// A completely received request.
 pub struct Request {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path without the query.
+    /// Path without the query.
     pub path: Box<str>,
-    /// The query, not decoded.
+    /// Query string, not decoded.
     pub query: Box<str>,
-    /// What follows `Bearer` in the authorization header.
+    /// Bearer token in the authorization header.
     pub key: Option<Box<str>>,
-    /// All headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
 }
 
 impl Request {
-    /// A header, if it is there and is text.
+    /// Returns the value of a header, if present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
-/// What is answered.
+/// Reply to a request.
 pub struct Reply {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The type of the body.
+    /// Content type of the body.
     pub kind: &'static str,
-    /// The body.
+    /// Reply body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// An answer in JSON.
+    /// Creates a reply in JSON.
     pub fn json(status: StatusCode, value: &impl serde::Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self { status, kind: "application/json", body: body.into() }
     }
 
-    /// An answer that tells why nothing else is answered.
+    /// Creates an error page.
     pub fn error(status: StatusCode, verdict: Verdict, message: impl Into<Box<str>>) -> Self {
         Self::json(status, &ErrorPage { verdict, message: message.into() })
     }
 
-    /// An answer in plain text.
+    /// Creates a reply in plain text.
     pub fn text(status: StatusCode, text: impl Into<String>) -> Self {
         Self { status, kind: "text/plain; charset=utf-8", body: text.into().into() }
     }
 }
 
-/// Answers one request.
+/// Function that answers one request.
 pub type Handler = dyn Fn(Request) -> Pin<Box<dyn Future<Output = Reply>>>;
 
-/// Listens at an address that no other process has.
+/// Listens on an address exclusively.
 ///
-/// The runtime's default lets several processes share a port, each getting some
-/// of the connections: a second host on a machine, or one left over, would take
-/// callers and answer them from another fleet. Now the second start fails.
+/// By default the runtime lets several processes share a port, so that each gets some of the
+/// connections. A second or leftover host on a machine would then accept callers and serve them
+/// from another fleet. With exclusive use, the start of the second process fails.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind_with_config(address, &ListenerOpts::new().reuse_port(false))
 }
@@ -91,8 +91,8 @@
 /// Serves operators until the process ends.
 pub async fn serve(address: SocketAddr, handler: Rc<Handler>) -> anyhow::Result<()> {
     let listener =
-        listen(address).with_context(|| format!("listening for operators at {address}"))?;
-    info!("operator: listening at {}.", listener.local_addr()?);
+        listen(address).with_context(|| format!("cannot listen for operators on {address}"))?;
+    info!("operator: listening on {}.", listener.local_addr()?);
     loop {
         let stream = accept::stream(&listener, "operators").await;
         monoio::spawn(connection(stream, handler.clone()));
@@ -105,7 +105,7 @@
     let mut builder = http1::Builder::new();
     builder.timer(MonoioTimer).header_read_timeout(HEADER_TIMEOUT);
     if let Err(error) = builder.serve_connection(MonoioIo::new(io), service).await {
-        debug!("operator: a connection ended: {error}.");
+        debug!("operator: connection failed: {error}.");
     }
 }
 
