--- a/components/metrics/src/gauges.rs
+++ b/components/metrics/src/gauges.rs
@@ -15,18 +15,28 @@
     report::{GroupReport, HostReport, ServerReport},
 };
 
-type Float = Gauge<f64, AtomicU64>;
+type FloatGauge = Gauge<f64, AtomicU64>;
 
 /// The gauges of a report.
 pub fn registry(report: &HostReport) -> Registry {
     let mut registry = Registry::with_prefix(PREFIX);
     let r = &mut registry;
-    one(r, "revision", "Revision in force here", report.revision.0);
-    one(r, "acts", "Whether this host may serve: 1 or 0", u64::from(report.acts));
-    one(r, "draining", "Whether this host is stopping: 1 or 0", u64::from(report.draining));
-    one(r, "platform_calls", "Calls of the platform since the start", report.platform_calls);
+    register_gauge(r, "revision", "Revision in force here", report.revision.0);
+    register_gauge(r, "acts", "Whether this host may serve: 1 or 0", u64::from(report.acts));
+    register_gauge(
+        r,
+        "draining",
+        "Whether this host is stopping: 1 or 0",
+        u64::from(report.draining),
+    );
+    register_gauge(
+        r,
+        "platform_calls",
+        "Calls of the platform since the start",
+        report.platform_calls,
+    );
     if let Some(fresh) = report.fresh {
-        let gauge = Float::default();
+        let gauge = FloatGauge::default();
         gauge.set(fresh.as_secs_f64());
         let help = "Time since the revision was last shown to be the newest";
         r.register_with_unit("fresh_age", help, Unit::Seconds, gauge);
@@ -36,25 +46,25 @@
     registry
 }
 
-fn one(registry: &mut Registry, name: &str, help: &str, value: u64) {
-    let gauge = Float::default();
+fn register_gauge(registry: &mut Registry, name: &str, help: &str, value: u64) {
+    let gauge = FloatGauge::default();
     gauge.set(value as f64);
     registry.register(name, help, gauge);
 }
 
-fn family<L>(registry: &mut Registry, name: &str, help: &str) -> Family<L, Float>
+fn register_family<L>(registry: &mut Registry, name: &str, help: &str) -> Family<L, FloatGauge>
 where
     L: Clone + EncodeLabelSet + Eq + std::fmt::Debug + std::hash::Hash + Send + Sync + 'static,
 {
-    let family = Family::<L, Float>::default();
+    let family = Family::<L, FloatGauge>::default();
     registry.register(name, help, family.clone());
     family
 }
 
 fn groups(r: &mut Registry, groups: &[GroupReport]) {
-    let term = family(r, "group_term", "Greatest term seen");
-    let primary = family(r, "group_primary", "Whether a primary is known: 1 or 0");
-    let queue = family(r, "group_queue", "Requests that wait for a slot");
+    let term = register_family(r, "group_term", "Greatest term seen");
+    let primary = register_family(r, "group_primary", "Whether a primary is known: 1 or 0");
+    let queue = register_family(r, "group_queue", "Requests that wait for a slot");
     for report in groups {
         let labels = GroupLabels::new(&report.group);
         term.get_or_create(&labels).set(report.term.0 as f64);
@@ -64,17 +74,18 @@
 }
 
 fn servers(r: &mut Registry, groups: &[GroupReport]) {
-    let up = family(r, "server_up", "Whether the server answers: 1 or 0");
-    let position = family(r, "server_position", "Last position that its reads show");
-    let heard = family(r, "server_heard_age_seconds", "Time since it was last heard of");
-    let busy = family(r, "server_slots_in_use", "Statements that it runs for this home");
-    let slots = family(r, "server_slots", "Statements that it may run at once");
-    let connections = family(r, "server_connections", "Connections of this home to it");
-    let leaving = family(r, "server_leaving", "Whether it gets no new work: 1 or 0");
+    let up = register_family(r, "server_up", "Whether the server answers: 1 or 0");
+    let position = register_family(r, "server_position", "Last position that its reads show");
+    let contact_age =
+        register_family(r, "server_heard_age_seconds", "Time since it was last heard of");
+    let busy = register_family(r, "server_slots_in_use", "Statements that it runs for this home");
+    let slots = register_family(r, "server_slots", "Statements that it may run at once");
+    let connections = register_family(r, "server_connections", "Connections of this home to it");
+    let leaving = register_family(r, "server_leaving", "Whether it gets no new work: 1 or 0");
     let all = groups.iter().flat_map(|group| group.servers.iter().map(move |s| (group, s)));
     for (group, report) in all {
         let labels = labels(group, report);
-        let set = |family: &Family<ServerLabels, Float>, value: f64| {
+        let set = |family: &Family<ServerLabels, FloatGauge>, value: f64| {
             family.get_or_create(&labels).set(value);
         };
         set(&up, f64::from(u8::from(report.role.is_some())));
@@ -84,7 +95,7 @@
         set(&connections, report.connections as f64);
         set(&leaving, f64::from(u8::from(report.leaving)));
         if let Some(age) = report.heard {
-            set(&heard, age.as_secs_f64());
+            set(&contact_age, age.as_secs_f64());
         }
     }
 }
--- a/components/metrics/src/latency.rs
+++ b/components/metrics/src/latency.rs
@@ -5,22 +5,23 @@
 use serde::{Deserialize, Serialize};
 
 /// Upper bound of the first step.
-const FIRST: Duration = Duration::from_micros(500);
+const FIRST_BOUND: Duration = Duration::from_micros(500);
 
 /// Steps, each twice as long as the one before; the last one has no bound.
-const STEPS: usize = 16;
+const BUCKETS: usize = 16;
 
 /// How long requests took: a count for each step.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LatencyHistogram {
-    counts: [u64; STEPS],
+    counts: [u64; BUCKETS],
 }
 
 impl LatencyHistogram {
     /// Counts a request.
     pub fn add(&mut self, took: Duration) {
-        let step = (0..STEPS - 1).find(|step| took <= bound(*step)).unwrap_or(STEPS - 1);
-        self.counts[step] += 1;
+        let bucket =
+            (0..BUCKETS - 1).find(|bucket| took <= upper_bound(*bucket)).unwrap_or(BUCKETS - 1);
+        self.counts[bucket] += 1;
     }
 
     /// Adds what another host counted.
@@ -35,23 +36,23 @@
 
     /// The time within which this share of the requests was answered, rounded up
     /// to its step; `None` when there is none, or it lies in the last step.
-    pub fn within(&self, share: f64) -> Option<Duration> {
-        let wanted = (self.total() as f64 * share).ceil() as u64;
-        let mut seen = 0;
+    pub fn quantile(&self, fraction: f64) -> Option<Duration> {
+        let rank = (self.total() as f64 * fraction).ceil() as u64;
+        let mut cumulative = 0;
         let reached = |count: &u64| {
-            seen += count;
-            seen >= wanted.max(1)
+            cumulative += count;
+            cumulative >= rank.max(1)
         };
-        let step = self.counts.iter().position(reached)?;
-        (step < STEPS - 1).then(|| bound(step))
+        let bucket = self.counts.iter().position(reached)?;
+        (bucket < BUCKETS - 1).then(|| upper_bound(bucket))
     }
 }
 
-fn bound(step: usize) -> Duration {
-    FIRST * (1 << step)
+fn upper_bound(bucket: usize) -> Duration {
+    FIRST_BOUND * (1 << bucket)
 }
 
 /// The upper bounds of all steps but the last, in seconds.
-pub fn bounds() -> impl Iterator<Item = f64> {
-    (0..STEPS - 1).map(|step| bound(step).as_secs_f64())
+pub fn upper_bounds() -> impl Iterator<Item = f64> {
+    (0..BUCKETS - 1).map(|bucket| upper_bound(bucket).as_secs_f64())
 }
--- a/components/metrics/src/metrics.rs
+++ b/components/metrics/src/metrics.rs
@@ -25,7 +25,7 @@
     gauges,
     label::{AccountLabels, GroupLabels, PhaseLabels, ReadLabels, RefusalLabels},
     latency::{self, LatencyHistogram},
-    report::{AccountReport, HostReport, Refused},
+    report::{AccountReport, HostReport, RefusalCount},
 };
 
 /// The prefix of every name.
@@ -33,15 +33,15 @@
 
 /// Buckets from 0.5 ms to 8.2 s, each twice the one before.
 #[derive(Clone)]
-struct Seconds;
+struct SecondsBuckets;
 
-impl MetricConstructor<Histogram> for Seconds {
+impl MetricConstructor<Histogram> for SecondsBuckets {
     fn new_metric(&self) -> Histogram {
-        Histogram::new(latency::bounds())
+        Histogram::new(latency::upper_bounds())
     }
 }
 
-type Histograms<L> = Family<L, Histogram, Seconds>;
+type Histograms<L> = Family<L, Histogram, SecondsBuckets>;
 
 /// A step of a promotion.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -77,7 +77,7 @@
 
 /// What was served for an account, beside the histogram, which can't be read back.
 #[derive(Clone, Default)]
-struct Served {
+struct ServedTotals {
     total: Duration,
     spread: LatencyHistogram,
 }
@@ -99,20 +99,20 @@
     unproved: Counter,
     callers: Gauge,
     /// Accounts and groups that have labels; what leaves the configuration loses them.
-    accounts: RefCell<HashMap<AccountId, Served>>,
+    accounts: RefCell<HashMap<AccountId, ServedTotals>>,
     groups: RefCell<HashSet<GroupId>>,
 }
 
-fn seconds<L>(registry: &mut Registry, name: &str, help: &str) -> Histograms<L>
+fn register_histogram<L>(registry: &mut Registry, name: &str, help: &str) -> Histograms<L>
 where
     L: Clone + EncodeLabelSet + Eq + fmt::Debug + std::hash::Hash + Send + Sync + 'static,
 {
-    let family = Family::new_with_constructor(Seconds);
+    let family = Family::new_with_constructor(SecondsBuckets);
     registry.register_with_unit(name, help, Unit::Seconds, family.clone());
     family
 }
 
-fn register<M: Clone + Default + prometheus_client::registry::Metric>(
+fn register_metric<M: Clone + Default + prometheus_client::registry::Metric>(
     registry: &mut Registry,
     name: &str,
     help: &str,
@@ -127,19 +127,27 @@
         let mut registry = Registry::with_prefix(PREFIX);
         let r = &mut registry;
         Self {
-            account_total: seconds(r, "account_total", "From a caller's message to its answer"),
-            account_wait: seconds(r, "account_wait", "Wait for a slot and a connection"),
-            account_service: seconds(r, "account_service", "Time at the backend server"),
-            group_total: seconds(r, "group_total", "From a caller's message to its answer"),
-            group_wait: seconds(r, "group_wait", "Wait for a slot and a connection"),
-            group_service: seconds(r, "group_service", "Time at the backend server"),
-            refusals: register(r, "refusals", "Requests refused"),
-            reads: register(r, "reads", "Reads answered, by the kind of server"),
-            promotions: seconds(r, "promotion", "Phases of promotions of a new primary"),
-            lent: register(r, "tokens_lent", "Tokens of the rate lent to other hosts"),
-            borrowed: register(r, "tokens_borrowed", "Tokens of the rate borrowed"),
-            unproved: register(r, "callers_unproved", "Callers that did not prove a key"),
-            callers: register(r, "callers", "Callers connected"),
+            account_total: register_histogram(
+                r,
+                "account_total",
+                "From a caller's message to its answer",
+            ),
+            account_wait: register_histogram(r, "account_wait", "Wait for a slot and a connection"),
+            account_service: register_histogram(r, "account_service", "Time at the backend server"),
+            group_total: register_histogram(
+                r,
+                "group_total",
+                "From a caller's message to its answer",
+            ),
+            group_wait: register_histogram(r, "group_wait", "Wait for a slot and a connection"),
+            group_service: register_histogram(r, "group_service", "Time at the backend server"),
+            refusals: register_metric(r, "refusals", "Requests refused"),
+            reads: register_metric(r, "reads", "Reads answered, by the kind of server"),
+            promotions: register_histogram(r, "promotion", "Phases of promotions of a new primary"),
+            lent: register_metric(r, "tokens_lent", "Tokens of the rate lent to other hosts"),
+            borrowed: register_metric(r, "tokens_borrowed", "Tokens of the rate borrowed"),
+            unproved: register_metric(r, "callers_unproved", "Callers that did not prove a key"),
+            callers: register_metric(r, "callers", "Callers connected"),
             accounts: RefCell::default(),
             groups: RefCell::default(),
             registry,
@@ -170,52 +178,54 @@
 
     /// A request was answered at its entry.
     pub fn answered(&self, account: &AccountId, group: &GroupId, total: Duration) {
-        self.account_total.get_or_create(&self.account(account)).observe(total.as_secs_f64());
+        self.account_total
+            .get_or_create(&self.account_labels(account))
+            .observe(total.as_secs_f64());
         if let Some(served) = self.accounts.borrow_mut().get_mut(account) {
             served.total += total;
             served.spread.add(total);
         }
-        self.group_total.get_or_create(&self.group(group)).observe(total.as_secs_f64());
+        self.group_total.get_or_create(&self.group_labels(group)).observe(total.as_secs_f64());
     }
 
     /// A read was answered by a replica, or by the primary.
     pub fn read(&self, group: &GroupId, replica: bool) {
-        self.group(group);
+        self.group_labels(group);
         self.reads.get_or_create(&ReadLabels::new(group, replica)).inc();
     }
 
     /// A request was refused at its entry, whoever refused it.
     pub fn refused(&self, account: &AccountId, reason: Reason) {
-        self.account(account);
+        self.account_labels(account);
         self.refusals.get_or_create(&RefusalLabels::new(account, reason)).inc();
     }
 
     /// A statement was served at its group's home.
     pub fn served(&self, account: &AccountId, group: &GroupId, timing: Timing) {
         let (wait, service) = (timing.wait.as_secs_f64(), timing.service.as_secs_f64());
-        let labels = self.account(account);
+        let labels = self.account_labels(account);
         self.account_wait.get_or_create(&labels).observe(wait);
         self.account_service.get_or_create(&labels).observe(service);
-        let labels = self.group(group);
+        let labels = self.group_labels(group);
         self.group_wait.get_or_create(&labels).observe(wait);
         self.group_service.get_or_create(&labels).observe(service);
     }
 
     /// A phase of a promotion ended.
     pub fn promotion(&self, group: &GroupId, phase: Phase, took: Duration) {
-        self.group(group);
+        self.group_labels(group);
         let labels = PhaseLabels::new(group, &phase);
         self.promotions.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
     /// Tokens of an account's rate were lent to another host.
     pub fn lent(&self, account: &AccountId, tokens: f64) {
-        self.lent.get_or_create(&self.account(account)).inc_by(tokens);
+        self.lent.get_or_create(&self.account_labels(account)).inc_by(tokens);
     }
 
     /// Tokens of an account's rate were borrowed from another host.
     pub fn borrowed(&self, account: &AccountId, tokens: f64) {
-        self.borrowed.get_or_create(&self.account(account)).inc_by(tokens);
+        self.borrowed.get_or_create(&self.account_labels(account)).inc_by(tokens);
     }
 
     /// Callers connected now.
@@ -232,7 +242,7 @@
         let served = self.accounts.borrow().get(account).cloned().unwrap_or_default();
         let refused = REASONS.iter().filter_map(|&reason| {
             let count = self.refusals.get(&RefusalLabels::new(account, reason))?.get();
-            (count > 0).then_some(Refused { reason, count })
+            (count > 0).then_some(RefusalCount { reason, count })
         });
         AccountReport {
             account: account.clone(),
@@ -243,14 +253,14 @@
         }
     }
 
-    fn account(&self, account: &AccountId) -> AccountLabels {
+    fn account_labels(&self, account: &AccountId) -> AccountLabels {
         if !self.accounts.borrow().contains_key(account) {
-            self.accounts.borrow_mut().insert(account.clone(), Served::default());
+            self.accounts.borrow_mut().insert(account.clone(), ServedTotals::default());
         }
         AccountLabels::new(account)
     }
 
-    fn group(&self, group: &GroupId) -> GroupLabels {
+    fn group_labels(&self, group: &GroupId) -> GroupLabels {
         if !self.groups.borrow().contains(group) {
             self.groups.borrow_mut().insert(group.clone());
         }
@@ -261,24 +271,24 @@
     ///
     /// Guards against labels that only grow: over months of changes a scrape
     /// would become slow and large.
-    pub fn keep(&self, config: &Config) {
+    pub fn retain(&self, config: &Config) {
         self.accounts.borrow_mut().retain(|account, _| {
             let stays = config.account(account).is_some();
             if !stays {
-                self.forget_account(account);
+                self.remove_account(account);
             }
             stays
         });
         self.groups.borrow_mut().retain(|group| {
             let stays = config.group(group).is_some();
             if !stays {
-                self.forget_group(group);
+                self.remove_group(group);
             }
             stays
         });
     }
 
-    fn forget_account(&self, account: &AccountId) {
+    fn remove_account(&self, account: &AccountId) {
         let labels = AccountLabels::new(account);
         self.account_total.remove(&labels);
         self.account_wait.remove(&labels);
@@ -290,7 +300,7 @@
         }
     }
 
-    fn forget_group(&self, group: &GroupId) {
+    fn remove_group(&self, group: &GroupId) {
         let labels = GroupLabels::new(group);
         self.group_total.remove(&labels);
         self.group_wait.remove(&labels);
--- a/components/metrics/src/report.rs
+++ b/components/metrics/src/report.rs
@@ -85,12 +85,12 @@
     /// How long they took.
     pub spread: LatencyHistogram,
     /// Requests refused, by reason; none that is 0.
-    pub refused: Vec<Refused>,
+    pub refused: Vec<RefusalCount>,
 }
 
 /// Refusals for one reason.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Refused {
+pub struct RefusalCount {
     /// Why.
     pub reason: Reason,
     /// How many.
--- a/components/metrics/tests/labels.rs
+++ b/components/metrics/tests/labels.rs
@@ -46,7 +46,7 @@
         measure(&metrics, &account, &group);
     }
     assert!(metrics.render(&report()).unwrap().contains("\"goes\""));
-    metrics.keep(&config.unwrap());
+    metrics.retain(&config.unwrap());
     let text = metrics.render(&report()).unwrap();
     assert!(!text.contains("\"goes\""), "{text}");
     assert!(text.contains("refusals_total{account=\"stays\",reason=\"rate\"} 1"), "{text}");
@@ -65,15 +65,15 @@
 #[test]
 fn times_of_several_hosts_add_up() {
     let (mut here, mut there) = (LatencyHistogram::default(), LatencyHistogram::default());
-    assert_eq!(here.within(0.99), None);
+    assert_eq!(here.quantile(0.99), None);
     (0..99).for_each(|_| here.add(Duration::from_micros(900)));
-    assert_eq!(here.within(0.99), Some(Duration::from_millis(1)));
+    assert_eq!(here.quantile(0.99), Some(Duration::from_millis(1)));
     (0..2).for_each(|_| there.add(Duration::from_millis(30)));
     here.merge(&there);
     assert_eq!(here.total(), 101);
-    assert_eq!(here.within(0.99), Some(Duration::from_millis(32)));
+    assert_eq!(here.quantile(0.99), Some(Duration::from_millis(32)));
     (0..200).for_each(|_| here.add(Duration::from_secs(20)));
-    assert_eq!(here.within(0.99), None, "beyond the last bound");
+    assert_eq!(here.quantile(0.99), None, "beyond the last bound");
 }
 
 /// An alert never fires, or an operator looks for a metric in vain: it was renamed
--- a/components/operator/src/operator.rs
+++ b/components/operator/src/operator.rs
@@ -83,7 +83,7 @@
         loop {
             self.fleet.current.changed().await;
             if let Some(config) = self.fleet.current.get().and_then(|doc| doc.config.clone()) {
-                self.metrics.keep(&config);
+                self.metrics.retain(&config);
             }
         }
     }
--- a/src/cmd/accounts.rs
+++ b/src/cmd/accounts.rs
@@ -75,7 +75,7 @@
             0 => "-".to_owned(),
             served => format!("{:.1}ms", seconds * 1_000.0 / *served as f64),
         };
-        let worst = match spread.within(0.99) {
+        let worst = match spread.quantile(0.99) {
             Some(time) => format!("{time:?}"),
             None if *served == 0 => "-".to_owned(),
             None => "long".to_owned(),
