--- a/components/metrics/src/gauges.rs
+++ b/components/metrics/src/gauges.rs
@@ -1,5 +1,5 @@
-//! What a report tells, as gauges. They are made anew for each scrape, so that
-//! what is gone from the report is gone from the answer.
+//! Gauges of a host report. They are created for each scrape, so that objects that are no longer
+//! in the report are not in the scrape either.
 
 use std::sync::atomic::AtomicU64;
 
@@ -17,7 +17,7 @@
 
 type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// The gauges of a report.
+/// Creates a registry with the gauges of a report.
 pub fn registry(report: &HostReport) -> Registry {
     let mut registry = Registry::with_prefix(PREFIX);
     let r = &mut registry;
@@ -46,12 +46,14 @@
     registry
 }
 
+/// Registers a gauge without labels.
 fn register_gauge(registry: &mut Registry, name: &str, help: &str, value: u64) {
     let gauge = FloatGauge::default();
     gauge.set(value as f64);
     registry.register(name, help, gauge);
 }
 
+/// Registers a family of gauges with labels.
 fn register_family<L>(registry: &mut Registry, name: &str, help: &str) -> Family<L, FloatGauge>
 where
     L: Clone + EncodeLabelSet + Eq + std::fmt::Debug + std::hash::Hash + Send + Sync + 'static,
