--- a/components/metrics/src/label.rs
+++ b/components/metrics/src/label.rs
@@ -1,17 +1,17 @@
-//! Label sets. All are bounded: their values come from the configuration in
-//! force or from a fixed list, never from what a caller sends.
+//! Label sets. All are bounded: their values are from the configuration in force or from a fixed
+//! list, never from a caller's input.
 
 use std::fmt::{self, Write};
 
 use bergamottrack_coordination::{AccountId, GroupId, Reason};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
 
-/// The value of a label.
+/// Value of a label.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Label(Box<str>);
 
 impl Label {
-    /// The value as text.
+    /// Creates a label value from the value's text.
     pub fn new(value: &impl fmt::Display) -> Self {
         Self(value.to_string().into())
     }
@@ -23,27 +23,27 @@
     }
 }
 
-/// Labels of what is measured for each client account.
+/// Labels of the metrics of a client account.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct AccountLabels {
     account: Label,
 }
 
 impl AccountLabels {
-    /// The labels of an account.
+    /// Creates the labels of an account.
     pub fn new(account: &AccountId) -> Self {
         Self { account: Label::new(account) }
     }
 }
 
-/// Labels of what is measured for each database group.
+/// Labels of the metrics of a database group.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct GroupLabels {
     group: Label,
 }
 
 impl GroupLabels {
-    /// The labels of a group.
+    /// Creates the labels of a group.
     pub fn new(group: &GroupId) -> Self {
         Self { group: Label::new(group) }
     }
@@ -57,7 +57,7 @@
 }
 
 impl RefusalLabels {
-    /// The labels of an account's refusals for one reason.
+    /// Creates the labels of an account's refusals for one reason.
     pub fn new(account: &AccountId, reason: Reason) -> Self {
         Self { account: Label::new(account), reason: Label::new(&reason) }
     }
@@ -71,14 +71,14 @@
 }
 
 impl ReadLabels {
-    /// The labels of a group's reads by replicas, or by the primary.
+    /// Creates the labels of a group's reads from replicas or from the primary.
     pub fn new(group: &GroupId, replica: bool) -> Self {
         let server = if replica { "replica" } else { "primary" };
         Self { group: Label::new(group), server: Label::new(&server) }
     }
 }
 
-/// Labels of a promotion's phases.
+/// Labels of a phase of promotions.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct PhaseLabels {
     group: Label,
@@ -86,17 +86,17 @@
 }
 
 impl PhaseLabels {
-    /// The labels of one phase of a group's promotions.
+    /// Creates the labels of one phase of a group's promotions.
     pub fn new(group: &GroupId, phase: &impl fmt::Display) -> Self {
         Self { group: Label::new(group), phase: Label::new(phase) }
     }
 }
 
-/// Labels of what is reported of each backend server.
+/// Labels of the metrics of a backend server.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct ServerLabels {
-    /// The database group.
+    /// Database group.
     pub group: Label,
-    /// The backend server.
+    /// Backend server.
     pub server: Label,
 }
