--- a/components/metrics/src/metrics.rs
+++ b/components/metrics/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a host measures while it serves.
+//! Metrics of the requests that a host serves.
 
 use std::{
     cell::RefCell,
@@ -28,10 +28,10 @@
     report::{AccountReport, HostReport, RefusalCount},
 };
 
-/// The prefix of every name.
+/// Prefix of all metric names.
 pub(crate) const PREFIX: &str = "bergamottrack";
 
-/// Buckets from 0.5 ms to 8.2 s, each twice the one before.
+/// Creates histograms with buckets from 0.5 ms to 8.2 s, each twice the preceding one.
 #[derive(Clone)]
 struct SecondsBuckets;
 
@@ -43,14 +43,14 @@
 
 type Histograms<L> = Family<L, Histogram, SecondsBuckets>;
 
-/// A step of a promotion.
+/// Phase of a promotion.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Phase {
-    /// From the last sign of the primary to the decision.
+    /// From the last contact with the primary to the decision.
     Notice,
-    /// Until a majority had promised the new term.
+    /// From the decision until a majority had promised the new term.
     Promise,
-    /// Until the new primary answered that it leads.
+    /// From then until the new primary confirmed that it leads.
     Promote,
 }
 
@@ -66,23 +66,24 @@
     }
 }
 
-/// How long a statement took at its group's home.
+/// Duration of a statement at its group's home.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Timing {
-    /// From its arrival to the slot and connection that it got.
+    /// From its arrival until it got a slot and a connection.
     pub wait: Duration,
-    /// From then to the end of its answer.
+    /// From then until the end of its answer.
     pub service: Duration,
 }
 
-/// What was served for an account, beside the histogram, which can't be read back.
+/// Totals of an account's answered requests; kept beside the histogram, whose values cannot be
+/// read.
 #[derive(Clone, Default)]
 struct ServedTotals {
     total: Duration,
     spread: LatencyHistogram,
 }
 
-/// What a host measures while it serves.
+/// Metrics of the requests that a host serves.
 pub struct Metrics {
     registry: Registry,
     account_total: Histograms<AccountLabels>,
@@ -98,11 +99,13 @@
     borrowed: Family<AccountLabels, Counter<f64>>,
     unproved: Counter,
     callers: Gauge,
-    /// Accounts and groups that have labels; what leaves the configuration loses them.
+    /// Accounts with labels; the labels are removed with the account from the configuration.
     accounts: RefCell<HashMap<AccountId, ServedTotals>>,
+    /// Groups with labels; the labels are removed with the group from the configuration.
     groups: RefCell<HashSet<GroupId>>,
 }
 
+/// Registers a family of histograms in seconds.
 fn register_histogram<L>(registry: &mut Registry, name: &str, help: &str) -> Histograms<L>
 where
     L: Clone + EncodeLabelSet + Eq + fmt::Debug + std::hash::Hash + Send + Sync + 'static,
@@ -112,6 +115,7 @@
     family
 }
 
+/// Registers a metric without a unit.
 fn register_metric<M: Clone + Default + prometheus_client::registry::Metric>(
     registry: &mut Registry,
     name: &str,
@@ -155,7 +159,7 @@
     }
 }
 
-/// A connected caller; counted until dropped.
+/// Guard that counts a connected caller until it is dropped.
 pub struct Caller(Rc<Metrics>);
 
 impl Drop for Caller {
@@ -165,18 +169,18 @@
 }
 
 impl Metrics {
-    /// Counts a caller until what is returned is dropped.
+    /// Counts a connected caller until the returned guard is dropped.
     pub fn caller(self: &Rc<Self>) -> Caller {
         self.callers.inc();
         Caller(self.clone())
     }
 
-    /// A caller that did not prove a key; it has no account to count it for.
+    /// Counts a caller that did not prove a key, and thus has no account.
     pub fn unproved(&self) {
         self.unproved.inc();
     }
 
-    /// A request was answered at its entry.
+    /// Records an answered request at its entry host; `total` is its duration.
     pub fn answered(&self, account: &AccountId, group: &GroupId, total: Duration) {
         self.account_total
             .get_or_create(&self.account_labels(account))
@@ -188,19 +192,19 @@
         self.group_total.get_or_create(&self.group_labels(group)).observe(total.as_secs_f64());
     }
 
-    /// A read was answered by a replica, or by the primary.
+    /// Counts a read that was answered by a replica, or else by the primary.
     pub fn read(&self, group: &GroupId, replica: bool) {
         self.group_labels(group);
         self.reads.get_or_create(&ReadLabels::new(group, replica)).inc();
     }
 
-    /// A request was refused at its entry, whoever refused it.
+    /// Counts a refused request at its entry host, also if another host refused it.
     pub fn refused(&self, account: &AccountId, reason: Reason) {
         self.account_labels(account);
         self.refusals.get_or_create(&RefusalLabels::new(account, reason)).inc();
     }
 
-    /// A statement was served at its group's home.
+    /// Records a statement that was served at its group's home.
     pub fn served(&self, account: &AccountId, group: &GroupId, timing: Timing) {
         let (wait, service) = (timing.wait.as_secs_f64(), timing.service.as_secs_f64());
         let labels = self.account_labels(account);
@@ -211,29 +215,29 @@
         self.group_service.get_or_create(&labels).observe(service);
     }
 
-    /// A phase of a promotion ended.
+    /// Records the duration of a phase of a promotion.
     pub fn promotion(&self, group: &GroupId, phase: Phase, took: Duration) {
         self.group_labels(group);
         let labels = PhaseLabels::new(group, &phase);
         self.promotions.get_or_create(&labels).observe(took.as_secs_f64());
     }
 
-    /// Tokens of an account's rate were lent to another host.
+    /// Counts tokens of an account's rate that were lent to another host.
     pub fn lent(&self, account: &AccountId, tokens: f64) {
         self.lent.get_or_create(&self.account_labels(account)).inc_by(tokens);
     }
 
-    /// Tokens of an account's rate were borrowed from another host.
+    /// Counts tokens of an account's rate that were borrowed from another host.
     pub fn borrowed(&self, account: &AccountId, tokens: f64) {
         self.borrowed.get_or_create(&self.account_labels(account)).inc_by(tokens);
     }
 
-    /// Callers connected now.
+    /// Returns the number of connected callers.
     pub fn callers(&self) -> u64 {
         self.callers.get().try_into().unwrap_or_default()
     }
 
-    /// What was served and refused for each account of the configuration.
+    /// Returns the reports of all accounts in the configuration.
     pub fn accounts(&self, config: &Config) -> Vec<AccountReport> {
         config.accounts.iter().map(|account| self.report(&account.id)).collect()
     }
@@ -253,6 +257,7 @@
         }
     }
 
+    /// Returns the labels of an account, and registers the account for their later removal.
     fn account_labels(&self, account: &AccountId) -> AccountLabels {
         if !self.accounts.borrow().contains_key(account) {
             self.accounts.borrow_mut().insert(account.clone(), ServedTotals::default());
@@ -260,6 +265,7 @@
         AccountLabels::new(account)
     }
 
+    /// Returns the labels of a group, and registers the group for their later removal.
     fn group_labels(&self, group: &GroupId) -> GroupLabels {
         if !self.groups.borrow().contains(group) {
             self.groups.borrow_mut().insert(group.clone());
@@ -267,10 +273,10 @@
         GroupLabels::new(group)
     }
 
-    /// Drops what was measured for accounts and groups that left the configuration.
+    /// Removes the metrics of accounts and groups that are no longer in the configuration.
     ///
-    /// Guards against labels that only grow: over months of changes a scrape
-    /// would become slow and large.
+    /// Guards against an unbounded number of labels: over months of changes, scrapes would become
+    /// slow and large.
     pub fn retain(&self, config: &Config) {
         self.accounts.borrow_mut().retain(|account, _| {
             let stays = config.account(account).is_some();
@@ -313,7 +319,7 @@
         }
     }
 
-    /// All that is measured and reported, in the OpenMetrics text format.
+    /// Formats the metrics and the gauges of `report` in the OpenMetrics text format.
     pub fn render(&self, report: &HostReport) -> Result<String, fmt::Error> {
         let mut out = String::new();
         text::encode_registry(&mut out, &self.registry)?;
