--- a/components/metrics/src/report.rs
+++ b/components/metrics/src/report.rs
@@ -1,4 +1,4 @@
-//! What a host reports of itself, to operators and to the other hosts.
+//! Reports of a host for operators and for other hosts.
 
 use std::time::Duration;
 
@@ -10,89 +10,89 @@
 
 use crate::latency::LatencyHistogram;
 
-/// What a host reports of itself.
+/// Report of a host.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HostReport {
-    /// The host.
+    /// Id of the host.
     pub host: HostId,
-    /// The failure domain it stands in.
+    /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// The revision in force there.
+    /// Revision in force on the host.
     pub revision: Revision,
-    /// How long ago it could show that its revision was the newest; `None` if never.
+    /// Time since the revision was last proven to be the newest; `None` if never.
     pub fresh: Option<Duration>,
-    /// Whether it may act: it could show that within the policy's limit.
+    /// Whether the host may act: that time is within the policy's limit.
     pub acts: bool,
-    /// Whether it finishes what it has and takes nothing new.
+    /// Whether the host is draining: it finishes its work and accepts no new work.
     pub draining: bool,
-    /// Callers connected to it.
+    /// Number of callers connected to the host.
     pub callers: u64,
-    /// Calls of the platform that it made since it started.
+    /// Number of calls of the platform since the host started.
     pub platform_calls: u64,
-    /// The groups whose home it is.
+    /// Groups whose home is this host.
     pub groups: Vec<GroupReport>,
-    /// The client accounts, as it served them.
+    /// Client accounts as served by this host.
     pub accounts: Vec<AccountReport>,
 }
 
-/// A database group as its home sees it.
+/// Report of a database group by its home.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct GroupReport {
-    /// The group.
+    /// Id of the group.
     pub group: GroupId,
-    /// The server that leads; `None` while there is none.
+    /// Server that leads; `None` while there is none.
     pub primary: Option<ServerId>,
-    /// The greatest term seen.
+    /// Highest term seen.
     pub term: Term,
-    /// Requests that wait for a slot.
+    /// Number of requests waiting for a slot.
     pub queue: u64,
-    /// Its servers, in the operator's order.
+    /// Servers of the group, in the order of the configuration.
     pub servers: Vec<ServerReport>,
 }
 
-/// A backend server as its group's home sees it.
+/// Report of a backend server by its group's home.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ServerReport {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// The failure domain it stands in.
+    /// Failure domain of the server.
     pub domain: FailureDomain,
-    /// What it does; `None` while it does not answer.
+    /// Role of the server; `None` while it does not answer.
     pub role: Option<Role>,
-    /// The last record that its reads show.
+    /// Last record that is visible to its reads.
     pub applied: Point,
-    /// How long ago it was last heard of.
+    /// Time since the last contact; `None` before the first contact.
     pub heard: Option<Duration>,
-    /// Statements that it runs for this home.
+    /// Number of statements that it is running for this home.
     pub busy: u64,
-    /// Statements that it may run at once.
+    /// Maximum number of statements that it may run at once.
     pub slots: u64,
-    /// Connections of this home to it.
+    /// Number of connections from this home to it.
     pub connections: u64,
-    /// Whether it gets no new work.
+    /// Whether the server gets no new work.
     pub leaving: bool,
 }
 
-/// A client account as one host served it since that host started.
+/// Requests of a client account at one host since that host started.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct AccountReport {
-    /// The account.
+    /// Id of the account.
     pub account: AccountId,
-    /// Requests answered.
+    /// Number of answered requests.
     pub served: u64,
-    /// Seconds that all of them took together, from the caller's message to the answer.
+    /// Total duration of the answered requests in seconds, from the caller's message to the answer.
     pub seconds: f64,
-    /// How long they took.
+    /// Histogram of their durations.
     pub spread: LatencyHistogram,
-    /// Requests refused, by reason; none that is 0.
+    /// Refused requests by reason, without reasons that did not occur.
     pub refused: Vec<RefusalCount>,
 }
 
-/// Refusals for one reason.
+/// Number of refusals for one reason.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RefusalCount {
-    /// Why.
+    /// Reason of the refusals.
     pub reason: Reason,
-    /// How many.
+    /// Number of refusals.
     pub count: u64,
 }
