--- a/components/metrics/tests/labels.rs
+++ b/components/metrics/tests/labels.rs
@@ -1,4 +1,4 @@
-//! Label sets stay bounded, times add up, and the page of metrics is complete.
+//! Bounded label sets, addition of histograms, and completeness of the metrics page.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Measures one of everything.
+/// Records one value for each metric with labels.
 fn measure(metrics: &Metrics, account: &AccountId, group: &GroupId) {
     let second = Duration::from_secs(1);
     metrics.answered(account, group, second);
@@ -35,10 +35,10 @@
     metrics.borrowed(account, 1.0);
 }
 
-/// A host's memory and its scrapes grow for months: accounts and groups come and
-/// go with each change of the configuration, and what was measured for them stays.
+/// Guards against memory and scrapes that grow for months, because metrics remain of accounts and
+/// groups that are removed by changes of the configuration.
 #[test]
-fn what_leaves_the_configuration_loses_its_labels() {
+fn labels_of_removed_accounts_and_groups_are_dropped() {
     let config = Config::parse("site = \"s\"\n[[account]]\nid = \"stays\"\nrate = 1\nburst = 1");
     let metrics = Metrics::default();
     for name in ["stays", "goes"] {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_report_becomes_gauges() {
+fn report_is_rendered_as_gauges() {
     let text = Metrics::default().render(&report()).unwrap();
     for line in ["bergamottrack_revision 7.0", "bergamottrack_fresh_age_seconds 0.25"] {
         assert!(text.lines().any(|known| known == line), "{line} in {text}");
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn times_of_several_hosts_add_up() {
+fn histograms_of_several_hosts_add_up() {
     let (mut here, mut there) = (LatencyHistogram::default(), LatencyHistogram::default());
     assert_eq!(here.quantile(0.99), None);
     (0..99).for_each(|_| here.add(Duration::from_micros(900)));
@@ -76,10 +76,10 @@
     assert_eq!(here.quantile(0.99), None, "beyond the last bound");
 }
 
-/// An alert never fires, or an operator looks for a metric in vain: it was renamed
-/// in the code and not on the page.
+/// Guards against an alert that never fires and a documented metric that does not exist, because
+/// a metric was renamed only in the code.
 #[test]
-fn the_page_and_the_alerts_name_what_there_is() {
+fn documentation_and_alerts_match_the_metrics() {
     let server = ServerReport {
         server: "s1".parse().unwrap(),
         domain: "d1".parse().unwrap(),
@@ -102,7 +102,7 @@
     measure(&metrics, &"a1".parse().unwrap(), &"g1".parse().unwrap());
     let text = metrics.render(&HostReport { groups: vec![group], ..report() }).unwrap();
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
-    let there: BTreeSet<String> = types
+    let exported: BTreeSet<String> = types
         .map(|line| match line.split_once(' ') {
             Some((name, "counter")) => format!("{name}_total"),
             other => other.unwrap().0.to_owned(),
@@ -110,12 +110,12 @@
         .collect();
     let page = include_str!("../../../docs/METRICS.md").replace("`_group", "`bergamottrack_group");
     let alerts = include_str!("../../../examples/alerts.yml");
-    let named = names(&page);
-    assert_eq!(named, there, "the page names what there is");
-    assert!(names(alerts).is_subset(&there), "{:?}", names(alerts).difference(&there));
+    let documented = names(&page);
+    assert_eq!(documented, exported, "the page names exactly the exported metrics");
+    assert!(names(alerts).is_subset(&exported), "{:?}", names(alerts).difference(&exported));
 }
 
-/// The names of metrics in a text, without the suffix of a histogram's part.
+/// Returns the names of the metrics in a text, without the `_bucket` suffix of histograms.
 fn names(text: &str) -> BTreeSet<String> {
     let words = text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_');
     let names = words.filter(|word| word.starts_with("bergamottrack_"));
