--- a/components/operator/src/pages/outcome.rs
+++ b/components/operator/src/pages/outcome.rs
@@ -26,7 +26,7 @@
     let doc = operator.fleet.current.get();
     let config = doc.as_ref().and_then(|doc| doc.config.as_ref());
     let config = config.ok_or_else(|| unknown("this host has no configuration yet"))?;
-    // Nothing would be found for a mistyped id, and a request that ran would be reported as not run.
+    // A mistyped id is not found, so a request that ran would be reported as "not run".
     if config.group(&of.group).is_none() {
         return Err(super::faulty(format!("there is no group {}", of.group)));
     }
