--- a/components/contract/src/schema.rs
+++ b/components/contract/src/schema.rs
@@ -1,4 +1,4 @@
-//! What a configuration may hold, field by field.
+//! Schema of a configuration: its tables and fields.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,34 +6,34 @@
 
 use crate::{config::Policy, verifier::Verifier};
 
-/// What a field holds.
+/// Type of a field's value.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
     /// Any text.
     Text,
-    /// A name of a thing.
+    /// A name or id of letters, digits, `-`, `_` and `:`.
     Name,
     /// An IP address and a port.
     Address,
-    /// Requests a second.
+    /// Requests per second, above 0.
     Rate,
-    /// Requests at once.
+    /// Number of requests at once, above 0.
     Burst,
-    /// A whole number of at least 1.
+    /// A whole number from 1 to 65,535.
     Count,
-    /// A time, kept in milliseconds.
+    /// A duration above 0, stored in milliseconds.
     Millis,
     /// Any number.
     Number,
-    /// Yes or no.
+    /// A boolean.
     Flag,
-    /// A salted verifier of a key.
+    /// Salted verifier of a key.
     Verifier,
 }
 
 impl Kind {
-    /// What is wanted, for a person.
-    pub fn wanted(self) -> &'static str {
+    /// Describes acceptable values for an error message.
+    pub fn expected(self) -> &'static str {
         match self {
             Self::Text => "a text",
             Self::Name => "a name of letters, digits, '-', '_' and ':'",
@@ -48,7 +48,8 @@
         }
     }
 
-    /// The value as the configuration keeps it; `None` when it is not of this kind.
+    /// Converts a value to the form in which the configuration stores it; `None` if it is not of
+    /// this kind.
     pub fn read(self, value: &toml::Value) -> Option<toml::Value> {
         let text = value.as_str();
         match self {
@@ -85,7 +86,7 @@
     (number.is_finite() && number > 0.0).then_some(toml::Value::Float(number))
 }
 
-/// Reads a time such as `450ms`, `5s` or `2m`.
+/// Parses a duration such as `450ms`, `5s` or `2m`.
 pub fn duration(text: &str) -> Option<Duration> {
     let split = text.find(|c: char| !c.is_ascii_digit())?;
     let (number, unit) = text.split_at(split);
@@ -102,69 +103,72 @@
 /// A field of a table.
 #[derive(Clone, Debug)]
 pub struct Field {
-    /// Its name.
+    /// Name of the field.
     pub name: Box<str>,
-    /// What it holds.
+    /// Type of its value.
     pub kind: Kind,
-    /// Whether it must be there.
-    pub needed: bool,
+    /// Whether it must be present.
+    pub required: bool,
 }
 
-/// What a table may hold.
+/// Schema of a table.
 #[derive(Clone, Debug, Default)]
 pub struct Shape {
-    /// Its name; empty for the whole configuration.
+    /// Name of the table; empty for the whole configuration.
     pub name: &'static str,
-    /// Its fields.
+    /// Fields of the table.
     pub fields: Vec<Field>,
-    /// Its lists of tables.
+    /// Lists of tables in the table.
     pub lists: Vec<Self>,
-    /// Its single tables.
+    /// Single tables in the table.
     pub tables: Vec<Self>,
 }
 
-/// The shape of a whole configuration.
+/// Returns the schema of a whole configuration.
 pub fn site() -> Shape {
     Shape {
         name: "",
-        fields: vec![needed("site", Kind::Name)],
+        fields: vec![required("site", Kind::Name)],
         lists: vec![group(), account()],
         tables: vec![policy()],
     }
 }
 
 fn group() -> Shape {
-    let server = listed(
+    let server = list_item(
         "server",
         vec![
-            needed("address", Kind::Address),
-            needed("domain", Kind::Name),
+            required("address", Kind::Address),
+            required("domain", Kind::Name),
             optional("slots", Kind::Count),
             optional("connections", Kind::Count),
             optional("leaving", Kind::Flag),
         ],
     );
-    Shape { lists: vec![server], ..listed("group", Vec::new()) }
+    Shape { lists: vec![server], ..list_item("group", Vec::new()) }
 }
 
 fn account() -> Shape {
-    let key =
-        listed("key", vec![needed("verifier", Kind::Verifier), optional("withdrawn", Kind::Flag)]);
+    let key = list_item(
+        "key",
+        vec![required("verifier", Kind::Verifier), optional("withdrawn", Kind::Flag)],
+    );
     let fields = vec![
-        needed("rate", Kind::Rate),
-        needed("burst", Kind::Burst),
+        required("rate", Kind::Rate),
+        required("burst", Kind::Burst),
         optional("weight", Kind::Count),
     ];
-    Shape { lists: vec![key], ..listed("account", fields) }
+    Shape { lists: vec![key], ..list_item("account", fields) }
 }
 
-/// A table of a list: it has an id and `fields`.
-fn listed(name: &'static str, mut fields: Vec<Field>) -> Shape {
-    fields.insert(0, needed("id", Kind::Name));
+/// Returns the schema of the tables in a list: an id and `fields`.
+fn list_item(name: &'static str, mut fields: Vec<Field>) -> Shape {
+    fields.insert(0, required("id", Kind::Name));
     Shape { name, fields, ..Shape::default() }
 }
 
-/// The policy's fields are those of [`Policy`]; names that end in `_ms` hold times.
+/// Returns the schema of the policy, derived from the fields of [`Policy`]; fields whose names end
+/// in `_ms` contain durations.
 fn policy() -> Shape {
     let default = serde_json::to_value(Policy::default()).unwrap_or_default();
     let field = |(name, value): (&String, &serde_json::Value)| {
@@ -179,10 +183,10 @@
     Shape { name: "policy", fields: fields.unwrap_or_default(), ..Shape::default() }
 }
 
-fn needed(name: &str, kind: Kind) -> Field {
-    Field { name: name.into(), kind, needed: true }
+fn required(name: &str, kind: Kind) -> Field {
+    Field { name: name.into(), kind, required: true }
 }
 
 fn optional(name: &str, kind: Kind) -> Field {
-    Field { name: name.into(), kind, needed: false }
+    Field { name: name.into(), kind, required: false }
 }
--- a/components/contract/src/verifier.rs
+++ b/components/contract/src/verifier.rs
@@ -1,4 +1,4 @@
-//! What a key is checked against: the SCRAM-SHA-256 verifier of RFC 5803.
+//! SCRAM-SHA-256 verifiers of keys (RFC 5803).
 
 use std::{fmt, str::FromStr};
 
@@ -7,60 +7,60 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Rounds of the salted hash for new verifiers.
-pub const ROUNDS: u32 = 4096;
+/// Number of rounds of the salted hash in new verifiers.
+pub const DEFAULT_ROUNDS: u32 = 4096;
 
-/// A text is not a verifier.
+/// Error for a text that is not a verifier.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 #[error("not a SCRAM-SHA-256 verifier; make one with `bergamottrack key new`")]
 pub struct VerifierError;
 
-/// Proves that a caller knows a key without holding the key.
+/// Verifies that a caller has a key, without containing the key.
 #[derive(Clone, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(try_from = "Box<str>", into = "Box<str>")]
 pub struct Verifier {
-    /// Rounds of the salted hash.
+    /// Number of rounds of the salted hash.
     pub rounds: u32,
-    /// The salt.
+    /// Salt of the hash.
     pub salt: Box<[u8]>,
-    /// The hash of the client's part.
-    pub stored: [u8; 32],
-    /// The server's part.
-    pub server: [u8; 32],
+    /// `StoredKey` of SCRAM: hash of the client key.
+    pub stored_key: [u8; 32],
+    /// `ServerKey` of SCRAM.
+    pub server_key: [u8; 32],
 }
 
-/// The keyed hash that SCRAM is built of.
+/// Computes the HMAC-SHA-256 used by SCRAM.
 pub fn hmac(key: &[u8], data: &[u8]) -> [u8; 32] {
-    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("a key of any length");
+    let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts keys of any length");
     mac.update(data);
     mac.finalize().into_bytes().into()
 }
 
-/// The salted hash of a key.
-pub fn salted(key: &str, salt: &[u8], rounds: u32) -> [u8; 32] {
+/// Computes the salted hash of a key (`SaltedPassword` of SCRAM).
+pub fn salted_password(key: &str, salt: &[u8], rounds: u32) -> [u8; 32] {
     let mut out = [0; 32];
     pbkdf2::pbkdf2::<Hmac<Sha256>>(key.as_bytes(), salt, rounds, &mut out)
-        .expect("a key of any length");
+        .expect("HMAC accepts keys of any length");
     out
 }
 
 impl Verifier {
-    /// The verifier of `key` with the given salt.
+    /// Creates the verifier of `key` with the given salt.
     pub fn new(key: &str, salt: &[u8]) -> Self {
-        let salted = salted(key, salt, ROUNDS);
+        let salted = salted_password(key, salt, DEFAULT_ROUNDS);
         Self {
-            rounds: ROUNDS,
+            rounds: DEFAULT_ROUNDS,
             salt: salt.into(),
-            stored: Sha256::digest(hmac(&salted, b"Client Key")).into(),
-            server: hmac(&salted, b"Server Key"),
+            stored_key: Sha256::digest(hmac(&salted, b"Client Key")).into(),
+            server_key: hmac(&salted, b"Server Key"),
         }
     }
 }
 
 impl Verifier {
-    /// A few digits that tell verifiers apart for a person and prove nothing.
-    pub fn mark(&self) -> String {
-        let digest = Sha256::digest(self.stored);
+    /// Returns six hexadecimal digits by which people can tell verifiers apart; they prove nothing.
+    pub fn fingerprint(&self) -> String {
+        let digest = Sha256::digest(self.stored_key);
         digest.iter().take(3).map(|byte| format!("{byte:02x}")).collect()
     }
 }
@@ -79,8 +79,8 @@
             "SCRAM-SHA-256${}:{}${}:{}",
             self.rounds,
             encode(&self.salt),
-            encode(&self.stored),
-            encode(&self.server)
+            encode(&self.stored_key),
+            encode(&self.server_key)
         )
     }
 }
@@ -98,13 +98,13 @@
         let rest = text.strip_prefix("SCRAM-SHA-256$")?;
         let (head, keys) = rest.split_once('$')?;
         let (rounds, salt) = head.split_once(':')?;
-        let (stored, server) = keys.split_once(':')?;
+        let (stored_key, server_key) = keys.split_once(':')?;
         let decode = |part: &str| STANDARD.decode(part).ok();
         Some(Self {
             rounds: rounds.parse().ok().filter(|n| (1..=1_000_000).contains(n))?,
             salt: decode(salt)?.into(),
-            stored: decode(stored)?.try_into().ok()?,
-            server: decode(server)?.try_into().ok()?,
+            stored_key: decode(stored_key)?.try_into().ok()?,
+            server_key: decode(server_key)?.try_into().ok()?,
         })
     }
 }
--- a/components/operator/src/client.rs
+++ b/components/operator/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the pages, for the commands.
+//! Client of the pages, used by the commands.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,57 +9,57 @@
 
 use crate::api::{ErrorPage, Verdict};
 
-/// How long a host may take to answer: a submit waits for the platform and the fleet.
-const ANSWER_WITHIN: Duration = Duration::from_secs(30);
+/// Timeout of a request; a submit waits for the platform and the fleet.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a command has no answer.
+/// Error of a request to a page.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// The host could not be reached, or what it answers can't be read.
+    /// The host could not be reached, or its reply could not be read.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The host did not carry it out.
+    /// The host replied with an error page.
     #[error("{}", .0.message)]
-    Told(ErrorPage),
-    /// The host answered something else.
+    Reported(ErrorPage),
+    /// The host replied with something other than a page.
     #[error("{address} answered {status}, which no host of this version does")]
-    Strange {
-        /// The host.
+    Unexpected {
+        /// Address of the host.
         address: SocketAddr,
-        /// What it answered.
+        /// Status of the reply.
         status: StatusCode,
     },
 }
 
 impl ClientError {
-    /// What became of the request.
+    /// Returns the outcome of the request.
     pub fn verdict(&self) -> Verdict {
         match self {
             Self::Http(HttpError::Unreachable { .. }) => Verdict::Refused,
-            Self::Told(page) => page.verdict,
-            Self::Http(HttpError::NoAnswer { .. }) | Self::Strange { .. } => Verdict::Unknown,
+            Self::Reported(page) => page.verdict,
+            Self::Http(HttpError::NoAnswer { .. }) | Self::Unexpected { .. } => Verdict::Unknown,
         }
     }
 }
 
-/// A client of one host's pages.
+/// Client of one host's pages.
 pub struct Client {
     address: SocketAddr,
     authorization: Box<str>,
 }
 
 impl Client {
-    /// A client that shows the operator key.
+    /// Creates a client that authenticates with the operator key.
     pub fn new(address: SocketAddr, key: &str) -> Self {
         Self { address, authorization: format!("Bearer {key}").into() }
     }
 
-    /// Reads a page.
+    /// Requests a page.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, ClientError> {
         self.call(Method::GET, path, Bytes::new()).await
     }
 
-    /// Has something done.
+    /// Requests an action.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -76,12 +76,12 @@
     ) -> Result<T, ClientError> {
         let headers = [("authorization", &*self.authorization)];
         let call = http::Call { method, path, headers: &headers, body };
-        let response = http::call(self.address, call, ANSWER_WITHIN).await?;
-        let strange = ClientError::Strange { address: self.address, status: response.status };
+        let response = http::call(self.address, call, ANSWER_TIMEOUT).await?;
+        let unexpected = ClientError::Unexpected { address: self.address, status: response.status };
         if response.status == StatusCode::OK {
-            return serde_json::from_slice(&response.body).map_err(|_| strange);
+            return serde_json::from_slice(&response.body).map_err(|_| unexpected);
         }
         let page = serde_json::from_slice(&response.body);
-        Err(page.map_or(strange, ClientError::Told))
+        Err(page.map_or(unexpected, ClientError::Reported))
     }
 }
--- a/src/cmd/accounts.rs
+++ b/src/cmd/accounts.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_contract::ClientAccount;
 use bergamottrack_coordination::{AccountId, Reason};
-use bergamottrack_metrics::{AccountReport, Spread};
+use bergamottrack_metrics::{AccountReport, LatencyHistogram};
 use bergamottrack_operator::api::{ConfigPage, HostLine, StatusPage};
 use serde::Serialize;
 
@@ -15,7 +15,7 @@
 struct AccountTotals {
     served: u64,
     seconds: f64,
-    spread: Spread,
+    spread: LatencyHistogram,
     refused: BTreeMap<Reason, u64>,
 }
 
@@ -77,7 +77,7 @@
             0 => "-".to_owned(),
             served => format!("{:.1}ms", seconds * 1_000.0 / *served as f64),
         };
-        let p99 = match spread.within(0.99) {
+        let p99 = match spread.quantile(0.99) {
             Some(time) => format!("{time:?}"),
             None if *served == 0 => "-".to_owned(),
             None => "long".to_owned(),
