--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -11,9 +11,9 @@
 use crate::system::OPERATOR_KEY;
 
 /// How long a condition is waited for; far more than any takes.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub(crate) const PAUSE: Duration = Duration::from_millis(25);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Connects once.
 pub async fn connect(config: &tokio_postgres::Config) -> anyhow::Result<Client> {
@@ -23,13 +23,13 @@
 }
 
 /// Runs a statement again and again until it succeeds.
-pub async fn until_runs(client: &Client, sql: &str) -> anyhow::Result<()> {
-    let deadline = Instant::now() + PATIENCE;
+pub async fn run_until_ok(client: &Client, sql: &str) -> anyhow::Result<()> {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         match client.simple_query(sql).await {
             Ok(_) => return Ok(()),
             Err(error) if Instant::now() > deadline => return Err(error).context(sql.to_owned()),
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/lab/src/cost.rs
+++ b/lab/src/cost.rs
@@ -37,7 +37,7 @@
 
 /// What one way of a statement costs.
 #[derive(Clone, Debug, Serialize)]
-pub struct Way {
+pub struct PathCost {
     /// Where it leads.
     pub name: &'static str,
     /// The median, in microseconds.
@@ -50,7 +50,7 @@
 
 /// What the ways cost, the one straight to the server first.
 #[derive(Clone, Debug, Serialize)]
-pub struct Cost(pub Vec<Way>);
+pub struct Cost(pub Vec<PathCost>);
 
 struct Measured {
     name: &'static str,
@@ -68,8 +68,8 @@
     let through = [system.connect(0, "lab", "g1").await?, system.connect(1, "lab", "g1").await?];
     let sql = if args.writes { WRITE } else { READ };
     let setup = "CREATE TABLE IF NOT EXISTS booking (id TEXT, day TEXT)";
-    system::until_runs(&through[0], setup).await?;
-    system::until_runs(&through[0], "INSERT INTO booking VALUES ('b1', 'monday')").await?;
+    system::run_until_ok(&through[0], setup).await?;
+    system::run_until_ok(&through[0], "INSERT INTO booking VALUES ('b1', 'monday')").await?;
     let home = home(&system, &through, sql).await?;
     let idle = idle(&system).await;
     let direct = system.connect_server(&primary(&system, "g1").await?).await?;
@@ -104,11 +104,11 @@
         Ok(())
     }
 
-    fn summary(&self, idle: f64) -> Way {
+    fn summary(&self, idle: f64) -> PathCost {
         let micros = |q: f64| self.latency.value_at_quantile(q) as f64 / 1000.0;
         let count = self.latency.len().max(1) as f64;
         let used = self.processor.as_secs_f64() - idle * self.time.as_secs_f64();
-        Way { name: self.name, p50: micros(0.5), p99: micros(0.99), hosts: used * 1e6 / count }
+        PathCost { name: self.name, p50: micros(0.5), p99: micros(0.99), hosts: used * 1e6 / count }
     }
 }
 
@@ -148,7 +148,7 @@
             "way", "p50 us", "p99 us", "added us", "hosts us"
         )?;
         self.0.iter().try_for_each(|way| {
-            let Way { name, p50, p99, hosts } = way;
+            let PathCost { name, p50, p99, hosts } = way;
             writeln!(f, "{name:10} {p50:>10.0} {p99:>10.0} {:>10.0} {hosts:>10.0}", p50 - direct)
         })
     }
--- a/lab/src/demo.rs
+++ b/lab/src/demo.rs
@@ -11,13 +11,13 @@
 use crate::{
     load::primary,
     site::Site,
-    system::{self, OPERATOR_KEY, PATIENCE, System},
+    system::{self, OPERATOR_KEY, System, WAIT_TIMEOUT},
 };
 
 const ACCOUNT: &str = "front-desk";
 const GROUP: &str = "appointments-1";
 const REQUEST: &str = "visit-1";
-const PAUSE: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Shows a booking kept over a failover.
 pub async fn run() -> anyhow::Result<()> {
@@ -26,7 +26,7 @@
     let mut system = System::start(Site::Hartwell.plan(3)?).await?;
     let h1 = system.connect(0, ACCOUNT, GROUP).await?;
     let table = "CREATE TABLE IF NOT EXISTS visit (place TEXT PRIMARY KEY, day TEXT)";
-    system::until_runs(&h1, table).await?;
+    system::run_until_ok(&h1, table).await?;
 
     println!("A customer books a visit through host h1, under the request id {REQUEST}.");
     h1.batch_execute(&format!("SET bergamottrack.request = '{REQUEST}'")).await?;
@@ -64,11 +64,11 @@
 }
 
 async fn await_write(client: &Client) -> anyhow::Result<()> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let sql = "INSERT INTO visit VALUES ('school', 'friday') ON CONFLICT (place) DO NOTHING";
     while let Err(error) = client.batch_execute(sql).await {
         anyhow::ensure!(Instant::now() < deadline, "writes did not come back: {error}");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -49,7 +49,7 @@
 }
 
 /// An experiment that can be run.
-pub struct Readied {
+pub struct ParsedExperiment {
     /// What is asked.
     pub about: Box<str>,
     /// The runs and their names; the first one is the baseline.
@@ -58,7 +58,7 @@
 
 /// A run and what it has shown.
 #[derive(Debug, Serialize)]
-struct Shown {
+struct RunResult {
     name: Box<str>,
     report: Report,
 }
@@ -69,7 +69,7 @@
 }
 
 /// Reads an experiment from its file.
-pub fn read(name: &str) -> anyhow::Result<Readied> {
+pub fn read(name: &str) -> anyhow::Result<ParsedExperiment> {
     let path = dir().join(format!("{name}.toml"));
     let text = std::fs::read_to_string(&path)
         .with_context(|| format!("reading the experiment {}", path.display()))?;
@@ -80,17 +80,17 @@
         Ok((plan.name, load))
     };
     let runs = experiment.runs.into_iter().map(load).collect::<anyhow::Result<_>>()?;
-    Ok(Readied { about: experiment.about, runs })
+    Ok(ParsedExperiment { about: experiment.about, runs })
 }
 
 /// Runs an experiment and prints one line a run.
 pub async fn run(args: ExperimentArgs) -> anyhow::Result<()> {
-    let Readied { about, runs } = read(&args.name)?;
+    let ParsedExperiment { about, runs } = read(&args.name)?;
     println!("{about}");
     println!("{HEAD}");
     let mut shown = Vec::new();
     for (name, load) in runs {
-        let run = Shown { name, report: load::run(load).await? };
+        let run = RunResult { name, report: load::run(load).await? };
         println!("{run}");
         if args.whole {
             println!("{}", run.report);
@@ -120,7 +120,7 @@
 const HEAD: &str = "run                offered  served   /s      p50 ms  p99 ms   wait ms  \
 replica%  worst%  others%  wrongful over   stale gap p50/p90/max ms promoted conns waiting amplif refused";
 
-impl fmt::Display for Shown {
+impl fmt::Display for RunResult {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Report { latency, .. } = &self.report;
         let r = &self.report;
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -6,12 +6,12 @@
 
 use crate::{
     client,
-    link::{Fault, Set},
+    link::{Fault, SetFault},
 };
 
 /// Which direction of a link is cut.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-pub enum Way {
+pub enum Direction {
     /// From the side that connects.
     Up,
     /// Towards the side that connects.
@@ -30,7 +30,7 @@
     pub names: Box<str>,
     /// What is sent this way waits until the links are mended.
     #[arg(long)]
-    pub cut: Option<Way>,
+    pub cut: Option<Direction>,
     /// Milliseconds by which each byte is late.
     #[arg(long, default_value_t = 0)]
     pub delay_ms: u64,
@@ -58,14 +58,14 @@
 /// Sets what is wrong with links.
 pub async fn run(args: FaultArgs) -> anyhow::Result<()> {
     let fault = Fault {
-        cut_up: matches!(args.cut, Some(Way::Up | Way::Both)),
-        cut_down: matches!(args.cut, Some(Way::Down | Way::Both)),
+        cut_up: matches!(args.cut, Some(Direction::Up | Direction::Both)),
+        cut_down: matches!(args.cut, Some(Direction::Down | Direction::Both)),
         refuse: args.refuse,
         delay_ms: args.delay_ms,
         bytes_per_sec: args.bytes_per_sec,
     };
     let path = if args.reset { "/reset" } else { "/set" };
-    let set = Set { names: args.names, fault };
+    let set = SetFault { names: args.names, fault };
     order(args.at, path, &serde_json::to_string(&set)?).await
 }
 
--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -49,7 +49,7 @@
 
 /// A link: whoever connects to `listen` reaches `to`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Add {
+pub struct AddLink {
     /// Its name, such as `h1>g1s1`.
     pub name: Box<str>,
     /// Where it listens.
@@ -76,7 +76,7 @@
 
 /// Sets the fault of all links whose names match; `*` stands for anything.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Set {
+pub struct SetFault {
     /// Names, such as `h1>*`.
     pub names: Box<str>,
     /// What is wrong with them from now on.
@@ -123,7 +123,7 @@
         let mut parts = text.splitn(3, '=');
         let mut part = || parts.next().unwrap_or_default().to_owned();
         let (name, listen, to) = (part(), part(), part());
-        add(&links, Add { name: name.into(), listen: listen.parse()?, to: to.parse()? })?;
+        add(&links, AddLink { name: name.into(), listen: listen.parse()?, to: to.parse()? })?;
     }
     let handler: Rc<Handler> =
         Rc::new(move |request: Request| -> Pin<Box<dyn Future<Output = Reply>>> {
@@ -142,12 +142,12 @@
             done()
         }
         "/set" => {
-            let set: Set = serde_json::from_slice(&request.body)?;
+            let set: SetFault = serde_json::from_slice(&request.body)?;
             links.set(&set.names, &set.fault);
             done()
         }
         "/reset" => {
-            let set: Set = serde_json::from_slice(&request.body)?;
+            let set: SetFault = serde_json::from_slice(&request.body)?;
             links.reset(&set.names);
             done()
         }
@@ -157,7 +157,7 @@
 
 impl Links {
     /// Adds a link.
-    pub fn add(&self, link: Add) -> anyhow::Result<()> {
+    pub fn add(&self, link: AddLink) -> anyhow::Result<()> {
         add(self, link)
     }
 
@@ -180,7 +180,7 @@
     links.iter().filter(|(name, _)| matches(names, name)).for_each(|(_, link)| act(link));
 }
 
-fn add(links: &Links, add: Add) -> anyhow::Result<()> {
+fn add(links: &Links, add: AddLink) -> anyhow::Result<()> {
     let listener = listen(add.listen)?;
     let link = Rc::new(Link {
         record: links.record.clone(),
--- a/lab/src/load/mod.rs
+++ b/lab/src/load/mod.rs
@@ -257,7 +257,7 @@
     let account = config.accounts.first().context("site has no accounts")?;
     for group in &config.groups {
         let client = system.connect(0, account.id.as_str(), group.id.as_str()).await?;
-        system::until_runs(&client, caller::CREATE_TABLE).await?;
+        system::run_until_ok(&client, caller::CREATE_TABLE).await?;
     }
     Ok(())
 }
--- a/lab/src/raw.rs
+++ b/lab/src/raw.rs
@@ -33,11 +33,11 @@
     /// Connects to a host and says nothing.
     pub async fn open(system: &System, host: usize) -> anyhow::Result<Self> {
         let stream = TcpStream::connect(system.addresses[host].callers).await?;
-        Ok(Self::on(Box::new(stream)))
+        Ok(Self::from_stream(Box::new(stream)))
     }
 
     /// A caller on a connection that is there.
-    pub fn on(stream: Stream) -> Self {
+    pub fn from_stream(stream: Stream) -> Self {
         let (reader, writer) = stream::split(stream, MAX_MESSAGE);
         Self { reader, writer, key: None }
     }
@@ -93,7 +93,7 @@
 
     /// The next message of the host.
     pub async fn next(&mut self) -> anyhow::Result<Frame> {
-        let next = tokio::time::timeout(system::PATIENCE, self.reader.next()).await;
+        let next = tokio::time::timeout(system::WAIT_TIMEOUT, self.reader.next()).await;
         next.context("no answer came")??.context("the host closed the connection")
     }
 
@@ -120,6 +120,6 @@
     /// Whether the host closes the connection, whatever it says before.
     pub async fn is_closed(&mut self) -> bool {
         let closed = async { while let Ok(Some(_)) = self.reader.next().await {} };
-        tokio::time::timeout(system::PATIENCE, closed).await.is_ok()
+        tokio::time::timeout(system::WAIT_TIMEOUT, closed).await.is_ok()
     }
 }
--- a/lab/src/slopes.rs
+++ b/lab/src/slopes.rs
@@ -22,7 +22,7 @@
 #[derive(Args, Clone, Debug)]
 pub struct SlopesArgs {
     /// What grows.
-    pub of: Of,
+    pub of: Dimension,
     /// Its sizes.
     #[arg(value_delimiter = ',')]
     pub sizes: Vec<usize>,
@@ -30,7 +30,7 @@
 
 /// What grows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-pub enum Of {
+pub enum Dimension {
     /// Entry hosts.
     Hosts,
     /// Idle connections of callers to one host.
@@ -50,8 +50,8 @@
         "size", "core %/host", "bytes/s/host", "MiB/host", "submit ms"
     );
     for size in args.sizes {
-        let hosts = if args.of == Of::Hosts { size } else { 2 };
-        let groups = if args.of == Of::Groups { size } else { 1 };
+        let hosts = if args.of == Dimension::Hosts { size } else { 2 };
+        let groups = if args.of == Dimension::Groups { size } else { 1 };
         let plan = Plan { groups, hosts, log: "warn".into(), ..Plan::default() };
         let mut system = System::start(plan).await?;
         system.connect(0, "baobab", "g1").await?;
@@ -74,19 +74,19 @@
 /// Brings the system to the size; what is held keeps it there.
 async fn grow(
     system: &mut System,
-    of: Of,
+    of: Dimension,
     size: usize,
 ) -> anyhow::Result<Vec<tokio_postgres::Client>> {
     let mut held = Vec::new();
     let mut config = Config::parse(&system.config())?;
     match of {
-        Of::Hosts => {}
-        Of::Callers => {
+        Dimension::Hosts => {}
+        Dimension::Callers => {
             for _ in 0..size {
                 held.push(system.connect(0, "baobab", "g1").await?);
             }
         }
-        Of::Accounts => {
+        Dimension::Accounts => {
             let account = config.accounts.first().cloned().context("no account")?;
             for i in config.accounts.len()..size {
                 let id = format!("account-{i}").parse()?;
@@ -96,8 +96,8 @@
             }
             system.submit(&toml::to_string(&config)?).await?;
         }
-        Of::Groups => held = use_groups(system).await?,
-        Of::Submits => {
+        Dimension::Groups => held = use_groups(system).await?,
+        Dimension::Submits => {
             for i in 0..size {
                 config.policy.idle_ms = 10_000 + i as u64;
                 system.submit(&toml::to_string(&config)?).await?;
@@ -112,7 +112,7 @@
     let mut held = Vec::new();
     for group in 1..=system.plan.groups {
         let client = system.connect(0, "baobab", &format!("g{group}")).await?;
-        system::until_runs(&client, "SELECT 1").await?;
+        system::run_until_ok(&client, "SELECT 1").await?;
         held.push(client);
     }
     Ok(held)
--- a/lab/src/soak/world.rs
+++ b/lab/src/soak/world.rs
@@ -18,7 +18,7 @@
     store::{self, Store},
 };
 use crate::{
-    link::{Add, Links},
+    link::{AddLink, Links},
     ports::Ports,
     process::Process,
     system,
@@ -96,7 +96,7 @@
             groups.borrow_mut().servers.push(server(id, group, place % 3 == 0));
             let standin = Standin::new(place, names, groups.clone());
             let (listen, to) = (ports.address()?, ports.address()?);
-            links.add(Add { name: format!("s{place}").into(), listen, to })?;
+            links.add(AddLink { name: format!("s{place}").into(), listen, to })?;
             monoio::spawn(standin.clone().run(to));
             standins.push(standin);
             addresses.push(listen);
@@ -140,9 +140,13 @@
         let (callers, readiness) = (ports.address()?, ports.address()?);
         let (peers, metrics, store) = (ports.address()?, ports.address()?, ports.address()?);
         let name = format!("store{number}").into();
-        self.links.add(Add { name, listen: store, to: platform })?;
+        self.links.add(AddLink { name, listen: store, to: platform })?;
         let between = ports.address()?;
-        self.links.add(Add { name: format!("peer{number}").into(), listen: between, to: peers })?;
+        self.links.add(AddLink {
+            name: format!("peer{number}").into(),
+            listen: between,
+            to: peers,
+        })?;
         self.store.borrow_mut().moved.insert(peers, between);
         let settings = format!(
             "nodeName=host-{number}\nzone=d{}\nipAddress=127.0.0.1\n\
--- a/lab/src/storm/checks.rs
+++ b/lab/src/storm/checks.rs
@@ -11,7 +11,7 @@
 /// that no transaction is kept in part.
 pub async fn bookings(system: &System, told: &[Told]) -> anyhow::Result<Vec<String>> {
     let client = system.connect(0, "baobab", "g1").await?;
-    system::until_runs(&client, "INSERT INTO booking VALUES ('last', -1)").await?;
+    system::run_until_ok(&client, "INSERT INTO booking VALUES ('last', -1)").await?;
     let ids = system::rows(&client, "SELECT id FROM booking").await.context("reading bookings")?;
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
     ids.iter().for_each(|id| *counts.entry(id).or_default() += 1);
--- a/lab/src/storm/mod.rs
+++ b/lab/src/storm/mod.rs
@@ -12,7 +12,7 @@
 use anyhow::Context;
 use clap::Args;
 
-use crate::system::{self, PATIENCE, Plan, System};
+use crate::system::{self, Plan, System, WAIT_TIMEOUT};
 
 pub mod callers;
 pub mod checks;
@@ -85,7 +85,7 @@
     let mut system = System::start(plan()).await.context("starting the system")?;
     let setup = system.connect(0, "baobab", "g1").await?;
     for sql in callers::TABLES {
-        system::until_runs(&setup, sql).await?;
+        system::run_until_ok(&setup, sql).await?;
     }
     let told: Arc<Mutex<Vec<Told>>> = Arc::default();
     let broken: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -108,7 +108,7 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
-        tokio::time::timeout(PATIENCE, task).await.context("a writer hangs")??;
+        tokio::time::timeout(WAIT_TIMEOUT, task).await.context("a writer hangs")??;
     }
     let told = std::mem::take(&mut *told.lock().expect("no writer panicked"));
     let mut broken = std::mem::take(&mut *broken.lock().expect("no writer panicked"));
--- a/lab/src/system.rs
+++ b/lab/src/system.rs
@@ -13,10 +13,10 @@
 use tempfile::TempDir;
 use tokio_postgres::Client;
 
-pub use crate::client::{PATIENCE, connect, post, request, rows, until_runs};
+pub use crate::client::{WAIT_TIMEOUT, connect, post, request, rows, run_until_ok};
 use crate::{
-    client::PAUSE,
-    link::{Fault, Set},
+    client::POLL_INTERVAL,
+    link::{Fault, SetFault},
     ports::Ports,
     process::Process,
 };
@@ -367,12 +367,12 @@
     /// Submits a configuration through the first host, as soon as it is taken.
     pub async fn submit(&self, config: &str) -> anyhow::Result<String> {
         let address = self.addresses[0].operator;
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match post(address, "/submit", config).await {
                 Ok((200, text)) => return Ok(text),
                 other if Instant::now() > deadline => anyhow::bail!("submitting: {other:?}"),
-                _ => tokio::time::sleep(PAUSE).await,
+                _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -387,7 +387,7 @@
 
     /// Sets the fault of all links whose names match, such as `h1>*`.
     pub async fn fault(&self, names: &str, fault: Fault) -> anyhow::Result<()> {
-        self.command("/set", &Set { names: names.into(), fault }).await
+        self.command("/set", &SetFault { names: names.into(), fault }).await
     }
 
     /// Mends all links whose names match.
@@ -402,10 +402,10 @@
 
     /// Resets the connections of all links whose names match.
     pub async fn reset(&self, names: &str) -> anyhow::Result<()> {
-        self.command("/reset", &Set { names: names.into(), fault: Fault::default() }).await
+        self.command("/reset", &SetFault { names: names.into(), fault: Fault::default() }).await
     }
 
-    async fn command(&self, path: &str, set: &Set) -> anyhow::Result<()> {
+    async fn command(&self, path: &str, set: &SetFault) -> anyhow::Result<()> {
         let (status, text) = post(self.control, path, &serde_json::to_string(set)?).await?;
         anyhow::ensure!(status == 200, "a link command failed: {text}");
         Ok(())
@@ -421,11 +421,11 @@
     /// Waits until every host knows all others and the configuration: a host
     /// joins by compare-and-swap, so several that start at once take a while.
     pub async fn await_members(&self) -> anyhow::Result<()> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         for addresses in &self.addresses {
             while !self.is_joined(addresses.operator).await {
                 anyhow::ensure!(Instant::now() < deadline, "the hosts did not find each other");
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -441,10 +441,10 @@
     }
 
     async fn await_listening(&self, address: SocketAddr) -> anyhow::Result<()> {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while tokio::net::TcpStream::connect(address).await.is_err() {
             anyhow::ensure!(Instant::now() < deadline, "nobody listens at {address}");
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -465,12 +465,12 @@
     /// Connects to a host as an account, trying again until the host serves.
     pub async fn connect(&self, host: usize, account: &str, group: &str) -> anyhow::Result<Client> {
         let config = self.caller(host, account, group);
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match connect(&config).await {
                 Ok(client) => return Ok(client),
                 Err(error) if Instant::now() > deadline => return Err(error),
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
--- a/lab/tests/up.rs
+++ b/lab/tests/up.rs
@@ -66,10 +66,10 @@
         assert!(command.status().unwrap().success());
     };
     let caller = client::connect(&value(&lines, "connect ").parse().unwrap()).await.unwrap();
-    client::until_runs(&caller, "SELECT 1").await.unwrap();
+    client::run_until_ok(&caller, "SELECT 1").await.unwrap();
     fault(&["--cut", "both"]);
     while caller.simple_query("SELECT 1").await.is_ok() {}
     fault(&[]);
-    client::until_runs(&caller, "SELECT 1").await.unwrap();
+    client::run_until_ok(&caller, "SELECT 1").await.unwrap();
     interrupt(up);
 }
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -13,7 +13,7 @@
     let plan = Plan { groups: 1, hosts: 2, ..Plan::default() };
     let system = System::start(plan).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     (system, client)
 }
 
--- a/tests/current.rs
+++ b/tests/current.rs
@@ -12,7 +12,7 @@
     let plan = Plan { hosts: 1, links: true, ..Plan::default() };
     let system = System::start(plan).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (day TEXT)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (day TEXT)").await.unwrap();
     client.batch_execute("INSERT INTO visit VALUES ('monday')").await.unwrap();
     client.batch_execute("SET bergamottrack.max_age = '0'").await.unwrap();
     client.batch_execute("SET bergamottrack.deadline = '60s'").await.unwrap();
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -137,7 +137,7 @@
     for _ in 0..10 {
         let system = System::start(Plan::default()).await.unwrap();
         let client = system.connect(0, "baobab", "g1").await.unwrap();
-        system::until_runs(&client, "CREATE TABLE booking (id TEXT)").await.unwrap();
+        system::run_until_ok(&client, "CREATE TABLE booking (id TEXT)").await.unwrap();
         let start = Instant::now();
         system.servers["g1s1"].signal(libc::SIGSTOP).unwrap();
         tokio::time::sleep(stall).await;
@@ -163,7 +163,7 @@
     let plan = Plan { policy: "request_ms = 25000".into(), ..Plan::default() };
     let system = System::start(plan).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE booking (id TEXT)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE booking (id TEXT)").await.unwrap();
     system.servers["g1s1"].signal(libc::SIGSTOP).unwrap();
     let start = Instant::now();
     let error = client.simple_query("INSERT INTO booking VALUES ('b1')").await.unwrap_err();
@@ -185,7 +185,7 @@
     for reader in 0..6 {
         let client = system.connect(reader % 3, "baobab", "g1").await.unwrap();
         let table = "CREATE TABLE IF NOT EXISTS booking (id TEXT)";
-        system::until_runs(&client, table).await.unwrap();
+        system::run_until_ok(&client, table).await.unwrap();
         client.simple_query("INSERT INTO booking VALUES ('b1')").await.unwrap();
         readers.push(Arc::new(client));
     }
--- a/tests/hostile.rs
+++ b/tests/hostile.rs
@@ -12,7 +12,7 @@
     let plan = Plan { hosts: 1, host_args: vec!["--callers=40".into()], ..Plan::default() };
     let system = System::start(plan).await.unwrap();
     let client = system.connect(0, "hartwell", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     (system, client)
 }
 
@@ -173,7 +173,7 @@
     let memory = lab::usage::resident(pid);
     assert!(memory < 200 << 20, "the host holds {memory} bytes");
     drop(accepted);
-    system::until_runs(&other, &format!("SELECT '{}'", "y".repeat(10 << 20))).await.unwrap();
+    system::run_until_ok(&other, &format!("SELECT '{}'", "y".repeat(10 << 20))).await.unwrap();
 }
 
 /// Guards against unbounded memory for prepared statements: a caller that prepares them without end
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bergamottrack_contract::Verifier;
-use lab::system::{self, PATIENCE, Plan, System};
+use lab::system::{self, Plan, System, WAIT_TIMEOUT};
 use tokio_postgres::Client;
 
 /// Timeout for a withdrawal to take effect. The freshness limit is three seconds.
@@ -29,7 +29,7 @@
     let mut clients = Vec::new();
     for host in 0..system.plan.hosts {
         let client = system.connect(host, account, "g1").await.unwrap();
-        system::until_runs(&client, "SELECT 1").await.unwrap();
+        system::run_until_ok(&client, "SELECT 1").await.unwrap();
         clients.push(client);
     }
     clients
@@ -52,7 +52,7 @@
 
 /// Checks that the caller is served, without a single refusal for `WATCH_DURATION`.
 async fn assert_served(client: &Client) {
-    system::until_runs(client, "SELECT 1").await.unwrap();
+    system::run_until_ok(client, "SELECT 1").await.unwrap();
     let start = Instant::now();
     while start.elapsed() < WATCH_DURATION {
         client.simple_query("SELECT 1").await.unwrap();
@@ -193,7 +193,7 @@
     let system = System::start(plan).await.unwrap();
     let writer = system.connect(0, "baobab", "g1").await.unwrap();
     let sql = "CREATE TABLE IF NOT EXISTS booking (id TEXT)";
-    system::until_runs(&writer, sql).await.unwrap();
+    system::run_until_ok(&writer, sql).await.unwrap();
     for host in 0..system.plan.hosts {
         let client = system.connect(host, "baobab", "g1").await.unwrap();
         client.simple_query("INSERT INTO booking VALUES ('recorded')").await.unwrap();
@@ -210,7 +210,7 @@
         if contains(&bytes, "'recorded'") {
             break bytes;
         }
-        assert!(start.elapsed() < PATIENCE, "the statement was not recorded");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "the statement was not recorded");
         tokio::time::sleep(POLL_INTERVAL).await;
     };
     assert!(!contains(&bytes, &system::key_of("baobab")), "the key was sent over a link");
--- a/tests/large.rs
+++ b/tests/large.rs
@@ -20,7 +20,7 @@
     let plan = Plan { hosts: 2, policy: "request_ms = 1500".into(), ..Plan::default() };
     let system = System::start(plan).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS portfolio (id INTEGER, page TEXT)")
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS portfolio (id INTEGER, page TEXT)")
         .await
         .unwrap();
     let page = "x".repeat(ROW_LEN);
@@ -90,5 +90,5 @@
         caller.send(&Query::new("SELECT page FROM portfolio".into())).await.unwrap();
         callers.push(caller);
     }
-    system::until_runs(&other, "INSERT INTO portfolio VALUES (2, 'y')").await.unwrap();
+    system::run_until_ok(&other, "INSERT INTO portfolio VALUES (2, 'y')").await.unwrap();
 }
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -50,8 +50,8 @@
     let policy = "request_ms = 25000".to_owned();
     let system = System::start(Plan { policy, ..Plan::default() }).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
-    system::until_runs(&client, "INSERT INTO booking VALUES ('b1')").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
+    system::run_until_ok(&client, "INSERT INTO booking VALUES ('b1')").await.unwrap();
     let leaving = "id = \"g1s2\"\nleaving = true";
     system.submit(&system.config().replace("id = \"g1s2\"", leaving)).await.unwrap();
     let noticed =
--- a/tests/ledger/mod.rs
+++ b/tests/ledger/mod.rs
@@ -13,7 +13,7 @@
 };
 
 use bergamottrack_coordination::leadership::Status;
-use lab::system::{self, PATIENCE, System};
+use lab::system::{self, System, WAIT_TIMEOUT};
 use tokio::task::JoinHandle;
 use tokio_postgres::Config;
 
@@ -54,7 +54,9 @@
     /// Starts two writers through each host.
     pub async fn start(system: &System) -> Self {
         let client = system.connect(0, "baobab", "g1").await.unwrap();
-        system::until_runs(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
+        system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)")
+            .await
+            .unwrap();
         let mut ledger =
             Self { reported: Arc::default(), stop: Arc::default(), writers: Vec::new() };
         for writer in 0..2 * system.plan.hosts {
@@ -133,7 +135,7 @@
 
 /// Waits until a condition holds; `what` describes it for the message of the time-out.
 pub async fn until(what: &str, holds: impl AsyncFn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -152,7 +154,7 @@
 
 /// Returns the server that leads the greatest term, and its status.
 pub async fn primary(system: &System) -> (String, Status) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let mut leading: Vec<(String, Status)> = Vec::new();
         for name in system.servers.keys() {
--- a/tests/mixing.rs
+++ b/tests/mixing.rs
@@ -17,7 +17,7 @@
     for host in 0..system.plan.hosts {
         let client = system.connect(host, "baobab", "g1").await.unwrap();
         let table = "CREATE TABLE IF NOT EXISTS part (owner TEXT, n INTEGER)";
-        system::until_runs(&client, table).await.unwrap();
+        system::run_until_ok(&client, table).await.unwrap();
     }
     system
 }
@@ -165,7 +165,7 @@
         let mut truncated = 0;
         for host in 0..3 {
             let client = system.connect(host, "baobab", "g1").await.unwrap();
-            system::until_runs(&client, "SELECT 1").await.unwrap();
+            system::run_until_ok(&client, "SELECT 1").await.unwrap();
             let slow = Fault { bytes_per_sec: 2_000_000, ..Fault::default() };
             system.fault(links, slow).await.unwrap();
             let mut rows = 0;
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -9,7 +9,7 @@
 use lab::{
     ports::Ports,
     process::Process,
-    system::{self, OPERATOR_KEY, PATIENCE, Plan, SECRET, System},
+    system::{self, OPERATOR_KEY, Plan, SECRET, System, WAIT_TIMEOUT},
 };
 
 const PAUSE: Duration = Duration::from_millis(50);
@@ -87,7 +87,7 @@
 
     /// Waits until `status` says something.
     fn until_status(&self, wanted: &str) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let status = self.run(0, "ana", &["status"]).out;
             if status.contains(wanted) {
@@ -111,7 +111,7 @@
 
     /// Waits until all hosts are of the roster and act on the same revision.
     fn settle(&self) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let status = self.status(0);
             let hosts = status["hosts"].as_array().cloned().unwrap_or_default();
@@ -203,7 +203,7 @@
     assert_eq!(desk.run(1, "ana", &["hosts"]).code, 0);
     assert_eq!(desk.revision(), against);
     desk.system.platform_faults("{}").await.unwrap();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !desk.system.hosts[0].log().contains("the platform can be used again") {
         assert!(Instant::now() < deadline, "{}", desk.system.hosts[0].log());
         std::thread::sleep(PAUSE);
@@ -256,7 +256,7 @@
     let mut host = Process::new("h9", program, args, desk.system.dir());
     host.start().unwrap();
     let at = operator.replace("operator", "at");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let refused = desk.run(0, "ana", &["hosts", &at]);
         assert_eq!(refused.code, 1, "{refused:?}");
@@ -301,7 +301,7 @@
     let mut clients = Vec::new();
     for host in 0..2 {
         let client = desk.system.connect(host, "baobab", "g1").await.unwrap();
-        system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id TEXT)").await.unwrap();
+        system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id TEXT)").await.unwrap();
         system::rows(&client, "SELECT id FROM visit").await.unwrap();
         clients.push(client);
     }
@@ -339,7 +339,7 @@
     let drained = desk.run(2, "ana", &["drain"]);
     assert_eq!(drained.code, 0, "{drained:?}");
     assert!(drained.out.starts_with("h3 drains"), "{drained:?}");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while desk.system.hosts[2].is_running() {
         assert!(Instant::now() < deadline, "{}", desk.system.hosts[2].log());
         std::thread::sleep(PAUSE);
@@ -359,7 +359,7 @@
     limit_files(desk.system.hosts[0].pid().unwrap(), 64);
     let address = desk.system.addresses[0].operator;
     let crowd: Vec<_> = (0..100).map(|_| std::net::TcpStream::connect(address)).collect();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !desk.system.hosts[0].log().contains("cannot be accepted") {
         assert!(desk.system.hosts[0].is_running(), "{}", desk.system.hosts[0].log());
         assert!(Instant::now() < deadline, "the files never ran out");
@@ -389,7 +389,7 @@
     let desk = Desk::new().await;
     desk.settle();
     let client = desk.system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     let mut settings = insta::Settings::clone_current();
     settings.add_filter(r"[0-9a-f]{12,}", "[id]");
     settings.add_filter(r"\d+\.\d+(m?s)\b", "[time]$1");
@@ -415,7 +415,7 @@
     let desk = Desk::new().await;
     desk.settle();
     let client = desk.system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
     client.simple_query("SET bergamottrack.request = 'b-17'").await.unwrap();
     client.simple_query("INSERT INTO booking VALUES ('chapel')").await.unwrap();
     for host in 0..3 {
--- a/tests/outcome.rs
+++ b/tests/outcome.rs
@@ -11,7 +11,7 @@
 };
 use lab::{
     link::Fault,
-    system::{self, PATIENCE, Plan, System},
+    system::{self, Plan, System, WAIT_TIMEOUT},
 };
 use ledger::Reported;
 use tokio_postgres::Client;
@@ -19,7 +19,7 @@
 async fn start(plan: Plan) -> (System, Client) {
     let system = System::start(plan).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
     until_all_serve(&system).await;
     (system, client)
 }
@@ -46,7 +46,7 @@
 
 /// Asks until it is known.
 async fn until_known(system: &System, host: usize, id: &str) -> Outcome {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         match ask(system, host, id).await {
             Outcome::Unknown { again } => tokio::time::sleep(again).await,
@@ -154,7 +154,7 @@
 /// Sends a booking again and again until it is told done.
 async fn until_done(client: &Client, id: &str) {
     let sql = booking(&id.replace('r', "b"));
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while send(client, id, &sql).await != Reported::Done {
         assert!(Instant::now() < deadline, "{id} is not done");
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -320,7 +320,7 @@
 /// Cuts the hosts off from each other for good, once the caller's host serves
 /// it alone: a host that has just joined has no part of the account's rate yet.
 async fn until_alone(system: &System, client: &Client) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         system.cut("h*>h*").await.unwrap();
         for _ in 0..8 {
@@ -344,7 +344,7 @@
 async fn until_all_serve(system: &System) {
     for host in 0..system.plan.hosts {
         let client = system.connect(host, "baobab", "g1").await.unwrap();
-        system::until_runs(&client, "SELECT id FROM booking").await.unwrap();
+        system::run_until_ok(&client, "SELECT id FROM booking").await.unwrap();
     }
 }
 
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -9,7 +9,7 @@
 async fn write_here_read_everywhere(plan: Plan) {
     let system = System::start(plan).await.unwrap();
     let writer = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&writer, "CREATE TABLE IF NOT EXISTS booking (id TEXT, day TEXT)")
+    system::run_until_ok(&writer, "CREATE TABLE IF NOT EXISTS booking (id TEXT, day TEXT)")
         .await
         .unwrap();
     writer.simple_query("INSERT INTO booking VALUES ('b1', 'monday')").await.unwrap();
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -13,7 +13,7 @@
 async fn start() -> (System, RawCaller) {
     let system = System::start(Plan::default()).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     let caller = RawCaller::login(&system, 0, "baobab").await.unwrap();
     (system, caller)
 }
@@ -92,7 +92,7 @@
     let accounts = vec![("baobab".into(), 1000.0, 1000.0), ("hartwell".into(), 0.001, 3.0)];
     let system = System::start(Plan { hosts: 1, accounts, ..Plan::default() }).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     let mut caller = RawCaller::login(&system, 0, "hartwell").await.unwrap();
     let query = |sql: &str| frame::bytes(&Query::new(sql.into()));
     // Until the burst is used up.
--- a/tests/revisions.rs
+++ b/tests/revisions.rs
@@ -5,7 +5,7 @@
 
 use lab::{
     link::Fault,
-    system::{self, PATIENCE, Plan, System},
+    system::{self, Plan, System, WAIT_TIMEOUT},
 };
 
 const PAUSE: Duration = Duration::from_millis(20);
@@ -42,7 +42,7 @@
     let since = Instant::now();
     for host in 0..system.plan.hosts {
         let client = system.connect(host, account, "g1").await.unwrap();
-        system::until_runs(&client, "SELECT 1").await.unwrap();
+        system::run_until_ok(&client, "SELECT 1").await.unwrap();
     }
     assert!(since.elapsed() < SECONDS, "it took {:?}", since.elapsed());
 }
@@ -82,7 +82,7 @@
     let query = format!("submit=cut&base={}", newest(&system).await);
     system.platform_faults(r#"{"lose_commits": 100}"#).await.unwrap();
     let outage = async {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while system.row("submit-cut").await.unwrap().is_empty() {
             assert!(Instant::now() < deadline, "the change was not made");
             tokio::time::sleep(PAUSE).await;
@@ -106,7 +106,7 @@
 async fn a_submit_in_an_outage_changes_nothing() {
     let mut system = start().await;
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     let config = with_account(&mut system, "third");
     let query = format!("submit=none&base={}", newest(&system).await);
     system.platform_faults(r#"{"down": true}"#).await.unwrap();
@@ -153,7 +153,7 @@
     system.submit(&config).await.unwrap();
     in_force_everywhere(&system, "third").await;
     let client = system.connect(1, "third", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     system.platform_faults(r#"{"old_rows": true}"#).await.unwrap();
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(6) {
@@ -175,7 +175,7 @@
     system.hosts[1].kill();
     system.hosts[1].start().unwrap();
     let client = system.connect(1, "third", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
 }
 
 /// All hosts restart at once, as after a power cut: what was accepted is in the
@@ -189,7 +189,7 @@
     system.hosts.iter_mut().for_each(|host| host.start().unwrap());
     for host in 0..system.plan.hosts {
         let client = system.connect(host, "third", "g1").await.unwrap();
-        system::until_runs(&client, "SELECT 1").await.unwrap();
+        system::run_until_ok(&client, "SELECT 1").await.unwrap();
     }
 }
 
@@ -199,7 +199,7 @@
 async fn a_slow_platform_stops_neither_callers_nor_submits() {
     let mut system = start().await;
     let client = system.connect(1, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     system.platform_faults(r#"{"slow_ms": 1500}"#).await.unwrap();
     let config = with_account(&mut system, "third");
     let submitting = submit(&system, 0, "submit=slow", &config);
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_contract::RevisionDoc;
 use bergamottrack_platform::chain::Head;
-use lab::system::{self, PATIENCE, Plan, System};
+use lab::system::{self, Plan, System, WAIT_TIMEOUT};
 
 const PAUSE: Duration = Duration::from_millis(100);
 
@@ -37,12 +37,12 @@
 async fn a_silent_host_is_taken_out_and_comes_back() {
     let system = System::start(Plan::default()).await.unwrap();
     let client = system.connect(2, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     system.hosts[2].signal(libc::SIGSTOP).unwrap();
     until_roster(&system, &["h1", "h2"], TAKEN_OUT).await;
     system.hosts[2].signal(libc::SIGCONT).unwrap();
-    until_roster(&system, &["h1", "h2", "h3"], PATIENCE).await;
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    until_roster(&system, &["h1", "h2", "h3"], WAIT_TIMEOUT).await;
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
 }
 
 /// Two of three hosts die for good at once. No majority of the roster can be
@@ -62,5 +62,5 @@
     until_roster(&system, &["h1"], TAKEN_OUT).await;
     system.submit(&system.config()).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -153,7 +153,7 @@
             }
             Command::Sql { name, sql } => return self.sql(name, sql).await,
             Command::Until { name, sql } => {
-                system::until_runs(&self.caller(name)?.client, sql).await?;
+                system::run_until_ok(&self.caller(name)?.client, sql).await?;
             }
             Command::Kill(name) => self.system()?.process(name)?.kill(),
             Command::Restart(name) => self.system()?.process(name)?.start()?,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -6,7 +6,7 @@
 async fn start() -> (System, Client) {
     let system = System::start(Plan::default()).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     (system, client)
 }
 
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -20,7 +20,7 @@
 async fn start() -> (System, Client) {
     let system = System::start(plan(1)).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     (system, client)
 }
 
@@ -57,7 +57,7 @@
 }
 
 async fn until(mut look: impl AsyncFnMut() -> bool) {
-    let deadline = std::time::Instant::now() + system::PATIENCE;
+    let deadline = std::time::Instant::now() + system::WAIT_TIMEOUT;
     while !look().await {
         assert!(std::time::Instant::now() < deadline, "waited in vain");
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -70,7 +70,7 @@
 }
 
 async fn numbers(client: &Client) -> Vec<i32> {
-    system::until_runs(client, "SELECT id FROM visit").await.unwrap();
+    system::run_until_ok(client, "SELECT id FROM visit").await.unwrap();
     let rows = system::rows(client, "SELECT id FROM visit ORDER BY id").await.unwrap();
     rows.iter().map(|row| row.parse().unwrap()).collect()
 }
@@ -135,7 +135,7 @@
     for group in ["g1", "g2", "g3"] {
         let client = system.connect(0, "baobab", group).await.unwrap();
         let table = "CREATE TABLE IF NOT EXISTS visit (id INTEGER)";
-        system::until_runs(&client, table).await.unwrap();
+        system::run_until_ok(&client, table).await.unwrap();
         told.push(insert(client, 1));
     }
     // In a fleet that is only seconds old one host may have all of the rate.
@@ -160,7 +160,7 @@
         }
         system.hosts[host].start().unwrap();
         let there = system.connect(host, "baobab", "g1").await.unwrap();
-        system::until_runs(&there, "SELECT 1").await.unwrap();
+        system::run_until_ok(&there, "SELECT 1").await.unwrap();
     }
     assert!(homes > 0, "no home of a group was stopped");
 }
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -39,7 +39,7 @@
     let system = System::start(Plan { hosts: 1, host_args, ..Plan::default() }).await.unwrap();
     // Without encryption, which stays possible.
     let plain = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&plain, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&plain, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     system
 }
 
@@ -59,7 +59,7 @@
     let stream = asked(system, &SSL_REQUEST).await;
     let name = ServerName::try_from("entry.test")?;
     let encrypted = TlsConnector::from(Arc::new(config)).connect(name, stream).await?;
-    RawCaller::on(Box::new(encrypted)).start("baobab").await
+    RawCaller::from_stream(Box::new(encrypted)).start("baobab").await
 }
 
 async fn serves(caller: &mut RawCaller) -> bool {
@@ -80,7 +80,7 @@
 
     put(&dir, "second");
     system.hosts[0].signal(libc::SIGHUP).unwrap();
-    let deadline = std::time::Instant::now() + system::PATIENCE;
+    let deadline = std::time::Instant::now() + system::WAIT_TIMEOUT;
     let mut late = loop {
         match connect(&system, "second").await {
             Ok(caller) => break caller,
@@ -109,6 +109,6 @@
     let mut stream = asked(&system, &bytes).await;
     let mut rest = Vec::new();
     // Closed, by an end or a reset.
-    let read = tokio::time::timeout(system::PATIENCE, stream.read_to_end(&mut rest)).await;
+    let read = tokio::time::timeout(system::WAIT_TIMEOUT, stream.read_to_end(&mut rest)).await;
     assert!(read.is_ok() && rest.is_empty(), "{rest:?}");
 }
--- a/tests/transactions.rs
+++ b/tests/transactions.rs
@@ -6,7 +6,7 @@
 async fn start() -> (System, Client) {
     let system = System::start(Plan { links: true, ..Plan::default() }).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     (system, client)
 }
 
@@ -36,10 +36,10 @@
     assert_eq!(code(&fourth.unwrap_err()), "25P02");
     end.unwrap();
     let reader = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&reader, "SELECT id FROM visit").await.unwrap();
+    system::run_until_ok(&reader, "SELECT id FROM visit").await.unwrap();
     let rows = system::rows(&reader, "SELECT id FROM visit").await.unwrap();
     assert!(rows.is_empty(), "half of a transaction stands: {rows:?}");
-    system::until_runs(&client, "INSERT INTO visit VALUES (5)").await.unwrap();
+    system::run_until_ok(&client, "INSERT INTO visit VALUES (5)").await.unwrap();
 }
 
 /// A caller has written within its transaction and thinks for a moment. Eight
@@ -50,7 +50,7 @@
 async fn a_transaction_goes_on_when_all_slots_wait_for_its_lock() {
     let system = System::start(Plan::default()).await.unwrap();
     let owner = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&owner, "CREATE TABLE IF NOT EXISTS hold (id TEXT)").await.unwrap();
+    system::run_until_ok(&owner, "CREATE TABLE IF NOT EXISTS hold (id TEXT)").await.unwrap();
     owner.batch_execute("BEGIN").await.unwrap();
     owner.batch_execute("INSERT INTO hold VALUES ('first')").await.unwrap();
     let mut waiting = Vec::new();
