--- a/lab/src/system.rs
+++ b/lab/src/system.rs
@@ -1,4 +1,5 @@
-//! A whole system of processes on one machine.
+//! Complete system on one machine: platform, backend servers, entry hosts and links, each as a
+//! process of its own.
 
 use std::{
     collections::BTreeMap,
@@ -21,39 +22,40 @@
     process::Process,
 };
 
-/// The key that operators show.
+/// Operator key of every system.
 pub const OPERATOR_KEY: &str = "operator-key-of-the-lab";
 
-/// What the secrets that hosts share begin with.
+/// Prefix of the secrets shared by the hosts of a system.
 pub const SECRET: &str = "secret-of-the-lab";
 
-/// What a system is made of.
+/// Size and settings of a system.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Database groups, of three servers each.
+    /// Number of database groups; each has three servers.
     pub groups: usize,
-    /// Entry hosts.
+    /// Number of entry hosts.
     pub hosts: usize,
-    /// Client accounts: name, rate and burst. Each has the key `k1`.
+    /// Client accounts: name, rate and burst. Each has one key, `k1`.
     pub accounts: Vec<(String, f64, f64)>,
-    /// Further arguments of each server.
+    /// Additional arguments of each server.
     pub server_args: Vec<String>,
-    /// Further arguments of each entry host.
+    /// Additional arguments of each entry host.
     pub host_args: Vec<String>,
     /// Lines of the configuration's `[policy]`.
     pub policy: String,
-    /// Whether every connection between two processes goes through a link that
-    /// can be cut. Links are named `FROM>TO`: `h1>g1s1`, `h1>h2`, `h1>platform`,
-    /// and `g1s2>g1s1` for replication.
+    /// Whether every connection between two processes goes through a fault-injecting link. Links
+    /// are named `FROM>TO`: `h1>g1s1`, `h1>h2`, `h1>platform`, and `g1s2>g1s1` for replication.
     pub links: bool,
-    /// Whether the link process records all bytes, in `bytes` of its directory.
+    /// Whether the link process appends all bytes that it forwards to the file `bytes` in the
+    /// system's directory.
     pub record: bool,
-    /// The configuration to lay out instead of `accounts` and `policy`: server
-    /// `i` of its group `g` becomes the stand-in `g{g}s{i}`.
+    /// Configuration used instead of `accounts` and `policy`: server `i` of its group `g` becomes
+    /// the stand-in `g{g}s{i}`.
     pub site: Option<Config>,
-    /// What the hosts log.
+    /// Log filter of the entry hosts.
     pub log: String,
-    /// Where host `i` listens for callers: this port and `i`, 0 for any.
+    /// Base port for callers: host `i`, counted from 1, listens on this port plus `i`. With 0 a free
+    /// port is chosen.
     pub port: u16,
 }
 
@@ -75,65 +77,67 @@
     }
 }
 
-/// Where an entry host listens.
+/// Addresses on which an entry host listens.
 #[derive(Clone, Copy, Debug)]
 pub struct HostAddresses {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For other hosts.
+    /// Address for other hosts.
     pub peer: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub operator: SocketAddr,
 }
 
-/// Where a backend server listens.
+/// Addresses on which a backend server listens.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerAddresses {
-    /// For statements.
+    /// Address for statements.
     pub statements: SocketAddr,
-    /// For the other servers of its group.
+    /// Address for the other servers of its group.
     pub replication: SocketAddr,
 }
 
-/// A running system; its processes end when it is dropped.
+/// Running system; its processes are killed when it is dropped.
 pub struct System {
-    /// What it is made of.
+    /// Size and settings of this system.
     pub plan: Plan,
-    /// The platform.
+    /// Platform stand-in.
     pub platform: Process,
-    /// The link process, if there is one.
+    /// Link process, if the plan has links.
     pub link: Option<Process>,
-    /// The backend servers by name, such as `g1s2`.
+    /// Backend servers by name, such as `g1s2`.
     pub servers: BTreeMap<String, Process>,
-    /// Where each server listens.
+    /// Addresses of the backend servers by name.
     pub server_addresses: BTreeMap<String, ServerAddresses>,
-    /// The entry hosts; `hosts[0]` is `h1`.
+    /// Entry hosts; `hosts[0]` is `h1`.
     pub hosts: Vec<Process>,
-    /// Where each host listens.
+    /// Addresses of the entry hosts, in the order of `hosts`.
     pub addresses: Vec<HostAddresses>,
-    /// Where the platform listens.
+    /// Address of the platform.
     pub platform_address: SocketAddr,
-    /// Where the links take commands.
+    /// Control address of the link process.
     pub control: SocketAddr,
     link_args: Vec<String>,
     ports: Ports,
     dir: TempDir,
 }
 
-/// One of the programs, which stand beside the one that runs.
+/// Returns the path of a program built beside the running one: in its directory or the parent
+/// directory.
 pub fn program(name: &str) -> anyhow::Result<PathBuf> {
-    let me = std::env::current_exe().context("finding the programs")?;
-    let found = me.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.exists());
-    found.with_context(|| format!("the program {name} has not been built"))
+    let executable = std::env::current_exe().context("locating the running program")?;
+    let path =
+        executable.ancestors().skip(1).take(2).map(|dir| dir.join(name)).find(|p| p.exists());
+    path.with_context(|| format!("program {name} not found; it has not been built"))
 }
 
-/// The key of an account in the lab.
+/// Returns the key of a client account.
 pub fn key_of(account: &str) -> String {
     format!("key-of-{account}")
 }
 
 impl System {
-    /// Starts all processes and submits the configuration.
+    /// Starts all processes, submits the configuration and waits until all hosts have joined.
     pub async fn start(plan: Plan) -> anyhow::Result<Self> {
         let mut system = Self::prepare(plan)?;
         if let Some(link) = &mut system.link {
@@ -148,7 +152,7 @@
         Ok(system)
     }
 
-    /// Lays out all processes without starting any.
+    /// Assigns addresses and arguments to all processes without starting any.
     pub fn prepare(plan: Plan) -> anyhow::Result<Self> {
         let dir = tempfile::tempdir()?;
         let mut ports = Ports::take()?;
@@ -199,55 +203,59 @@
         Ok(system)
     }
 
-    /// The secret of its hosts. Each system has its own: a host of another one
-    /// that was left running, and finds a new host at a port that it knows,
-    /// would hand it its configuration.
+    /// Returns the secret shared by the hosts of this system. Every system has a secret of its own:
+    /// otherwise a host left running by another system would hand its configuration to a new host
+    /// on a port in its list.
     pub fn secret(&self) -> String {
         let name = self.dir.path().file_name().unwrap_or_default();
         format!("{SECRET}-{}", name.to_string_lossy())
     }
 
-    /// The directory of its logs.
+    /// Returns the directory of the logs.
     pub fn dir(&self) -> &Path {
         self.dir.path()
     }
 
-    /// A server, a host such as `h1`, or the platform.
+    /// Returns a process by name: a backend server, a host such as `h1`, or `platform`.
     pub fn process(&mut self, name: &str) -> anyhow::Result<&mut Process> {
         if name == "platform" {
             return Ok(&mut self.platform);
         }
-        let found = match name.strip_prefix('h').and_then(|n| n.parse::<usize>().ok()) {
+        let process = match name.strip_prefix('h').and_then(|n| n.parse::<usize>().ok()) {
             Some(number) => self.hosts.get_mut(number.wrapping_sub(1)),
             None => self.servers.get_mut(name),
         };
-        found.with_context(|| format!("there is no process {name}"))
+        process.with_context(|| format!("unknown process {name}"))
     }
 
-    /// Sets how long a backend server takes to show what it has received.
+    /// Sets the replication lag of a backend server: the delay in milliseconds before a received
+    /// write becomes visible.
     pub async fn set_lag(&self, server: &str, ms: u64) -> anyhow::Result<()> {
         let set = async {
             let client = self.connect_server(server).await?;
             anyhow::Ok(client.batch_execute(&format!("SET standin.lag_ms = {ms}")).await?)
         };
-        tokio::time::timeout(Duration::from_secs(1), set).await.context("no answer")?
+        tokio::time::timeout(Duration::from_secs(1), set)
+            .await
+            .context("backend server did not answer within 1 s")?
     }
 
-    /// Keeps the logs when the system is dropped; gives their directory.
+    /// Copies the logs to a directory that is kept when the system is dropped, and returns its path.
     pub fn keep_logs(&self) -> anyhow::Result<PathBuf> {
-        let kept = std::env::temp_dir().join(format!("bergamottrack-{}", std::process::id()));
-        std::fs::create_dir_all(&kept)?;
+        let target = std::env::temp_dir().join(format!("bergamottrack-{}", std::process::id()));
+        std::fs::create_dir_all(&target)?;
         for entry in std::fs::read_dir(self.dir())? {
             let path = entry?.path();
             if path.extension().is_some_and(|e| e == "log") {
-                std::fs::copy(&path, kept.join(path.file_name().unwrap_or_default()))?;
+                std::fs::copy(&path, target.join(path.file_name().unwrap_or_default()))?;
             }
         }
-        Ok(kept)
+        Ok(target)
     }
 
-    /// The address by which `from` reaches `to`.
-    fn reach(&mut self, from: &str, to: &str, address: SocketAddr) -> anyhow::Result<SocketAddr> {
+    /// Returns the address on which `from` connects to `to`: that of a new link if the plan has
+    /// links, `address` itself otherwise.
+    fn route(&mut self, from: &str, to: &str, address: SocketAddr) -> anyhow::Result<SocketAddr> {
         if !self.plan.links {
             return Ok(address);
         }
@@ -269,7 +277,7 @@
             let mut peers = Vec::new();
             for other in names.iter().filter(|other| *other != name) {
                 let address = self.server_addresses[other].replication;
-                peers.push(self.reach(name, other, address)?.to_string());
+                peers.push(self.route(name, other, address)?.to_string());
             }
             let addresses = self.server_addresses[name];
             let mut args = vec![
@@ -310,7 +318,7 @@
         ];
         args.extend(self.plan.host_args.iter().cloned());
         for (to, address) in targets {
-            let via = self.reach(&name, &to, address)?;
+            let via = self.route(&name, &to, address)?;
             if via != address {
                 args.push(format!("--via={address}={via}"));
             }
@@ -323,7 +331,7 @@
         Ok(())
     }
 
-    /// The configuration in TOML.
+    /// Returns the configuration as TOML.
     pub fn config(&self) -> String {
         if let Some(site) = &self.plan.site {
             return self.site_config(site.clone());
@@ -348,7 +356,7 @@
         text
     }
 
-    /// A site's configuration with the addresses and keys of this system.
+    /// Returns the site's configuration as TOML, with the addresses and keys of this system.
     fn site_config(&self, mut config: Config) -> String {
         for (g, group) in config.groups.iter_mut().enumerate() {
             for (i, server) in group.servers.iter_mut().enumerate() {
@@ -361,23 +369,25 @@
                 Verifier::new(&key_of(account.id.as_str()), account.id.as_str().as_bytes());
             account.keys.iter_mut().for_each(|key| key.verifier = verifier.clone());
         }
-        toml::to_string(&config).expect("a configuration is written as it was read")
+        toml::to_string(&config).expect("a parsed configuration can be serialized")
     }
 
-    /// Submits a configuration through the first host, as soon as it is taken.
+    /// Submits a configuration through the first host, and repeats this until it is accepted.
     pub async fn submit(&self, config: &str) -> anyhow::Result<String> {
         let address = self.addresses[0].operator;
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match post(address, "/submit", config).await {
                 Ok((200, text)) => return Ok(text),
-                other if Instant::now() > deadline => anyhow::bail!("submitting: {other:?}"),
+                other if Instant::now() > deadline => {
+                    anyhow::bail!("configuration not accepted: {other:?}")
+                }
                 _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    /// The value of a row of the platform's table service.
+    /// Returns the value of a row of the platform's table service.
     pub async fn row(&self, key: &str) -> anyhow::Result<String> {
         let path = format!("/table/row/{key}");
         let (_, text) = request(self.platform_address, "GET", &path, "").await?;
@@ -385,53 +395,53 @@
         Ok(row.value.into())
     }
 
-    /// Sets the fault of all links whose names match, such as `h1>*`.
+    /// Sets the fault of all links whose names match the pattern, such as `h1>*`.
     pub async fn fault(&self, names: &str, fault: Fault) -> anyhow::Result<()> {
         self.command("/set", &SetFault { names: names.into(), fault }).await
     }
 
-    /// Mends all links whose names match.
+    /// Removes the faults of all links whose names match the pattern.
     pub async fn mend(&self, names: &str) -> anyhow::Result<()> {
         self.fault(names, Fault::default()).await
     }
 
-    /// Cuts all links whose names match, both ways.
+    /// Cuts all links whose names match the pattern, in both directions.
     pub async fn cut(&self, names: &str) -> anyhow::Result<()> {
         self.fault(names, Fault { cut_up: true, cut_down: true, ..Fault::default() }).await
     }
 
-    /// Resets the connections of all links whose names match.
+    /// Resets the connections of all links whose names match the pattern.
     pub async fn reset(&self, names: &str) -> anyhow::Result<()> {
         self.command("/reset", &SetFault { names: names.into(), fault: Fault::default() }).await
     }
 
     async fn command(&self, path: &str, set: &SetFault) -> anyhow::Result<()> {
         let (status, text) = post(self.control, path, &serde_json::to_string(set)?).await?;
-        anyhow::ensure!(status == 200, "a link command failed: {text}");
+        anyhow::ensure!(status == 200, "link command failed: {text}");
         Ok(())
     }
 
-    /// Sets faults of the platform, as JSON: `{"down": true}`.
+    /// Sets the faults of the platform, given as JSON: `{"down": true}`.
     pub async fn platform_faults(&self, json: &str) -> anyhow::Result<()> {
         let (status, text) = post(self.platform_address, "/faults", json).await?;
-        anyhow::ensure!(status == 200, "a platform command failed: {text}");
+        anyhow::ensure!(status == 200, "platform command failed: {text}");
         Ok(())
     }
 
-    /// Waits until every host knows all others and the configuration: a host
-    /// joins by compare-and-swap, so several that start at once take a while.
+    /// Waits until every host lists all others and has the configuration. A host joins by
+    /// compare-and-swap, so joining takes longer when several hosts start at once.
     pub async fn await_members(&self) -> anyhow::Result<()> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         for addresses in &self.addresses {
             while !self.is_joined(addresses.operator).await {
-                anyhow::ensure!(Instant::now() < deadline, "the hosts did not find each other");
+                anyhow::ensure!(Instant::now() < deadline, "not all hosts have joined in time");
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Whether all hosts are seen, each with the newest revision, from one of them.
+    /// Returns whether the status page of a host lists all hosts, each with the newest revision.
     async fn is_joined(&self, operator: SocketAddr) -> bool {
         let Ok((200, text)) = request(operator, "GET", "/status", "").await else { return false };
         let Ok(page) = serde_json::from_str::<StatusPage>(&text) else { return false };
@@ -443,13 +453,13 @@
     async fn await_listening(&self, address: SocketAddr) -> anyhow::Result<()> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while tokio::net::TcpStream::connect(address).await.is_err() {
-            anyhow::ensure!(Instant::now() < deadline, "nobody listens at {address}");
+            anyhow::ensure!(Instant::now() < deadline, "no process listens at {address}");
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// How a caller connects to a host as an account.
+    /// Returns the connection settings of a caller of the given account at a host.
     pub fn caller(&self, host: usize, account: &str, group: &str) -> tokio_postgres::Config {
         let address = self.addresses[host].callers;
         let mut config = tokio_postgres::Config::new();
@@ -462,7 +472,7 @@
         config
     }
 
-    /// Connects to a host as an account, trying again until the host serves.
+    /// Connects to a host with the given account, and retries until the host accepts.
     pub async fn connect(&self, host: usize, account: &str, group: &str) -> anyhow::Result<Client> {
         let config = self.caller(host, account, group);
         let deadline = Instant::now() + WAIT_TIMEOUT;
@@ -475,7 +485,7 @@
         }
     }
 
-    /// Connects straight to a backend server, past the proxy.
+    /// Connects directly to a backend server, without the proxy.
     pub async fn connect_server(&self, name: &str) -> anyhow::Result<Client> {
         let address = self.server_addresses[name].statements;
         let mut config = tokio_postgres::Config::new();
