--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -1,4 +1,4 @@
-//! Connections of callers and operators, as tests and tools use them.
+//! Connections of callers and operators, for tests and tools.
 
 use std::{
     net::SocketAddr,
@@ -10,19 +10,19 @@
 
 use crate::system::OPERATOR_KEY;
 
-/// How long a condition is waited for; far more than any takes.
+/// Timeout for conditions to come true; far longer than any of them takes.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Connects once.
+/// Connects without retries, and runs the connection in a task of its own.
 pub async fn connect(config: &tokio_postgres::Config) -> anyhow::Result<Client> {
-    let (client, connection) = config.connect(NoTls).await.context("connecting")?;
+    let (client, connection) = config.connect(NoTls).await.context("connecting to the server")?;
     tokio::spawn(connection);
     Ok(client)
 }
 
-/// Runs a statement again and again until it succeeds.
+/// Repeats a statement until it succeeds, for [`WAIT_TIMEOUT`] at most.
 pub async fn run_until_ok(client: &Client, sql: &str) -> anyhow::Result<()> {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
@@ -34,7 +34,7 @@
     }
 }
 
-/// The rows of a statement as text; columns joined by `|`, null as `NULL`.
+/// Runs a statement and returns its rows as text: columns joined by `|`, null as `NULL`.
 pub async fn rows(client: &Client, sql: &str) -> Result<Vec<String>, tokio_postgres::Error> {
     let messages = client.simple_query(sql).await?;
     let row = |message: &tokio_postgres::SimpleQueryMessage| match message {
@@ -47,12 +47,12 @@
     Ok(messages.iter().filter_map(row).collect())
 }
 
-/// Sends a POST with the operator key; the status and the body.
+/// Sends a POST request with the operator key; returns the status and the body.
 pub async fn post(address: SocketAddr, path: &str, body: &str) -> anyhow::Result<(u16, String)> {
     request(address, "POST", path, body).await
 }
 
-/// Sends an HTTP request with the operator key; the status and the body.
+/// Sends an HTTP request with the operator key; returns the status and the body.
 pub async fn request(
     address: SocketAddr,
     method: &str,
@@ -70,7 +70,8 @@
     stream.write_all(body.as_bytes()).await?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await?;
-    let (head, body) = answer.split_once("\r\n\r\n").context("an answer without a head")?;
+    let (head, body) =
+        answer.split_once("\r\n\r\n").context("HTTP response has no end of headers")?;
     let status = head.split(' ').nth(1).and_then(|s| s.parse().ok());
-    Ok((status.context("an answer without a status")?, body.to_owned()))
+    Ok((status.context("HTTP response has no valid status")?, body.to_owned()))
 }
