--- a/lab/src/system.rs
+++ b/lab/src/system.rs
@@ -380,7 +380,7 @@
             match post(address, "/submit", config).await {
                 Ok((200, text)) => return Ok(text),
                 other if Instant::now() > deadline => {
-                    anyhow::bail!("configuration not accepted: {other:?}")
+                    anyhow::bail!("not accepted: {other:?}")
                 }
                 _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
