--- a/lab/src/client.rs
+++ b/lab/src/client.rs
@@ -17,7 +17,7 @@
 
 /// Connects without retries, and runs the connection in a task of its own.
 pub async fn connect(config: &tokio_postgres::Config) -> anyhow::Result<Client> {
-    let (client, connection) = config.connect(NoTls).await.context("connecting to the server")?;
+    let (client, connection) = config.connect(NoTls).await.context("connecting")?;
     tokio::spawn(connection);
     Ok(client)
 }
--- a/lab/src/system.rs
+++ b/lab/src/system.rs
@@ -379,9 +379,7 @@
         loop {
             match post(address, "/submit", config).await {
                 Ok((200, text)) => return Ok(text),
-                other if Instant::now() > deadline => {
-                    anyhow::bail!("not accepted: {other:?}")
-                }
+                other if Instant::now() > deadline => anyhow::bail!("not accepted: {other:?}"),
                 _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
