--- a/lab/src/link.rs
+++ b/lab/src/link.rs
@@ -1,5 +1,5 @@
-//! The fault-injecting link: forwards TCP between any two processes and can
-//! cut (each direction alone), delay, throttle, freeze, reset and reopen.
+//! Fault-injecting link: forwards TCP connections between two processes and can cut (each direction
+//! alone), delay, throttle, freeze, reset and reopen them.
 
 use std::{
     cell::RefCell,
@@ -29,9 +29,10 @@
     sync::{Notify, mpsc},
 };
 
-const CHUNK: usize = 16 * 1024;
-/// Chunks on their way in one direction of one connection.
-const IN_FLIGHT: usize = 64;
+/// Size of the largest chunk read at once, in bytes.
+const CHUNK_SIZE: usize = 16 * 1024;
+/// Maximum number of chunks in flight in one direction of a connection.
+const MAX_IN_FLIGHT: usize = 64;
 
 /// Settings of a link process.
 #[derive(Args, Clone, Debug)]
@@ -47,44 +48,45 @@
     pub record: Option<PathBuf>,
 }
 
-/// A link: whoever connects to `listen` reaches `to`.
+/// Command that adds a link: connections to `listen` are forwarded to `to`.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct AddLink {
-    /// Its name, such as `h1>g1s1`.
+    /// Name of the link, such as `h1>g1s1`.
     pub name: Box<str>,
-    /// Where it listens.
+    /// Address on which the link listens.
     pub listen: SocketAddr,
-    /// Where it leads.
+    /// Address to which the link forwards connections.
     pub to: SocketAddr,
 }
 
-/// What is wrong with a link. "Up" is from the one that connects.
+/// Fault of a link. "Up" is the direction from the side that connects, "down" the one towards it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Fault {
-    /// What is sent up waits until the link is mended.
+    /// Whether bytes sent up are held back until the cut is removed.
     pub cut_up: bool,
-    /// What is sent down waits until the link is mended.
+    /// Whether bytes sent down are held back until the cut is removed.
     pub cut_down: bool,
-    /// New connections are refused, by closing them at once.
+    /// Whether new connections are refused, by closing them at once.
     pub refuse: bool,
-    /// Each byte arrives this much later.
+    /// Delay of each byte, in milliseconds.
     pub delay_ms: u64,
-    /// Bytes a second, each way; 0 for no limit.
+    /// Limit in bytes per second for each direction of a connection; 0 means no limit.
     pub bytes_per_sec: u64,
 }
 
-/// Sets the fault of all links whose names match; `*` stands for anything.
+/// Command that sets the fault of all links whose names match; `*` matches any text. As a reset
+/// command it ends their connections, and the fault is ignored.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct SetFault {
-    /// Names, such as `h1>*`.
+    /// Pattern of the names, such as `h1>*`.
     pub names: Box<str>,
-    /// What is wrong with them from now on.
+    /// New fault of the links.
     #[serde(default)]
     pub fault: Fault,
 }
 
-/// Whether a name matches a pattern with at most one `*` on each side of `>`.
+/// Returns whether a name matches a pattern with at most one `*` on each side of `>`.
 pub fn matches(pattern: &str, name: &str) -> bool {
     let side = |pattern: &str, part: &str| match pattern.split_once('*') {
         Some((head, tail)) => {
@@ -105,7 +107,7 @@
     reset: Notify,
 }
 
-/// Links of this process.
+/// Links of this process by name.
 #[derive(Clone, Default)]
 pub struct Links {
     named: Rc<RefCell<BTreeMap<Box<str>, Rc<Link>>>>,
@@ -127,14 +129,14 @@
     }
     let handler: Rc<Handler> =
         Rc::new(move |request: Request| -> Pin<Box<dyn Future<Output = Reply>>> {
-            let reply = command(&links, &request)
+            let reply = handle_command(&links, &request)
                 .unwrap_or_else(|e| Reply::text(StatusCode::BAD_REQUEST, format!("{e:#}\n")));
             Box::pin(async move { reply })
         });
     bergamottrack_operator::serve(args.control, handler).await
 }
 
-fn command(links: &Links, request: &Request) -> anyhow::Result<Reply> {
+fn handle_command(links: &Links, request: &Request) -> anyhow::Result<Reply> {
     let done = || Ok(Reply::text(StatusCode::OK, "done\n"));
     match &*request.path {
         "/add" => {
@@ -161,21 +163,21 @@
         add(self, link)
     }
 
-    /// Sets the fault of the links of that name.
+    /// Sets the fault of all links whose names match the pattern.
     pub fn set(&self, names: &str, fault: &Fault) {
-        each(self, names, |link| {
+        for_each_match(self, names, |link| {
             *link.fault.borrow_mut() = fault.clone();
             link.changed.notify_waiters();
         });
     }
 
-    /// Ends the connections of the links of that name.
+    /// Ends the connections of all links whose names match the pattern.
     pub fn reset(&self, names: &str) {
-        each(self, names, |link| link.reset.notify_waiters());
+        for_each_match(self, names, |link| link.reset.notify_waiters());
     }
 }
 
-fn each(links: &Links, names: &str, act: impl Fn(&Link)) {
+fn for_each_match(links: &Links, names: &str, act: impl Fn(&Link)) {
     let links = links.named.borrow();
     links.iter().filter(|(name, _)| matches(names, name)).for_each(|(_, link)| act(link));
 }
@@ -202,37 +204,38 @@
         return;
     }
     let reset = link.reset.notified();
-    let work = async {
-        // A connection through a cut link is not made before the link is mended.
-        link.until(|fault| !fault.cut_up).await;
+    let forwarding = async {
+        // The onward connection is opened only when the upward direction is not cut.
+        link.wait_until(|fault| !fault.cut_up).await;
         let Ok(onward) = TcpStream::connect(to).await else { return };
         let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
         let (Ok(near), Ok(far)) = (stream.into_poll_io(), onward.into_poll_io()) else { return };
         let (near_read, near_write) = tokio::io::split(near);
         let (far_read, far_write) = tokio::io::split(far);
-        let up = pump(&link, near_read, far_write, |fault| fault.cut_up);
-        let down = pump(&link, far_read, near_write, |fault| fault.cut_down);
+        let up = forward_direction(&link, near_read, far_write, |fault| fault.cut_up);
+        let down = forward_direction(&link, far_read, near_write, |fault| fault.cut_down);
         monoio::join!(up, down);
     };
     monoio::select! {
-        _ = work => {}
+        _ = forwarding => {}
         _ = reset => {}
     }
 }
 
-type Cut = fn(&Fault) -> bool;
+/// Returns whether the fault cuts the direction concerned.
+type IsCut = fn(&Fault) -> bool;
 
-/// Moves bytes one way until the stream ends.
-async fn pump(
+/// Forwards the bytes of one direction until the stream ends.
+async fn forward_direction(
     link: &Link,
     mut from: ReadHalf<TcpStreamPoll>,
     mut to: WriteHalf<TcpStreamPoll>,
-    cut: Cut,
+    cut: IsCut,
 ) {
-    let (tx, mut rx) = mpsc::channel::<(Instant, Vec<u8>)>(IN_FLIGHT);
+    let (tx, mut rx) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_IN_FLIGHT);
     let read = async move {
         loop {
-            let mut chunk = vec![0; CHUNK];
+            let mut chunk = vec![0; CHUNK_SIZE];
             match from.read(&mut chunk).await {
                 Ok(n) if n > 0 => chunk.truncate(n),
                 _ => return,
@@ -244,7 +247,7 @@
     };
     let write = async {
         while let Some((at, chunk)) = rx.recv().await {
-            link.until(|fault| !cut(fault)).await;
+            link.wait_until(|fault| !cut(fault)).await;
             let (delay, rate) = {
                 let fault = link.fault.borrow();
                 (Duration::from_millis(fault.delay_ms), fault.bytes_per_sec)
@@ -260,23 +263,24 @@
             if let Some(record) = &link.record
                 && let Err(error) = (&**record).write_all(&chunk)
             {
-                tracing::warn!("link: recording failed: {error}.");
+                tracing::warn!("link: writing to the record file failed: {error}.");
             }
             if to.write_all(&chunk).await.is_err() {
                 return;
             }
         }
-        link.until(|fault| !cut(fault)).await;
+        link.wait_until(|fault| !cut(fault)).await;
         let _ = to.shutdown().await;
     };
     monoio::join!(read, write);
 }
 
 impl Link {
-    async fn until(&self, fine: impl Fn(&Fault) -> bool) {
+    /// Waits until the fault satisfies the condition.
+    async fn wait_until(&self, condition: impl Fn(&Fault) -> bool) {
         loop {
             let changed = self.changed.notified();
-            if fine(&self.fault.borrow()) {
+            if condition(&self.fault.borrow()) {
                 return;
             }
             changed.await;
