--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a test or a person starts, and ends.
+//! Child processes of the lab.
 
 use std::{
     fs::File,
@@ -9,10 +9,10 @@
 
 use anyhow::Context;
 
-/// A process; killed when dropped.
+/// Child process with its arguments, environment and log; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
-    /// Its name, also that of its log.
+    /// Name of the process; its log file is `NAME.log`.
     pub name: Box<str>,
     program: PathBuf,
     args: Vec<String>,
@@ -22,7 +22,7 @@
 }
 
 impl Process {
-    /// A process that has not been started.
+    /// Creates a process without starting it; its log is written to `dir`.
     pub fn new(name: &str, program: &Path, args: Vec<String>, dir: &Path) -> Self {
         Self {
             name: name.into(),
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Adds a variable of its environment.
+    /// Adds an environment variable.
     pub fn env(mut self, name: &str, value: &str) -> Self {
         self.envs.push((name.into(), value.into()));
         self
     }
 
-    /// Starts it, if it does not run; its log is appended to.
+    /// Starts the process, unless it was started before, and appends its output to the log.
     pub fn start(&mut self) -> anyhow::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -53,7 +53,7 @@
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log);
-        end_with_parent(&mut command);
+        kill_with_parent(&mut command);
         let child = command
             .spawn()
             .with_context(|| format!("starting {} ({})", self.name, self.program.display()))?;
@@ -63,51 +63,52 @@
 
     /// Sends a signal, such as `libc::SIGSTOP`.
     pub fn signal(&self, signal: i32) -> anyhow::Result<()> {
-        let child = self.child.as_ref().with_context(|| format!("{} does not run", self.name))?;
-        // The child has not been waited for, so its number is still its own.
+        let child = self.child.as_ref().with_context(|| format!("{} is not running", self.name))?;
+        // The child has not been waited for, so its process id cannot have been reused.
         #[allow(unsafe_code)]
         let sent = unsafe { libc::kill(child.id() as i32, signal) };
-        anyhow::ensure!(sent == 0, "signalling {} failed", self.name);
+        anyhow::ensure!(sent == 0, "sending a signal to {} failed", self.name);
         Ok(())
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended already.
+            // Fails when the process has already ended.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Waits for its end; its exit code.
+    /// Waits for the end of the process and returns its exit code.
     pub fn wait(&mut self) -> anyhow::Result<Option<i32>> {
-        let mut child = self.child.take().with_context(|| format!("{} does not run", self.name))?;
+        let mut child =
+            self.child.take().with_context(|| format!("{} is not running", self.name))?;
         Ok(child.wait()?.code())
     }
 
-    /// Whether it runs.
+    /// Returns whether the process is running.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Process number, while it runs.
+    /// Returns the process id, if the process was started.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// What it has logged.
+    /// Returns the text of the log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 }
 
-/// Has the process killed when the thread that starts it ends.
+/// Has the kernel kill the process when the thread that starts it ends.
 ///
-/// A test that is itself killed drops nothing: what it had started would go on
-/// and take part in the next test's system at the same ports.
-fn end_with_parent(command: &mut Command) {
-    // The closure runs between fork and exec and makes one system call only.
+/// A killed test runs no destructors: its processes would keep running and join the system of the
+/// next test on the same ports.
+fn kill_with_parent(command: &mut Command) {
+    // The closure runs between fork and exec, and makes a single system call.
     #[allow(unsafe_code)]
     unsafe {
         command.pre_exec(|| {
