--- a/lab/src/ports.rs
+++ b/lab/src/ports.rs
@@ -1,43 +1,46 @@
-//! Ports for processes that are started side by side.
+//! Allocation of ports to processes of tests that run in parallel.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 
 use anyhow::Context;
 
-/// Below the range from which the system takes ports for outgoing connections,
-/// so that no connection can sit on a port that a process is about to bind.
-const FIRST: u16 = 10_000;
-const LAST: u16 = 31_000;
-const BLOCK: u16 = 250;
+/// First port of the range. The range lies below the ephemeral ports that the operating system
+/// assigns to outgoing connections, so that no connection can occupy a port that a process is about
+/// to bind.
+const FIRST_PORT: u16 = 10_000;
+/// End of the range, exclusive.
+const END_PORT: u16 = 31_000;
+/// Number of ports of a block.
+const BLOCK_SIZE: u16 = 250;
 
-/// A block of ports that no other test takes while this value lives.
+/// Block of ports, reserved for this process until the value is dropped.
 #[derive(Debug)]
 pub struct Ports {
-    /// Listening on the block's first port is what keeps the block.
+    /// Listener on the first port of the block; it reserves the block.
     _lock: TcpListener,
     next: u16,
     end: u16,
 }
 
 impl Ports {
-    /// Takes a free block.
+    /// Reserves a free block.
     pub fn take() -> anyhow::Result<Self> {
-        let blocks = (FIRST..LAST).step_by(usize::from(BLOCK));
-        let taken = blocks.into_iter().find_map(|first| {
-            let lock = TcpListener::bind((Ipv4Addr::LOCALHOST, first)).ok()?;
-            // A test that was killed may have left processes behind on its ports.
-            let free = |port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_ok();
-            if !(first + 1..first + BLOCK).all(free) {
+        let blocks = (FIRST_PORT..END_PORT).step_by(usize::from(BLOCK_SIZE));
+        let ports = blocks.into_iter().find_map(|first| {
+            let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, first)).ok()?;
+            // A killed test may have left processes running on its ports.
+            let is_free = |port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_ok();
+            if !(first + 1..first + BLOCK_SIZE).all(is_free) {
                 return None;
             }
-            Some(Self { _lock: lock, next: first + 1, end: first + BLOCK })
+            Some(Self { _lock: listener, next: first + 1, end: first + BLOCK_SIZE })
         });
-        taken.context("no block of ports is free")
+        ports.context("no free block of ports")
     }
 
-    /// The next address of the block.
+    /// Returns a loopback address with the next unused port of the block.
     pub fn address(&mut self) -> anyhow::Result<SocketAddr> {
-        anyhow::ensure!(self.next < self.end, "the block of ports is used up");
+        anyhow::ensure!(self.next < self.end, "all ports of the block are in use");
         let port = self.next;
         self.next += 1;
         Ok((Ipv4Addr::LOCALHOST, port).into())
