--- a/lab/src/raw.rs
+++ b/lab/src/raw.rs
@@ -1,4 +1,4 @@
-//! A caller that sends single messages of the protocol, as no driver would.
+//! Caller that sends single protocol messages, including sequences that no driver sends.
 
 use anyhow::{Context, bail};
 use bergamottrack_pg::{
@@ -17,44 +17,46 @@
 
 use crate::system::{self, System};
 
-/// A caller that sends single messages.
+/// Caller that sends single protocol messages.
 pub struct RawCaller {
-    /// Where answers come from.
+    /// Reader of the messages from the host.
     pub reader: PgReader<ReadHalf<Stream>>,
-    /// Where messages go.
+    /// Writer of the messages to the host.
     pub writer: PgWriter<WriteHalf<Stream>>,
-    /// Process number and secret, for a cancel.
+    /// Process id and secret key for a cancel request; set after the login.
     pub key: Option<(i32, i32)>,
 }
 
+/// Maximum size of a message from the host, in bytes.
 const MAX_MESSAGE: usize = 64 << 20;
 
 impl RawCaller {
-    /// Connects to a host and says nothing.
+    /// Connects to a host without sending a message.
     pub async fn open(system: &System, host: usize) -> anyhow::Result<Self> {
         let stream = TcpStream::connect(system.addresses[host].callers).await?;
         Ok(Self::from_stream(Box::new(stream)))
     }
 
-    /// A caller on a connection that is there.
+    /// Creates a caller on an existing connection.
     pub fn from_stream(stream: Stream) -> Self {
         let (reader, writer) = stream::split(stream, MAX_MESSAGE);
         Self { reader, writer, key: None }
     }
 
-    /// Connects to a host and proves the account's key.
+    /// Connects to a host and authenticates with the account's key.
     pub async fn login(system: &System, host: usize, account: &str) -> anyhow::Result<Self> {
         Self::open(system, host).await?.start(account).await
     }
 
-    /// Proves the account's key.
+    /// Sends the startup message for group `g1`, authenticates with the account's key and waits until
+    /// the session is ready.
     pub async fn start(mut self, account: &str) -> anyhow::Result<Self> {
         let mut startup = Startup::default();
         (startup.protocol_number_major, startup.protocol_number_minor) = (3, 0);
         startup.parameters.insert("user".into(), format!("{account}.k1"));
         startup.parameters.insert("database".into(), "g1".into());
         self.send(&startup).await?;
-        self.prove(&system::key_of(account)).await?;
+        self.authenticate(&system::key_of(account)).await?;
         for frame in self.until_ready().await? {
             if let PgWireBackendMessage::BackendKeyData(key) = frame.backend()? {
                 self.key = key.secret_key.as_i32().map(|secret| (key.pid, secret));
@@ -63,7 +65,8 @@
         Ok(self)
     }
 
-    async fn prove(&mut self, key: &str) -> anyhow::Result<()> {
+    /// Authenticates with SCRAM-SHA-256.
+    async fn authenticate(&mut self, key: &str) -> anyhow::Result<()> {
         let mut scram = ScramSha256::new(key.as_bytes(), ChannelBinding::unsupported());
         loop {
             match self.next().await?.backend()? {
@@ -81,7 +84,7 @@
                 PgWireBackendMessage::Authentication(Authentication::SASLFinal(data)) => {
                     scram.finish(&data)?;
                 }
-                other => bail!("the key was not taken: {other:?}"),
+                other => bail!("authentication failed: {other:?}"),
             }
         }
     }
@@ -91,13 +94,13 @@
         self.writer.send(&frame::bytes(message)).await
     }
 
-    /// The next message of the host.
+    /// Returns the next message of the host.
     pub async fn next(&mut self) -> anyhow::Result<Frame> {
         let next = tokio::time::timeout(system::WAIT_TIMEOUT, self.reader.next()).await;
-        next.context("no answer came")??.context("the host closed the connection")
+        next.context("no message from the host")??.context("connection closed by the host")
     }
 
-    /// All messages up to the next `ReadyForQuery`, that included.
+    /// Returns all messages up to and including the next `ReadyForQuery`.
     pub async fn until_ready(&mut self) -> anyhow::Result<Vec<Frame>> {
         let mut frames = Vec::new();
         loop {
@@ -108,7 +111,7 @@
         }
     }
 
-    /// The kinds of the next `count` messages.
+    /// Returns the type bytes of the next `count` messages.
     pub async fn tags(&mut self, count: usize) -> anyhow::Result<String> {
         let mut tags = String::new();
         while tags.len() < count {
@@ -117,7 +120,8 @@
         Ok(tags)
     }
 
-    /// Whether the host closes the connection, whatever it says before.
+    /// Returns whether the host closes the connection within [`system::WAIT_TIMEOUT`]; messages before
+    /// that are skipped.
     pub async fn is_closed(&mut self) -> bool {
         let closed = async { while let Ok(Some(_)) = self.reader.next().await {} };
         tokio::time::timeout(system::WAIT_TIMEOUT, closed).await.is_ok()
