--- a/lab/src/cost.rs
+++ b/lab/src/cost.rs
@@ -1,5 +1,5 @@
-//! What the path costs: a statement straight to a server, through the host that
-//! is home of the group, and through another host, in one run.
+//! Cost of the path of a statement: directly to a server, through the host that is the group's home,
+//! and through another host, compared in one run.
 
 use std::{
     fmt,
@@ -17,8 +17,8 @@
     usage,
 };
 
-/// Blocks of statements for each way; they take turns, so that a busy moment
-/// of the machine strikes all ways.
+/// Number of blocks of statements for each path. The blocks of the paths alternate, so that a load
+/// spike of the machine affects all paths.
 const BLOCKS: usize = 20;
 
 const READ: &str = "SELECT day FROM booking WHERE id = 'b1'";
@@ -35,24 +35,25 @@
     pub writes: bool,
 }
 
-/// What one way of a statement costs.
+/// Measured cost of one path.
 #[derive(Clone, Debug, Serialize)]
 pub struct PathCost {
-    /// Where it leads.
+    /// Name of the path.
     pub name: &'static str,
-    /// The median, in microseconds.
+    /// Median latency, in microseconds.
     pub p50: f64,
-    /// The 99th of a hundred, in microseconds.
+    /// 99th percentile of the latency, in microseconds.
     pub p99: f64,
-    /// Processor time of all hosts, in microseconds a statement, idle use taken off.
+    /// Processor time of all hosts without their idle usage, in microseconds per statement.
     pub hosts: f64,
 }
 
-/// What the ways cost, the one straight to the server first.
+/// Costs of all paths; the direct path comes first.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cost(pub Vec<PathCost>);
 
-struct Measured {
+/// Connection of one path with its measurements.
+struct Measurement {
     name: &'static str,
     client: Client,
     latency: Histogram<u64>,
@@ -60,47 +61,47 @@
     time: Duration,
 }
 
-/// Measures all ways.
+/// Measures all paths.
 pub async fn run(args: CostArgs) -> anyhow::Result<Cost> {
     let accounts = vec![("lab".into(), 1e9, 1e9)];
     let plan = Plan { hosts: 2, accounts, log: "warn".into(), ..Plan::default() };
     let system = System::start(plan).await?;
-    let through = [system.connect(0, "lab", "g1").await?, system.connect(1, "lab", "g1").await?];
+    let clients = [system.connect(0, "lab", "g1").await?, system.connect(1, "lab", "g1").await?];
     let sql = if args.writes { WRITE } else { READ };
     let setup = "CREATE TABLE IF NOT EXISTS booking (id TEXT, day TEXT)";
-    system::run_until_ok(&through[0], setup).await?;
-    system::run_until_ok(&through[0], "INSERT INTO booking VALUES ('b1', 'monday')").await?;
-    let home = home(&system, &through, sql).await?;
-    let idle = idle(&system).await;
+    system::run_until_ok(&clients[0], setup).await?;
+    system::run_until_ok(&clients[0], "INSERT INTO booking VALUES ('b1', 'monday')").await?;
+    let home = find_home(&system, &clients, sql).await?;
+    let idle = idle_cores(&system).await;
     let direct = system.connect_server(&primary(&system, "g1").await?).await?;
-    let [first, second] = through;
+    let [first, second] = clients;
     let (near, far) = if home == 0 { (first, second) } else { (second, first) };
-    let way = |name, client| Measured {
+    let path = |name, client| Measurement {
         name,
         client,
         latency: tally::histogram(),
         processor: Duration::ZERO,
         time: Duration::ZERO,
     };
-    let mut ways = [way("direct", direct), way("home", near), way("with hop", far)];
+    let mut paths = [path("direct", direct), path("home", near), path("with hop", far)];
     for _ in 0..BLOCKS {
-        for way in &mut ways {
-            way.block(&system, sql, args.statements / BLOCKS).await?;
+        for path in &mut paths {
+            path.run_block(&system, sql, args.statements / BLOCKS).await?;
         }
     }
-    Ok(Cost(ways.iter().map(|way| way.summary(idle)).collect()))
+    Ok(Cost(paths.iter().map(|path| path.summary(idle)).collect()))
 }
 
-impl Measured {
-    async fn block(&mut self, system: &System, sql: &str, count: usize) -> anyhow::Result<()> {
-        let (before, began) = (processor(system), Instant::now());
+impl Measurement {
+    async fn run_block(&mut self, system: &System, sql: &str, count: usize) -> anyhow::Result<()> {
+        let (before, start) = (host_time(system), Instant::now());
         for _ in 0..count {
             let sent = Instant::now();
             self.client.simple_query(sql).await?;
             self.latency.saturating_record(sent.elapsed().as_nanos() as u64);
         }
-        self.processor += processor(system) - before;
-        self.time += began.elapsed();
+        self.processor += host_time(system) - before;
+        self.time += start.elapsed();
         Ok(())
     }
 
@@ -112,23 +113,24 @@
     }
 }
 
-fn processor(system: &System) -> Duration {
+/// Returns the processor time used so far by all hosts together.
+fn host_time(system: &System) -> Duration {
     system.hosts.iter().filter_map(|host| host.pid()).map(usage::processor).sum()
 }
 
-/// Cores that all hosts together use while nothing is asked of them.
-async fn idle(system: &System) -> f64 {
-    let (before, began) = (processor(system), Instant::now());
+/// Returns the number of cores used by all hosts together without requests.
+async fn idle_cores(system: &System) -> f64 {
+    let (before, start) = (host_time(system), Instant::now());
     tokio::time::sleep(Duration::from_secs(1)).await;
-    (processor(system) - before).as_secs_f64() / began.elapsed().as_secs_f64()
+    (host_time(system) - before).as_secs_f64() / start.elapsed().as_secs_f64()
 }
 
-/// The host that is home of the group: the one that works also when the other
-/// host is asked.
-async fn home(system: &System, through: &[Client; 2], sql: &str) -> anyhow::Result<usize> {
+/// Returns the index of the host that is the group's home: the one that uses processor time also
+/// for requests sent to the other host.
+async fn find_home(system: &System, clients: &[Client; 2], sql: &str) -> anyhow::Result<usize> {
     let mut used = [Duration::ZERO; 2];
-    for (asked, client) in through.iter().enumerate() {
-        let other = 1 - asked;
+    for (index, client) in clients.iter().enumerate() {
+        let other = 1 - index;
         let pid = system.hosts[other].pid().unwrap_or_default();
         let before = usage::processor(pid);
         for _ in 0..500 {
@@ -141,14 +143,14 @@
 
 impl fmt::Display for Cost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let direct = self.0.first().map_or(0.0, |way| way.p50);
+        let direct = self.0.first().map_or(0.0, |path| path.p50);
         writeln!(
             f,
             "{:10} {:>10} {:>10} {:>10} {:>10}",
             "way", "p50 us", "p99 us", "added us", "hosts us"
         )?;
-        self.0.iter().try_for_each(|way| {
-            let PathCost { name, p50, p99, hosts } = way;
+        self.0.iter().try_for_each(|path| {
+            let PathCost { name, p50, p99, hosts } = path;
             writeln!(f, "{name:10} {p50:>10.0} {p99:>10.0} {:>10.0} {hosts:>10.0}", p50 - direct)
         })
     }
