--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,4 +1,5 @@
-//! Experiments: a file names a load, its faults and a baseline.
+//! Experiments: each is described by a file with a common load, its faults and the runs, of which
+//! the first is the baseline.
 
 use std::{
     fmt,
@@ -24,91 +25,92 @@
     pub whole: bool,
 }
 
-/// An experiment as its file describes it.
+/// Experiment as described by its file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Experiment {
-    /// What is asked.
+    /// Question that the experiment answers.
     about: Box<str>,
-    /// What all runs share.
+    /// Load settings common to all runs.
     #[serde(default)]
     load: toml::Table,
-    /// The runs; the first one is the baseline.
+    /// Runs; the first one is the baseline.
     #[serde(rename = "run")]
     runs: Vec<RunPlan>,
 }
 
-/// One run of an experiment.
+/// Run of an experiment as described by its file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RunPlan {
     name: Box<str>,
-    /// What differs from what all runs share.
+    /// Load settings that override the common ones.
     #[serde(default)]
     load: toml::Table,
 }
 
-/// An experiment that can be run.
+/// Experiment with the complete load of each run.
 pub struct ParsedExperiment {
-    /// What is asked.
+    /// Question that the experiment answers.
     pub about: Box<str>,
-    /// The runs and their names; the first one is the baseline.
+    /// Names and loads of the runs; the first one is the baseline.
     pub runs: Vec<(Box<str>, Load)>,
 }
 
-/// A run and what it has shown.
+/// Report of a run.
 #[derive(Debug, Serialize)]
 struct RunResult {
     name: Box<str>,
     report: Report,
 }
 
-/// Where the experiments are.
+/// Returns the directory of the experiment files.
 pub fn dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("experiments")
 }
 
-/// Reads an experiment from its file.
+/// Reads and parses the file of an experiment.
 pub fn read(name: &str) -> anyhow::Result<ParsedExperiment> {
     let path = dir().join(format!("{name}.toml"));
     let text = std::fs::read_to_string(&path)
-        .with_context(|| format!("reading the experiment {}", path.display()))?;
+        .with_context(|| format!("reading experiment {}", path.display()))?;
     let experiment: Experiment = toml::from_str(&text)?;
     let load = |plan: RunPlan| {
         let load = merge(experiment.load.clone(), plan.load);
-        let load = load.try_into().with_context(|| format!("the run {:?}", plan.name))?;
+        let load =
+            load.try_into().with_context(|| format!("parsing the load of run {:?}", plan.name))?;
         Ok((plan.name, load))
     };
     let runs = experiment.runs.into_iter().map(load).collect::<anyhow::Result<_>>()?;
     Ok(ParsedExperiment { about: experiment.about, runs })
 }
 
-/// Runs an experiment and prints one line a run.
+/// Runs an experiment and prints one line for each run.
 pub async fn run(args: ExperimentArgs) -> anyhow::Result<()> {
     let ParsedExperiment { about, runs } = read(&args.name)?;
     println!("{about}");
-    println!("{HEAD}");
-    let mut shown = Vec::new();
+    println!("{HEADING}");
+    let mut results = Vec::new();
     for (name, load) in runs {
         let run = RunResult { name, report: load::run(load).await? };
         println!("{run}");
         if args.whole {
             println!("{}", run.report);
         }
-        shown.push(run);
+        results.push(run);
     }
     if let Some(path) = &args.json {
-        std::fs::write(path, serde_json::to_vec_pretty(&shown)?)?;
+        std::fs::write(path, serde_json::to_vec_pretty(&results)?)?;
     }
     Ok(())
 }
 
-/// Lays one table over another, tables within tables too.
+/// Merges `over` into `base`, nested tables included; values of `over` take precedence.
 fn merge(mut base: toml::Table, over: toml::Table) -> toml::Table {
     for (name, value) in over {
         let merged = match (base.remove(&name), value) {
-            (Some(toml::Value::Table(below)), toml::Value::Table(above)) => {
-                toml::Value::Table(merge(below, above))
+            (Some(toml::Value::Table(old)), toml::Value::Table(new)) => {
+                toml::Value::Table(merge(old, new))
             }
             (_, value) => value,
         };
@@ -117,7 +119,8 @@
     base
 }
 
-const HEAD: &str = "run                offered  served   /s      p50 ms  p99 ms   wait ms  \
+/// Heading of the table of runs.
+const HEADING: &str = "run                offered  served   /s      p50 ms  p99 ms   wait ms  \
 replica%  worst%  others%  wrongful over   stale gap p50/p90/max ms promoted conns waiting amplif refused";
 
 impl fmt::Display for RunResult {
@@ -137,7 +140,7 @@
             r.longest_wait,
             r.replica_share * 100.0,
             r.worst.share * 100.0,
-            others(r) * 100.0,
+            min_served_share(r) * 100.0,
             r.wrongful,
             r.overshoot,
             r.stale_reads,
@@ -153,8 +156,9 @@
     }
 }
 
-/// The least that an account got which stayed within its rate.
-fn others(report: &Report) -> f64 {
+/// Returns the smallest share of its requests that an account within its rate got served, 1.0 if
+/// there is no such account.
+fn min_served_share(report: &Report) -> f64 {
     let within = report.accounts.iter().filter(|a| a.entitled == a.offered);
     within.map(|a| a.served as f64 / a.entitled.max(1) as f64).fold(1.0, f64::min)
 }
