--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults by hand: of the links and of the platform of a system that is held up.
+//! Commands that set faults of the links and of the platform of a system started by `lab up`.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
     link::{Fault, SetFault},
 };
 
-/// Which direction of a link is cut.
+/// Direction in which a link is cut.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub enum Direction {
     /// From the side that connects.
@@ -55,7 +55,7 @@
     pub faults: Box<str>,
 }
 
-/// Sets what is wrong with links.
+/// Sets the fault of links, or resets their connections.
 pub async fn run(args: FaultArgs) -> anyhow::Result<()> {
     let fault = Fault {
         cut_up: matches!(args.cut, Some(Direction::Up | Direction::Both)),
@@ -66,16 +66,17 @@
     };
     let path = if args.reset { "/reset" } else { "/set" };
     let set = SetFault { names: args.names, fault };
-    order(args.at, path, &serde_json::to_string(&set)?).await
+    post_command(args.at, path, &serde_json::to_string(&set)?).await
 }
 
-/// Sets what is wrong with the platform.
+/// Sets the faults of the platform.
 pub async fn outage(args: OutageArgs) -> anyhow::Result<()> {
-    order(args.at, "/faults", &args.faults).await
+    post_command(args.at, "/faults", &args.faults).await
 }
 
-async fn order(at: SocketAddr, path: &str, body: &str) -> anyhow::Result<()> {
+/// Posts a command with the operator key; fails unless the answer is 200.
+async fn post_command(at: SocketAddr, path: &str, body: &str) -> anyhow::Result<()> {
     let (status, text) = client::post(at, path, body).await?;
-    anyhow::ensure!(status == 200, "not done: {}", text.trim());
+    anyhow::ensure!(status == 200, "command rejected: {}", text.trim());
     Ok(())
 }
