--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -68,36 +68,38 @@
         .with_writer(std::io::stderr)
         .init();
     match cli.command {
-        Command::Server(args) => stand_in(server::run(args)),
-        Command::Soak(args) => stand_in(soak::run(args)),
-        Command::Gaps(args) => stand_in(soak::gaps::run(args)),
-        Command::Link(args) => stand_in(link::run(args)),
-        Command::Platform(args) => stand_in(platform::run(args)),
+        Command::Server(args) => run_on_monoio(server::run(args)),
+        Command::Soak(args) => run_on_monoio(soak::run(args)),
+        Command::Gaps(args) => run_on_monoio(soak::gaps::run(args)),
+        Command::Link(args) => run_on_monoio(link::run(args)),
+        Command::Platform(args) => run_on_monoio(platform::run(args)),
         Command::Fault(args) => tokio::runtime::Runtime::new()?.block_on(fault::run(args)),
         Command::Outage(args) => tokio::runtime::Runtime::new()?.block_on(fault::outage(args)),
         Command::Storm(args) => {
             product::build()?;
             tokio::runtime::Runtime::new()?.block_on(storm::run(args))
         }
-        Command::Demo => tool(demo::run()),
-        Command::Experiment(args) => tool(experiment::run(args)),
-        Command::Slopes(args) => tool(slopes::run(args)),
-        Command::Up(args) => tool(up::run(args)),
-        Command::Load(args) => tool(run_load(args)),
-        Command::Cost(args) => tool(async {
+        Command::Demo => run_with_product(demo::run()),
+        Command::Experiment(args) => run_with_product(experiment::run(args)),
+        Command::Slopes(args) => run_with_product(slopes::run(args)),
+        Command::Up(args) => run_with_product(up::run(args)),
+        Command::Load(args) => run_with_product(run_load(args)),
+        Command::Cost(args) => run_with_product(async {
             print!("{}", cost::run(args).await?);
             Ok(())
         }),
     }
 }
 
-fn stand_in(work: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
+/// Runs a command on the runtime of the hosts, monoio.
+fn run_on_monoio(work: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
     let mut runtime =
         monoio::RuntimeBuilder::<monoio::LegacyDriver>::new().enable_timer().build()?;
     runtime.block_on(work)
 }
 
-fn tool(work: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
+/// Builds the product, then runs a command on a single-threaded tokio runtime.
+fn run_with_product(work: impl Future<Output = anyhow::Result<()>>) -> anyhow::Result<()> {
     product::build()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, work)
