--- a/lab/src/product.rs
+++ b/lab/src/product.rs
@@ -1,11 +1,11 @@
-//! Builds the product beside the lab, so that one command runs the lab.
+//! Builds the product together with the lab, so that a single command is enough to run the lab.
 
 use std::process::{Command, Stdio};
 
 use anyhow::Context;
 
-/// Builds the product with the profile of the lab. Under `cargo run` only:
-/// without cargo the program that stands beside the lab is taken.
+/// Builds the product with the profile of the lab when run by cargo, as in `cargo run`. Otherwise
+/// nothing is built, and the program beside the lab is used.
 pub fn build() -> anyhow::Result<()> {
     let Some(cargo) = std::env::var_os("CARGO") else { return Ok(()) };
     let mut command = Command::new(cargo);
