--- a/lab/src/site.rs
+++ b/lab/src/site.rs
@@ -1,4 +1,4 @@
-//! The sites of `examples/`, laid out on one machine.
+//! Sites of `examples/`, run on one machine.
 
 use std::{fmt, str::FromStr};
 
@@ -8,7 +8,7 @@
 
 use crate::system::Plan;
 
-/// A site of `examples/`.
+/// Site of `examples/`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Site {
@@ -41,20 +41,21 @@
 }
 
 impl Site {
-    /// Its configuration.
+    /// Returns the configuration of the site.
     pub fn config(self) -> anyhow::Result<Config> {
         let text = match self {
             Self::Baobab => include_str!("../../examples/baobab.toml"),
             Self::Hartwell => include_str!("../../examples/hartwell.toml"),
         };
-        Config::parse(text).with_context(|| format!("the site {self}"))
+        Config::parse(text).with_context(|| format!("parsing the configuration of site {self}"))
     }
 
-    /// A plan with its groups, accounts and sizes.
+    /// Returns a plan with the groups and accounts of the site, and the server sizes of its first
+    /// server, for the given number of hosts.
     pub fn plan(self, hosts: usize) -> anyhow::Result<Plan> {
         let config = self.config()?;
         let server = config.groups.first().and_then(|group| group.servers.first());
-        let server = server.context("a site without servers")?;
+        let server = server.context("site has no servers")?;
         let server_args = vec![
             format!("--slots={}", server.slots),
             format!("--connections={}", server.connections),
