--- a/lab/src/slopes.rs
+++ b/lab/src/slopes.rs
@@ -1,5 +1,5 @@
-//! Slopes: what hosts use with more hosts, callers, accounts, groups and
-//! revisions, while nothing is asked of them.
+//! Slopes: resource usage of idle hosts as a function of the number of hosts, callers, accounts,
+//! groups or revisions.
 
 use std::time::{Duration, Instant};
 
@@ -12,11 +12,11 @@
     system::{self, Plan, System},
 };
 
-/// How long each point is watched.
-const WATCHED: Duration = Duration::from_secs(5);
+/// Duration of the measurement of each size.
+const MEASURE_DURATION: Duration = Duration::from_secs(5);
 
-/// How long a system settles first.
-const SETTLED: Duration = Duration::from_secs(3);
+/// Delay before the measurement, in which the system settles.
+const SETTLE_DELAY: Duration = Duration::from_secs(3);
 
 /// Settings of `slopes`.
 #[derive(Args, Clone, Debug)]
@@ -28,7 +28,7 @@
     pub sizes: Vec<usize>,
 }
 
-/// What grows.
+/// Dimension along which the system grows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub enum Dimension {
     /// Entry hosts.
@@ -43,7 +43,7 @@
     Submits,
 }
 
-/// Measures each size and prints a line for it.
+/// Measures each size, with a new system, and prints a line for it.
 pub async fn run(args: SlopesArgs) -> anyhow::Result<()> {
     println!(
         "{:>8} {:>12} {:>14} {:>12} {:>12}",
@@ -55,39 +55,40 @@
         let plan = Plan { groups, hosts, log: "warn".into(), ..Plan::default() };
         let mut system = System::start(plan).await?;
         system.connect(0, "baobab", "g1").await?;
-        let began = Instant::now();
-        let held = grow(&mut system, args.of, size).await?;
-        let submit = began.elapsed().as_secs_f64() * 1000.0;
-        tokio::time::sleep(SETTLED).await;
-        let idle = IdleUsage::measure(&system, WATCHED).await?;
+        let start = Instant::now();
+        let connections = grow(&mut system, args.of, size).await?;
+        let submit = start.elapsed().as_secs_f64() * 1000.0;
+        tokio::time::sleep(SETTLE_DELAY).await;
+        let idle = IdleUsage::measure(&system, MEASURE_DURATION).await?;
         let memory = Counters::read_processes(&system).memory as f64 / f64::from(1 << 20);
         println!(
             "{size:>8} {:>12.3} {:>14.0} {memory:>12.1} {submit:>12.1}",
             idle.processor * 100.0,
             idle.bytes / hosts as f64,
         );
-        drop(held);
+        drop(connections);
     }
     Ok(())
 }
 
-/// Brings the system to the size; what is held keeps it there.
+/// Grows the system to the size. The returned connections keep it at that size until dropped.
 async fn grow(
     system: &mut System,
     of: Dimension,
     size: usize,
 ) -> anyhow::Result<Vec<tokio_postgres::Client>> {
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     let mut config = Config::parse(&system.config())?;
     match of {
         Dimension::Hosts => {}
         Dimension::Callers => {
             for _ in 0..size {
-                held.push(system.connect(0, "baobab", "g1").await?);
+                connections.push(system.connect(0, "baobab", "g1").await?);
             }
         }
         Dimension::Accounts => {
-            let account = config.accounts.first().cloned().context("no account")?;
+            let account =
+                config.accounts.first().cloned().context("configuration has no account")?;
             for i in config.accounts.len()..size {
                 let id = format!("account-{i}").parse()?;
                 config
@@ -96,7 +97,7 @@
             }
             system.submit(&toml::to_string(&config)?).await?;
         }
-        Dimension::Groups => held = use_groups(system).await?,
+        Dimension::Groups => connections = use_groups(system).await?,
         Dimension::Submits => {
             for i in 0..size {
                 config.policy.idle_ms = 10_000 + i as u64;
@@ -104,16 +105,16 @@
             }
         }
     }
-    Ok(held)
+    Ok(connections)
 }
 
-/// Uses every group once, so that each has its home.
+/// Runs a statement in every group, so that each has a home; returns the connections.
 async fn use_groups(system: &System) -> anyhow::Result<Vec<tokio_postgres::Client>> {
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for group in 1..=system.plan.groups {
         let client = system.connect(0, "baobab", &format!("g{group}")).await?;
         system::run_until_ok(&client, "SELECT 1").await?;
-        held.push(client);
+        connections.push(client);
     }
-    Ok(held)
+    Ok(connections)
 }
