--- a/lab/src/up.rs
+++ b/lab/src/up.rs
@@ -1,4 +1,4 @@
-//! A whole system held up for use by hand.
+//! Complete system that runs until interrupted, for manual use.
 
 use clap::Args;
 
@@ -27,7 +27,7 @@
     pub log: String,
 }
 
-/// Starts the system and holds it up until Ctrl-C.
+/// Starts the system, prints its addresses and keys, and runs it until Ctrl-C.
 pub async fn run(args: UpArgs) -> anyhow::Result<()> {
     let mut plan = args.site.plan(args.hosts)?;
     (plan.port, plan.log, plan.links) = (args.port, args.log, args.links);
