--- a/lab/src/usage.rs
+++ b/lab/src/usage.rs
@@ -1,8 +1,8 @@
-//! What processes use: processor time, memory and bytes.
+//! Resource usage of processes: processor time, memory and bytes sent.
 
 use std::{fs, time::Duration};
 
-/// Processor time that a process has used, all threads together.
+/// Returns the processor time used so far by all threads of a process.
 pub fn processor(pid: u32) -> Duration {
     let tasks = fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let nanos = tasks.filter_map(|task| {
@@ -12,7 +12,7 @@
     Duration::from_nanos(nanos.sum())
 }
 
-/// Memory that a process holds, in bytes.
+/// Returns the resident memory of a process in bytes, from `VmRSS`; 0 when it has ended.
 pub fn memory(pid: u32) -> u64 {
     let text = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -20,17 +20,18 @@
     kib.unwrap_or_default() * 1024
 }
 
-/// Bytes that have crossed the loopback device, with the headers of TCP and IP.
+/// Returns the number of bytes received on the loopback device so far, including TCP and IP headers.
 ///
-/// All processes of the network namespace count: run the lab under
-/// `unshare -n` to see its own only.
+/// This counts all processes of the network namespace; run the lab under `unshare -n` to count its
+/// own traffic only.
 pub fn loopback() -> u64 {
     let text = fs::read_to_string("/proc/self/net/dev").unwrap_or_default();
     let line = text.lines().find_map(|line| line.trim_start().strip_prefix("lo:"));
     line.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or_default()
 }
 
-/// The memory of a process that is in use, in bytes; 0 when it has ended.
+/// Returns the resident memory of a process in bytes, from `statm`, assuming pages of 4096 bytes;
+/// 0 when it has ended.
 pub fn resident(pid: u32) -> u64 {
     const PAGE: u64 = 4096;
     let text = std::fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
