--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -40,7 +40,8 @@
         self
     }
 
-    /// Starts the process, unless it was started before, and appends its output to the log.
+    /// Starts the process and appends its output to the log; does nothing if it was started and then
+    /// neither killed nor waited for.
     pub fn start(&mut self) -> anyhow::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -92,7 +93,7 @@
         self.child.as_mut().is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Returns the process id, if the process was started.
+    /// Returns the process id of a process that was started and then neither killed nor waited for.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
