--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults by hand: of the links and of the platform of a system that is held up.
+//! Commands that set faults of the links and of the platform of a system started by `lab up`.
 
 use std::net::SocketAddr;
 
@@ -6,12 +6,12 @@
 
 use crate::{
     client,
-    link::{Fault, Set},
+    link::{Fault, SetFault},
 };
 
-/// Which direction of a link is cut.
+/// Direction in which a link is cut.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-pub enum Way {
+pub enum Direction {
     /// From the side that connects.
     Up,
     /// Towards the side that connects.
@@ -30,7 +30,7 @@
     pub names: Box<str>,
     /// What is sent this way waits until the links are mended.
     #[arg(long)]
-    pub cut: Option<Way>,
+    pub cut: Option<Direction>,
     /// Milliseconds by which each byte is late.
     #[arg(long, default_value_t = 0)]
     pub delay_ms: u64,
@@ -55,27 +55,28 @@
     pub faults: Box<str>,
 }
 
-/// Sets what is wrong with links.
+/// Sets the fault of links, or resets their connections.
 pub async fn run(args: FaultArgs) -> anyhow::Result<()> {
     let fault = Fault {
-        cut_up: matches!(args.cut, Some(Way::Up | Way::Both)),
-        cut_down: matches!(args.cut, Some(Way::Down | Way::Both)),
+        cut_up: matches!(args.cut, Some(Direction::Up | Direction::Both)),
+        cut_down: matches!(args.cut, Some(Direction::Down | Direction::Both)),
         refuse: args.refuse,
         delay_ms: args.delay_ms,
         bytes_per_sec: args.bytes_per_sec,
     };
     let path = if args.reset { "/reset" } else { "/set" };
-    let set = Set { names: args.names, fault };
-    order(args.at, path, &serde_json::to_string(&set)?).await
+    let set = SetFault { names: args.names, fault };
+    post_command(args.at, path, &serde_json::to_string(&set)?).await
 }
 
-/// Sets what is wrong with the platform.
+/// Sets the faults of the platform.
 pub async fn outage(args: OutageArgs) -> anyhow::Result<()> {
-    order(args.at, "/faults", &args.faults).await
+    post_command(args.at, "/faults", &args.faults).await
 }
 
-async fn order(at: SocketAddr, path: &str, body: &str) -> anyhow::Result<()> {
+/// Posts a command with the operator key; fails unless the answer is 200.
+async fn post_command(at: SocketAddr, path: &str, body: &str) -> anyhow::Result<()> {
     let (status, text) = client::post(at, path, body).await?;
-    anyhow::ensure!(status == 200, "not done: {}", text.trim());
+    anyhow::ensure!(status == 200, "command rejected: {}", text.trim());
     Ok(())
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -9,7 +9,7 @@
 use lab::{
     ports::Ports,
     process::Process,
-    system::{self, OPERATOR_KEY, PATIENCE, Plan, SECRET, System},
+    system::{self, OPERATOR_KEY, Plan, SECRET, System, WAIT_TIMEOUT},
 };
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -89,7 +89,7 @@
 
     /// Waits until the text of `status` contains `wanted`.
     fn wait_for_status(&self, wanted: &str) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let status = self.run(0, "ana", &["status"]).out;
             if status.contains(wanted) {
@@ -113,7 +113,7 @@
 
     /// Waits until all hosts are in the roster and serve under the same revision.
     fn wait_until_settled(&self) {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             let status = self.status(0);
             let hosts = status["hosts"].as_array().cloned().unwrap_or_default();
@@ -205,7 +205,7 @@
     assert_eq!(cli.run(1, "ana", &["hosts"]).code, 0);
     assert_eq!(cli.revision(), against);
     cli.system.platform_faults("{}").await.unwrap();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !cli.system.hosts[0].log().contains("the platform can be used again") {
         assert!(Instant::now() < deadline, "{}", cli.system.hosts[0].log());
         std::thread::sleep(POLL_INTERVAL);
@@ -258,7 +258,7 @@
     let mut host = Process::new("h9", program, args, cli.system.dir());
     host.start().unwrap();
     let at = operator.replace("operator", "at");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     loop {
         let refused = cli.run(0, "ana", &["hosts", &at]);
         assert_eq!(refused.code, 1, "{refused:?}");
@@ -303,7 +303,7 @@
     let mut clients = Vec::new();
     for host in 0..2 {
         let client = cli.system.connect(host, "baobab", "g1").await.unwrap();
-        system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id TEXT)").await.unwrap();
+        system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id TEXT)").await.unwrap();
         system::rows(&client, "SELECT id FROM visit").await.unwrap();
         clients.push(client);
     }
@@ -341,7 +341,7 @@
     let drained = cli.run(2, "ana", &["drain"]);
     assert_eq!(drained.code, 0, "{drained:?}");
     assert!(drained.out.starts_with("h3 drains"), "{drained:?}");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while cli.system.hosts[2].is_running() {
         assert!(Instant::now() < deadline, "{}", cli.system.hosts[2].log());
         std::thread::sleep(POLL_INTERVAL);
@@ -360,7 +360,7 @@
     limit_files(cli.system.hosts[0].pid().unwrap(), 64);
     let address = cli.system.addresses[0].operator;
     let connections: Vec<_> = (0..100).map(|_| std::net::TcpStream::connect(address)).collect();
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !cli.system.hosts[0].log().contains("cannot be accepted") {
         assert!(cli.system.hosts[0].is_running(), "{}", cli.system.hosts[0].log());
         assert!(Instant::now() < deadline, "the host did not run out of file descriptors");
@@ -391,7 +391,7 @@
     let cli = OperatorCli::new().await;
     cli.wait_until_settled();
     let client = cli.system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     let mut settings = insta::Settings::clone_current();
     settings.add_filter(r"[0-9a-f]{12,}", "[id]");
     settings.add_filter(r"\d+\.\d+(m?s)\b", "[time]$1");
@@ -417,7 +417,7 @@
     let cli = OperatorCli::new().await;
     cli.wait_until_settled();
     let client = cli.system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS booking (id TEXT)").await.unwrap();
     client.simple_query("SET bergamottrack.request = 'b-17'").await.unwrap();
     client.simple_query("INSERT INTO booking VALUES ('chapel')").await.unwrap();
     for host in 0..3 {
--- a/tests/revisions.rs
+++ b/tests/revisions.rs
@@ -4,7 +4,7 @@
 
 use lab::{
     link::Fault,
-    system::{self, PATIENCE, Plan, System},
+    system::{self, Plan, System, WAIT_TIMEOUT},
 };
 
 /// Interval between polls and between statements of a caller.
@@ -42,7 +42,7 @@
     let since = Instant::now();
     for host in 0..system.plan.hosts {
         let client = system.connect(host, account, "g1").await.unwrap();
-        system::until_runs(&client, "SELECT 1").await.unwrap();
+        system::run_until_ok(&client, "SELECT 1").await.unwrap();
     }
     assert!(since.elapsed() < IN_FORCE_TIMEOUT, "in force only after {:?}", since.elapsed());
 }
@@ -84,7 +84,7 @@
     let query = format!("submit=cut&base={}", newest_revision(&system).await);
     system.platform_faults(r#"{"lose_commits": 100}"#).await.unwrap();
     let outage = async {
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         while system.row("submit-cut").await.unwrap().is_empty() {
             assert!(Instant::now() < deadline, "the platform did not commit the change");
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -108,7 +108,7 @@
 async fn a_submit_during_an_outage_changes_nothing() {
     let mut system = start().await;
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     let config = config_with_account(&mut system, "third");
     let query = format!("submit=none&base={}", newest_revision(&system).await);
     system.platform_faults(r#"{"down": true}"#).await.unwrap();
@@ -157,7 +157,7 @@
     system.submit(&config).await.unwrap();
     check_in_force(&system, "third").await;
     let client = system.connect(1, "third", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     system.platform_faults(r#"{"old_rows": true}"#).await.unwrap();
     let since = Instant::now();
     while since.elapsed() < Duration::from_secs(6) {
@@ -179,7 +179,7 @@
     system.hosts[1].kill();
     system.hosts[1].start().unwrap();
     let client = system.connect(1, "third", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
 }
 
 /// All hosts restart at once, as after a power failure. Guards against an accepted revision that
@@ -193,7 +193,7 @@
     system.hosts.iter_mut().for_each(|host| host.start().unwrap());
     for host in 0..system.plan.hosts {
         let client = system.connect(host, "third", "g1").await.unwrap();
-        system::until_runs(&client, "SELECT 1").await.unwrap();
+        system::run_until_ok(&client, "SELECT 1").await.unwrap();
     }
 }
 
@@ -203,7 +203,7 @@
 async fn a_slow_platform_blocks_neither_callers_nor_submits() {
     let mut system = start().await;
     let client = system.connect(1, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     system.platform_faults(r#"{"slow_ms": 1500}"#).await.unwrap();
     let config = config_with_account(&mut system, "third");
     let submitting = submit(&system, 0, "submit=slow", &config);
