--- a/lab/src/soak/world.rs
+++ b/lab/src/soak/world.rs
@@ -18,7 +18,7 @@
     store::{self, Store},
 };
 use crate::{
-    link::{Add, Links},
+    link::{AddLink, Links},
     ports::Ports,
     process::Process,
     system,
@@ -100,7 +100,7 @@
             groups.borrow_mut().servers.push(server(id, group, index % 3 == 0));
             let standin = Standin::new(index, names, groups.clone());
             let (listen, to) = (ports.address()?, ports.address()?);
-            links.add(Add { name: format!("s{index}").into(), listen, to })?;
+            links.add(AddLink { name: format!("s{index}").into(), listen, to })?;
             monoio::spawn(standin.clone().run(to));
             standins.push(standin);
             addresses.push(listen);
@@ -150,9 +150,9 @@
         let (callers, readiness) = (ports.address()?, ports.address()?);
         let (peers, metrics, store) = (ports.address()?, ports.address()?, ports.address()?);
         let name = format!("store{number}").into();
-        self.links.add(Add { name, listen: store, to: platform })?;
+        self.links.add(AddLink { name, listen: store, to: platform })?;
         let peer_link = ports.address()?;
-        self.links.add(Add {
+        self.links.add(AddLink {
             name: format!("peer{number}").into(),
             listen: peer_link,
             to: peers,
--- a/lab/src/storm/mod.rs
+++ b/lab/src/storm/mod.rs
@@ -12,7 +12,7 @@
 use anyhow::Context;
 use clap::Args;
 
-use crate::system::{self, PATIENCE, Plan, System};
+use crate::system::{self, Plan, System, WAIT_TIMEOUT};
 
 pub mod callers;
 pub mod checks;
@@ -86,7 +86,7 @@
     let mut system = System::start(plan()).await.context("starting the system")?;
     let setup = system.connect(0, "baobab", "g1").await?;
     for sql in callers::TABLES {
-        system::until_runs(&setup, sql).await?;
+        system::run_until_ok(&setup, sql).await?;
     }
     let writes: Arc<Mutex<Vec<WriteResult>>> = Arc::default();
     let broken: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -109,7 +109,7 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
-        tokio::time::timeout(PATIENCE, task).await.context("writer did not stop in time")??;
+        tokio::time::timeout(WAIT_TIMEOUT, task).await.context("writer did not stop in time")??;
     }
     let writes = std::mem::take(&mut *writes.lock().expect("no writer panicked"));
     let mut broken = std::mem::take(&mut *broken.lock().expect("no writer panicked"));
--- a/tests/roster.rs
+++ b/tests/roster.rs
@@ -4,7 +4,7 @@
 
 use bergamottrack_contract::RevisionDoc;
 use bergamottrack_platform::chain::Head;
-use lab::system::{self, PATIENCE, Plan, System};
+use lab::system::{self, Plan, System, WAIT_TIMEOUT};
 
 /// Interval between reads of the roster.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
@@ -38,12 +38,12 @@
 async fn a_silent_host_is_removed_and_rejoins() {
     let system = System::start(Plan::default()).await.unwrap();
     let client = system.connect(2, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
     system.hosts[2].signal(libc::SIGSTOP).unwrap();
     until_roster_is(&system, &["h1", "h2"], REMOVAL_TIMEOUT).await;
     system.hosts[2].signal(libc::SIGCONT).unwrap();
-    until_roster_is(&system, &["h1", "h2", "h3"], PATIENCE).await;
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    until_roster_is(&system, &["h1", "h2", "h3"], WAIT_TIMEOUT).await;
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
 }
 
 /// Two of three hosts die for good at once, so no majority of the roster can get a change. Guards
@@ -63,5 +63,5 @@
     until_roster_is(&system, &["h1"], REMOVAL_TIMEOUT).await;
     system.submit(&system.config()).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "SELECT 1").await.unwrap();
+    system::run_until_ok(&client, "SELECT 1").await.unwrap();
 }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -20,7 +20,7 @@
 async fn start() -> (System, Client) {
     let system = System::start(plan(1)).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     (system, client)
 }
 
@@ -58,7 +58,7 @@
 
 /// Waits until a condition holds.
 async fn until(mut holds: impl AsyncFnMut() -> bool) {
-    let deadline = std::time::Instant::now() + system::PATIENCE;
+    let deadline = std::time::Instant::now() + system::WAIT_TIMEOUT;
     while !holds().await {
         assert!(std::time::Instant::now() < deadline, "timed out waiting for a condition");
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -71,7 +71,7 @@
 }
 
 async fn stored_numbers(client: &Client) -> Vec<i32> {
-    system::until_runs(client, "SELECT id FROM visit").await.unwrap();
+    system::run_until_ok(client, "SELECT id FROM visit").await.unwrap();
     let rows = system::rows(client, "SELECT id FROM visit ORDER BY id").await.unwrap();
     rows.iter().map(|row| row.parse().unwrap()).collect()
 }
@@ -136,7 +136,7 @@
     for group in ["g1", "g2", "g3"] {
         let client = system.connect(0, "baobab", group).await.unwrap();
         let table = "CREATE TABLE IF NOT EXISTS visit (id INTEGER)";
-        system::until_runs(&client, table).await.unwrap();
+        system::run_until_ok(&client, table).await.unwrap();
         callers.push(insert(client, 1));
     }
     // In the first seconds after a start of all hosts one of them may have the whole rate.
@@ -161,7 +161,7 @@
         }
         system.hosts[host].start().unwrap();
         let client = system.connect(host, "baobab", "g1").await.unwrap();
-        system::until_runs(&client, "SELECT 1").await.unwrap();
+        system::run_until_ok(&client, "SELECT 1").await.unwrap();
     }
     assert!(homes > 0, "no home of a group was stopped");
 }
--- a/tests/tls.rs
+++ b/tests/tls.rs
@@ -40,7 +40,7 @@
     let system = System::start(Plan { hosts: 1, host_args, ..Plan::default() }).await.unwrap();
     // Unencrypted connections remain possible.
     let plain = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&plain, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&plain, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     system
 }
 
@@ -61,7 +61,7 @@
     let stream = request_encryption(system, &SSL_REQUEST).await;
     let name = ServerName::try_from("entry.test")?;
     let encrypted = TlsConnector::from(Arc::new(config)).connect(name, stream).await?;
-    RawCaller::on(Box::new(encrypted)).start("baobab").await
+    RawCaller::from_stream(Box::new(encrypted)).start("baobab").await
 }
 
 /// Runs a statement and returns whether it succeeded.
@@ -83,7 +83,7 @@
 
     install_certificate(&dir, "second");
     system.hosts[0].signal(libc::SIGHUP).unwrap();
-    let deadline = std::time::Instant::now() + system::PATIENCE;
+    let deadline = std::time::Instant::now() + system::WAIT_TIMEOUT;
     let mut new_caller = loop {
         match connect(&system, "second").await {
             Ok(caller) => break caller,
@@ -112,6 +112,6 @@
     let mut stream = request_encryption(&system, &bytes).await;
     let mut rest = Vec::new();
     // Closed, by an end or a reset.
-    let read = tokio::time::timeout(system::PATIENCE, stream.read_to_end(&mut rest)).await;
+    let read = tokio::time::timeout(system::WAIT_TIMEOUT, stream.read_to_end(&mut rest)).await;
     assert!(read.is_ok() && rest.is_empty(), "{rest:?}");
 }
--- a/tests/transactions.rs
+++ b/tests/transactions.rs
@@ -6,7 +6,7 @@
 async fn start() -> (System, Client) {
     let system = System::start(Plan { links: true, ..Plan::default() }).await.unwrap();
     let client = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
+    system::run_until_ok(&client, "CREATE TABLE IF NOT EXISTS visit (id INTEGER)").await.unwrap();
     (system, client)
 }
 
@@ -35,10 +35,10 @@
     assert_eq!(code(&fourth.unwrap_err()), "25P02");
     end.unwrap();
     let reader = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&reader, "SELECT id FROM visit").await.unwrap();
+    system::run_until_ok(&reader, "SELECT id FROM visit").await.unwrap();
     let rows = system::rows(&reader, "SELECT id FROM visit").await.unwrap();
     assert!(rows.is_empty(), "half of a transaction is stored: {rows:?}");
-    system::until_runs(&client, "INSERT INTO visit VALUES (5)").await.unwrap();
+    system::run_until_ok(&client, "INSERT INTO visit VALUES (5)").await.unwrap();
 }
 
 /// A caller pauses after a write within a transaction while eight others wait for its lock and
@@ -48,7 +48,7 @@
 async fn a_transaction_continues_while_all_slots_wait_for_its_lock() {
     let system = System::start(Plan::default()).await.unwrap();
     let owner = system.connect(0, "baobab", "g1").await.unwrap();
-    system::until_runs(&owner, "CREATE TABLE IF NOT EXISTS hold (id TEXT)").await.unwrap();
+    system::run_until_ok(&owner, "CREATE TABLE IF NOT EXISTS hold (id TEXT)").await.unwrap();
     owner.batch_execute("BEGIN").await.unwrap();
     owner.batch_execute("INSERT INTO hold VALUES ('first')").await.unwrap();
     let mut blocked = Vec::new();
