--- a/components/coordination/src/choice.rs
+++ b/components/coordination/src/choice.rs
@@ -129,7 +129,7 @@
     /// How long the server has left requests of this host without any answer; zero while
     /// none is pending.
     pub fn unanswered_for(&self, now: Instant) -> Duration {
-        self.answers.lasts(now)
+        self.answers.unanswered_for(now)
     }
 
     /// Mean response time.
--- a/components/coordination/src/silence.rs
+++ b/components/coordination/src/silence.rs
@@ -45,7 +45,7 @@
 
     /// Time for which requests have been pending without any answer; zero while none is
     /// pending.
-    pub fn lasts(&self, now: Instant) -> Duration {
+    pub fn unanswered_for(&self, now: Instant) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 }
--- a/components/coordination/src/view.rs
+++ b/components/coordination/src/view.rs
@@ -44,9 +44,10 @@
     pub peer: SocketAddr,
     /// Failure domain of the host.
     pub domain: FailureDomain,
-    /// Hash of the host's address, failure domain and power, see [`place`]; equal for all
+    /// Hash of the host's address, failure domain and power, see [`row_hash`]; equal for all
     /// processes of the host that are started with the same values.
-    pub place: u64,
+    #[serde(rename = "place")]
+    pub row_hash: u64,
     /// Time of the store's clock at which other hosts removed this host because they did not
     /// receive its heartbeats. It may still hold a lease, and registers again if it runs.
     #[serde(default)]
@@ -62,7 +63,7 @@
 
 impl Member {
     /// Returns whether a removed host's lease has certainly expired at the store time `clock`.
-    pub fn is_over(&self, clock: Duration) -> bool {
+    pub fn lease_expired(&self, clock: Duration) -> bool {
         self.left.is_some_and(|left| clock >= left + LEASE_TTL + LEASE_MARGIN)
     }
 }
@@ -168,7 +169,7 @@
 
 /// Returns the hash of a host's address, failure domain and power, which identifies the
 /// content of its row.
-pub fn place(peer: SocketAddr, domain: &FailureDomain, power: u32) -> u64 {
+pub fn row_hash(peer: SocketAddr, domain: &FailureDomain, power: u32) -> u64 {
     xxh3::xxh3_64(format!("{peer} {domain} {power}").as_bytes())
 }
 
@@ -176,8 +177,8 @@
 #[derive(Debug)]
 pub struct LocalView {
     me: HostId,
-    /// Hash that this host's row must have, see [`Member::place`].
-    place: u64,
+    /// Hash that this host's row must have, see [`Member::row_hash`].
+    row_hash: u64,
     view: View,
     /// Stamp of `view`.
     stamp: u64,
@@ -188,10 +189,10 @@
 
 impl LocalView {
     /// Creates an empty view for the host `me`.
-    pub fn new(me: HostId, place: u64) -> Self {
+    pub fn new(me: HostId, row_hash: u64) -> Self {
         Self {
             me,
-            place,
+            row_hash,
             view: View::default(),
             stamp: 0,
             removed: RemovedHosts::default(),
@@ -207,9 +208,9 @@
     /// Replaces the view by one that was the newest at the local time `sent_at` or later.
     /// Returns false, without any change, if the current one is newer.
     ///
-    /// Rows from [`LocalView::take`] that are newer than the view are kept: a host that has
+    /// Rows from [`LocalView::replace_group`] that are newer than the view are kept: a host that has
     /// released its lease on a leader must not return to an older row.
-    pub fn learn(&mut self, mut view: View, sent_at: Instant) -> bool {
+    pub fn replace(&mut self, mut view: View, sent_at: Instant) -> bool {
         if view.version < self.view.version {
             return false;
         }
@@ -229,7 +230,7 @@
     ///
     /// The lease is unchanged: it began no later than the row was written, so the next
     /// failover of the group waits for it.
-    pub fn take(&mut self, group: &GroupId, row: Versioned<Leadership>) -> bool {
+    pub fn replace_group(&mut self, group: &GroupId, row: Versioned<Leadership>) -> bool {
         if self.leadership(group).is_some_and(|known| known.version >= row.version) {
             return false;
         }
@@ -263,7 +264,7 @@
     }
 
     /// Local time at which the lease on the leaders of the view expires.
-    pub fn until(&self) -> Option<Instant> {
+    pub fn lease_expiry(&self) -> Option<Instant> {
         self.confirmed_at.map(|at| at + LEASE_TTL)
     }
 
@@ -275,7 +276,7 @@
     /// the host has read an older view.
     pub fn is_member(&self) -> bool {
         let own = self.view.members.get(&self.me);
-        own.is_some_and(|own| own.value.place == self.place && own.value.left.is_none())
+        own.is_some_and(|own| own.value.row_hash == self.row_hash && own.value.left.is_none())
     }
 
     /// Returns whether this host holds a lease and so may use the leaders of the view.
@@ -305,7 +306,7 @@
     pub fn new(view: &View, me: &HostId, now: Instant) -> Self {
         let members = view.members.iter();
         let waiting = members
-            .filter(|(host, member)| *host != me && !member.value.is_over(view.clock))
+            .filter(|(host, member)| *host != me && !member.value.lease_expired(view.clock))
             .map(|(host, _)| host.clone())
             .collect();
         Self { deadline: now + LEASE_TTL + LEASE_MARGIN, waiting }
@@ -317,14 +318,16 @@
     }
 
     /// Records that a host holds no lease any more: it released it or its process has ended.
-    pub fn returned(&mut self, host: &HostId) {
+    pub fn mark_released(&mut self, host: &HostId) {
         self.waiting.retain(|other| other != host);
     }
 
     /// Records releases that hosts wrote to the store, because they could not be reached.
     pub fn note(&mut self, view: &View, intent: u64) {
         self.waiting.retain(|host| match view.members.get(host) {
-            Some(member) => member.value.released < intent && !member.value.is_over(view.clock),
+            Some(member) => {
+                member.value.released < intent && !member.value.lease_expired(view.clock)
+            }
             // A host that shuts down removes its row after its last use of a leader.
             None => false,
         });
--- a/components/coordination/tests/changes.rs
+++ b/components/coordination/tests/changes.rs
@@ -36,7 +36,7 @@
     let value = Member {
         peer: "192.0.2.1:7000".parse().unwrap(),
         domain: "north".parse().unwrap(),
-        place: number,
+        row_hash: number,
         left: None,
         released: 0,
         power: 250,
@@ -59,7 +59,7 @@
 
 fn local_view(view: View) -> LocalView {
     let mut local = LocalView::new(host(1), 1);
-    assert!(local.learn(view, Instant::now()));
+    assert!(local.replace(view, Instant::now()));
     local
 }
 
@@ -71,7 +71,7 @@
     let mut newer = full_view();
     newer.version += 5;
     newer.groups.insert(group(), steady("s2", newer.version));
-    hub.learn(newer.clone(), Instant::now());
+    hub.replace(newer.clone(), Instant::now());
     let changes = hub.changes(old.view().version);
     assert_eq!((changes.view.members.len(), changes.view.groups.len()), (0, 1));
     let applied = changes.apply_to(old.view()).unwrap();
@@ -87,7 +87,7 @@
     newer.version += 5;
     newer.members.remove(&host(7));
     newer.members.insert(host(400), member(newer.version));
-    hub.learn(newer.clone(), Instant::now());
+    hub.replace(newer.clone(), Instant::now());
     assert_eq!(hub.changes(old.view().version).apply_to(old.view()).unwrap(), newer);
 }
 
@@ -113,7 +113,7 @@
     let mut newer = full_view();
     newer.version += 5;
     newer.groups.insert(group(), steady("s2", newer.version));
-    hub.learn(newer, Instant::now());
+    hub.replace(newer, Instant::now());
     let mut other = full_view();
     other.members.insert(host(900), member(3));
     assert!(hub.changes(other.version).apply_to(&other).is_none());
@@ -124,15 +124,15 @@
 #[test]
 fn older_view_does_not_revert_an_intent() {
     let mut local = local_view(full_view());
-    assert!(local.take(&group(), moving(HOSTS + 9)));
+    assert!(local.replace_group(&group(), moving(HOSTS + 9)));
     let mut older = full_view();
     older.version += 4;
-    local.learn(older, Instant::now());
+    local.replace(older, Instant::now());
     assert_eq!(local.leadership(&group()).unwrap(), &moving(HOSTS + 9));
-    assert!(!local.take(&group(), steady("s1", HOSTS + 6)), "an older row");
+    assert!(!local.replace_group(&group(), steady("s1", HOSTS + 6)), "an older row");
     let mut newer = full_view();
     newer.version += 20;
     newer.groups.insert(group(), steady("s2", HOSTS + 15));
-    local.learn(newer, Instant::now());
+    local.replace(newer, Instant::now());
     assert_eq!(local.leadership(&group()).unwrap(), &steady("s2", HOSTS + 15));
 }
--- a/components/coordination/tests/holders.rs
+++ b/components/coordination/tests/holders.rs
@@ -28,7 +28,7 @@
     let member = |name: &str, domain_name: &str, power: u32| Member {
         peer: "127.0.0.1:1".parse().unwrap(),
         domain: domain(domain_name),
-        place: name.len() as u64,
+        row_hash: name.len() as u64,
         left: None,
         released: 0,
         power,
--- a/components/coordination/tests/hubs.rs
+++ b/components/coordination/tests/hubs.rs
@@ -16,7 +16,7 @@
             let member = Member {
                 peer: "192.0.2.1:7000".parse().unwrap(),
                 domain: DOMAINS[n % 4].parse().unwrap(),
-                place: 1,
+                row_hash: 1,
                 left: None,
                 released: 0,
                 power: if n % 8 < 4 { 500 } else { 120 },
--- a/components/coordination/tests/silence.rs
+++ b/components/coordination/tests/silence.rs
@@ -15,7 +15,7 @@
     tracker.begin(start);
     tracker.end(true, start + 10 * MS);
     // Connections that are closed at once do not count as requests.
-    assert_eq!(tracker.lasts(start + 900 * MS), Duration::ZERO);
+    assert_eq!(tracker.unanswered_for(start + 900 * MS), Duration::ZERO);
     assert_eq!(tracker.answered(start + 910 * MS), Some(900 * MS));
 }
 
@@ -26,9 +26,9 @@
     let mut tracker = silence::AnswerTracker::default();
     tracker.begin(start);
     tracker.begin(start);
-    assert_eq!(tracker.lasts(start + 300 * MS), 300 * MS);
+    assert_eq!(tracker.unanswered_for(start + 300 * MS), 300 * MS);
     tracker.end(true, start + 300 * MS);
-    assert_eq!(tracker.lasts(start + 350 * MS), 50 * MS);
+    assert_eq!(tracker.unanswered_for(start + 350 * MS), 50 * MS);
     tracker.end(false, start + 400 * MS);
-    assert_eq!((tracker.running(), tracker.lasts(start + 500 * MS)), (0, Duration::ZERO));
+    assert_eq!((tracker.running(), tracker.unanswered_for(start + 500 * MS)), (0, Duration::ZERO));
 }
--- a/components/coordination/tests/view.rs
+++ b/components/coordination/tests/view.rs
@@ -11,11 +11,11 @@
     name.parse().unwrap()
 }
 
-fn member(place: u64) -> Member {
+fn member(row_hash: u64) -> Member {
     Member {
         peer: "192.0.2.1:7000".parse().unwrap(),
         domain: "north".parse().unwrap(),
-        place,
+        row_hash,
         left: None,
         released: 0,
         power: 250,
@@ -42,7 +42,7 @@
     let start = Instant::now();
     let mut local = LocalView::new(host("a"), 1);
     assert!(!local.leased(start));
-    local.learn(view(5, &[("a", member(1))]), start);
+    local.replace(view(5, &[("a", member(1))]), start);
     assert!(local.leased(start + LEASE_TTL - Duration::from_millis(1)));
     assert!(!local.leased(start + LEASE_TTL));
 }
@@ -53,10 +53,10 @@
 fn host_that_is_not_a_member_holds_no_lease() {
     let start = Instant::now();
     let mut local = LocalView::new(host("a"), 1);
-    local.learn(view(5, &[("a", member(2))]), start);
+    local.replace(view(5, &[("a", member(2))]), start);
     assert!(!local.leased(start));
     let removed = Member { left: Some(Duration::from_secs(5)), ..member(1) };
-    local.learn(view(6, &[("a", removed)]), start);
+    local.replace(view(6, &[("a", removed)]), start);
     assert!(!local.leased(start));
 }
 
@@ -65,12 +65,12 @@
 #[test]
 fn row_of_an_earlier_process_grants_a_lease() {
     let domain = "north".parse().unwrap();
-    let at = |port: u16| view::place(([192, 0, 2, 1], port).into(), &domain, 250);
+    let at = |port: u16| view::row_hash(([192, 0, 2, 1], port).into(), &domain, 250);
     let mut local = LocalView::new(host("a"), at(7000));
     let start = Instant::now();
-    local.learn(view(5, &[("a", member(at(7000)))]), start);
+    local.replace(view(5, &[("a", member(at(7000)))]), start);
     assert!(local.leased(start));
-    local.learn(view(6, &[("a", member(at(7001)))]), start);
+    local.replace(view(6, &[("a", member(at(7001)))]), start);
     assert!(!local.leased(start), "the row contains another address");
 }
 
@@ -79,8 +79,8 @@
 fn older_view_is_ignored() {
     let start = Instant::now();
     let mut local = LocalView::new(host("a"), 1);
-    assert!(local.learn(view(6, &[("a", member(1))]), start));
-    assert!(!local.learn(view(5, &[]), start + Duration::from_secs(1)));
+    assert!(local.replace(view(6, &[("a", member(1))]), start));
+    assert!(!local.replace(view(5, &[]), start + Duration::from_secs(1)));
     assert_eq!(local.view().version, 6);
 }
 
@@ -90,7 +90,7 @@
 fn lease_is_renewed_only_for_an_identical_view() {
     let start = Instant::now();
     let mut local = LocalView::new(host("a"), 1);
-    local.learn(view(5, &[("a", member(1))]), start);
+    local.replace(view(5, &[("a", member(1))]), start);
     let (stamp, later) = (local.stamp(), start + Duration::from_secs(3));
     local.renew(stamp ^ 1, Duration::from_secs(9), later);
     assert!(!local.leased(start + LEASE_TTL));
@@ -106,10 +106,10 @@
     let now = Instant::now();
     let view = view(7, &[("me", member(1)), ("b", member(1)), ("c", member(1))]);
     let mut release = LeaseRelease::new(&view, &host("me"), now);
-    release.returned(&host("b"));
+    release.mark_released(&host("b"));
     assert!(!release.is_over(now + LEASE_TTL));
     assert!(release.is_over(now + LEASE_TTL + LEASE_MARGIN));
-    release.returned(&host("c"));
+    release.mark_released(&host("c"));
     assert!(release.is_over(now));
 }
 
--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -73,7 +73,7 @@
     };
     for (id, row) in &view.members {
         let expect = vec![(fleet::member_key(id), row.version)];
-        if row.value.is_over(view.clock) {
+        if row.value.lease_expired(view.clock) {
             return Some(Change {
                 expect,
                 remove: vec![fleet::member_key(id)],
--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -482,7 +482,7 @@
             None => monitor::is_dead(&host, &id).await,
         };
         if released {
-            release.borrow_mut().returned(&id);
+            release.borrow_mut().mark_released(&id);
             return;
         }
         monoio::time::sleep(if was_up { monitor::CHECK_INTERVAL } else { LINK_CHECK_INTERVAL })
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -160,13 +160,13 @@
 
 /// Returns the hash of this host's peer address, failure domain and power.
 pub fn place(settings: &Settings) -> u64 {
-    view::place(settings.peer_address, &settings.domain, settings.cpu_millicores)
+    view::row_hash(settings.peer_address, &settings.domain, settings.cpu_millicores)
 }
 
 /// Returns whether the view has a row of this host with its current place.
 fn is_member(view: &View, settings: &Settings) -> bool {
     let row = view.members.get(&settings.host);
-    row.is_some_and(|row| row.value.place == place(settings) && row.value.left.is_none())
+    row.is_some_and(|row| row.value.row_hash == place(settings) && row.value.left.is_none())
 }
 
 /// Retries a step until it succeeds; the store may be unreachable when a host starts.
@@ -258,7 +258,7 @@
     let member = Member {
         peer: settings.peer_address,
         domain: settings.domain.clone(),
-        place: place(settings),
+        row_hash: place(settings),
         left: None,
         released: 0,
         power: settings.cpu_millicores,
@@ -271,7 +271,7 @@
         matches!(verdict, TxOutcome::Applied(_)),
         "joining the fleet: the store answered {verdict:?}"
     );
-    info!(place = member.place, "fleet: joined");
+    info!(place = member.row_hash, "fleet: joined");
     Ok(())
 }
 
@@ -285,9 +285,9 @@
 
 /// Applies a view that was the newest at the local time `requested` or later.
 pub fn apply_view(host: &Rc<Host>, view: View, requested: Instant) {
-    let until = host.leased_view.borrow().until();
+    let until = host.leased_view.borrow().lease_expiry();
     let before = host.leased_view.borrow().view().groups.clone();
-    if !host.leased_view.borrow_mut().learn(view, requested) {
+    if !host.leased_view.borrow_mut().replace(view, requested) {
         return;
     }
     let after = host.leased_view.borrow().view().groups.clone();
@@ -302,8 +302,8 @@
 
 /// Applies one group's row, received from the host that performs its failover.
 pub fn apply_row(host: &Rc<Host>, id: &GroupId, row: Versioned<Leadership>) {
-    let until = host.leased_view.borrow().until();
-    if host.leased_view.borrow_mut().take(id, row.clone()) {
+    let until = host.leased_view.borrow().lease_expiry();
+    if host.leased_view.borrow_mut().replace_group(id, row.clone()) {
         host.refresh();
         handle_new_row(host, id, row, until, host.now());
     }
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -92,9 +92,10 @@
     if placement::is_forbidden(host, &pool) {
         return;
     }
-    let silent = pool.health.borrow().unanswered_for(now).max(pool.exchanges.borrow().lasts(now));
+    let silent =
+        pool.health.borrow().unanswered_for(now).max(pool.exchanges.borrow().unanswered_for(now));
     let probes = silent > suspicion::SILENCE_TIMEOUT
-        || group.suspicion.borrow().advice(now) == Advice::AskReplicas;
+        || group.suspicion.borrow().advice(now) == Advice::QueryReplicas;
     if probes && !group.probing.replace(true) {
         monoio::spawn(probe(host.clone(), group.clone(), pool, now));
     }
