--- a/components/coordination/src/suspicion.rs
+++ b/components/coordination/src/suspicion.rs
@@ -67,7 +67,7 @@
     /// Keep the leader: there is no sufficient evidence of a failure.
     Keep,
     /// Query the replicas for the last log record that they have received.
-    QueryReplicas,
+    AskReplicas,
     /// Replace the leader.
     Replace,
 }
@@ -119,7 +119,7 @@
             {
                 Advice::Replace
             }
-            _ => Advice::QueryReplicas,
+            _ => Advice::AskReplicas,
         }
     }
 }
--- a/components/coordination/tests/suspicion.rs
+++ b/components/coordination/tests/suspicion.rs
@@ -28,7 +28,7 @@
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
     suspicion.received(Point::new(1, 5), start + 10 * MS);
-    assert_eq!(suspicion.advice(start + 300 * MS), Advice::QueryReplicas);
+    assert_eq!(suspicion.advice(start + 300 * MS), Advice::AskReplicas);
     suspicion.answered();
     assert_eq!(suspicion.advice(start + 900 * MS), Advice::Keep);
 }
@@ -43,7 +43,7 @@
     for n in 0..50_u32 {
         let now = start + n * 100 * MS;
         suspicion.received(Point::new(1, u64::from(n)), now);
-        assert_eq!(suspicion.advice(now), Advice::QueryReplicas);
+        assert_eq!(suspicion.advice(now), Advice::AskReplicas);
     }
 }
 
@@ -56,10 +56,10 @@
     suspicion.silent(start);
     suspicion.received(Point::new(1, 5), start);
     suspicion.received(Point::new(1, 5), start + 200 * MS);
-    assert_eq!(suspicion.advice(start + 200 * MS), Advice::QueryReplicas);
+    assert_eq!(suspicion.advice(start + 200 * MS), Advice::AskReplicas);
     assert_eq!(
         suspicion.advice(start + REPLICA_STALL_TIMEOUT),
-        Advice::QueryReplicas,
+        Advice::AskReplicas,
         "no replica was queried since"
     );
     suspicion.received(Point::new(1, 5), start + REPLICA_STALL_TIMEOUT);
@@ -74,9 +74,9 @@
     let mut suspicion = Suspicion::default();
     suspicion.silent(start);
     suspicion.received(Point::new(1, 5), start);
-    assert_eq!(suspicion.advice(start + 3 * REPLICA_STALL_TIMEOUT), Advice::QueryReplicas);
+    assert_eq!(suspicion.advice(start + 3 * REPLICA_STALL_TIMEOUT), Advice::AskReplicas);
     suspicion.received(Point::new(1, 6), start + 3 * REPLICA_STALL_TIMEOUT);
-    assert_eq!(suspicion.advice(start + 3 * REPLICA_STALL_TIMEOUT), Advice::QueryReplicas);
+    assert_eq!(suspicion.advice(start + 3 * REPLICA_STALL_TIMEOUT), Advice::AskReplicas);
 }
 
 /// Guards against hundreds of hosts that query the servers of a silent leader at once, and
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -95,7 +95,7 @@
     let silent =
         pool.health.borrow().unanswered_for(now).max(pool.exchanges.borrow().unanswered_for(now));
     let probes = silent > suspicion::SILENCE_TIMEOUT
-        || group.suspicion.borrow().advice(now) == Advice::QueryReplicas;
+        || group.suspicion.borrow().advice(now) == Advice::AskReplicas;
     if probes && !group.probing.replace(true) {
         monoio::spawn(probe(host.clone(), group.clone(), pool, now));
     }
