--- a/components/coordination/src/leadership.rs
+++ b/components/coordination/src/leadership.rs
@@ -1,8 +1,8 @@
 //! Leadership of a database group: confirmed records, detection of a failed primary, and
-//! choice of the server to promote.
+//! selection of the server to promote.
 //!
-//! Safety depends neither on clocks nor on a single promoter: a majority of the group's
-//! servers promises each term to one promoter only.
+//! Safety depends neither on clocks nor on a single promoter: each server promises a term to
+//! one promoter only, and a promotion requires the promises of a majority of the servers.
 
 use std::{
     fmt,
@@ -43,7 +43,7 @@
     pub promised: Term,
     /// Last record in the log, possibly not applied yet.
     pub held: Point,
-    /// Last record that reads show; at most `held.position`.
+    /// Last record that reads return; its position is at most that of `held`.
     pub applied: Point,
 }
 
@@ -53,9 +53,10 @@
         self.role == Role::Primary && self.promised == self.term
     }
 
-    /// Returns whether this replica confirms `point`, by holding it in the point's own term.
+    /// Returns whether this server holds `point` in the point's own term and has promised no
+    /// later term, so that it confirms the record.
     ///
-    /// A later promise by this server reports `held`, so the promoter sees the record.
+    /// A later promise by this server reports `held`, so the promoter receives the record.
     pub fn confirms(&self, point: Point) -> bool {
         self.promised <= point.term
             && self.held.term == point.term
@@ -102,8 +103,9 @@
     servers / 2 + 1
 }
 
-/// Selects the server to promote among those that promised a term: the one with the greatest
-/// log. Returns `None` unless they are a majority of the group's `servers`.
+/// Selects the server to promote from the `promises` of a term, each with the last record of
+/// its server: the server with the greatest log. Returns `None` unless the promises are a
+/// majority of the group's `servers`.
 ///
 /// An acknowledged record is held by two of three servers in its own term, so at least one
 /// server of any majority holds it, and no greater log lacks it.
@@ -114,9 +116,9 @@
     promises.iter().max_by_key(|(key, held)| (*held, key.clone())).map(|(key, _)| key.clone())
 }
 
-/// Returns the term for which to request promises: greater than every term in `seen`.
-pub fn next_term<'a>(seen: impl IntoIterator<Item = &'a Status>) -> Term {
-    seen.into_iter().map(|s| s.promised.max(s.term)).max().unwrap_or_default().next()
+/// Returns the term for which to request promises: greater than every term in `statuses`.
+pub fn next_term<'a>(statuses: impl IntoIterator<Item = &'a Status>) -> Term {
+    statuses.into_iter().map(|s| s.promised.max(s.term)).max().unwrap_or_default().next()
 }
 
 /// Returns the number of positions by which `applied` trails the primary; 0 if it is ahead.
@@ -124,37 +126,38 @@
     primary.0.saturating_sub(applied.0)
 }
 
-/// How long connections must have been refused before a server is considered down.
+/// How long connections must have been refused before a primary is replaced.
 ///
 /// After a process ends, connections are refused at once, so refusals detect a crash earlier
 /// than the silence timeout.
 pub const REFUSAL_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Longest time between two observations; after a longer one the observer itself is assumed
-/// to have been paused.
+/// Maximum time between two observations; after a longer gap the observer itself is assumed to
+/// have been paused.
 const MAX_OBSERVE_GAP: Duration = Duration::from_millis(150);
 
 /// Last observed state of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Observation {
-    /// Last reported status, of any age.
+    /// Last reported status, however old; none before the first report.
     pub status: Option<Status>,
-    /// Time of the last contact.
+    /// Time of the last contact; none before the first contact.
     pub last_seen: Option<Instant>,
-    /// Time since which the server has refused connections; none while it does not.
+    /// Time since which the server has refused connections; none while it accepts them.
     pub refused_since: Option<Instant>,
 }
 
 /// Reason for the replacement of a primary.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Cause {
-    /// The primary's machine refuses connections.
+    /// Connections to the primary have been refused for longer than [`REFUSAL_TIMEOUT`].
     Refused,
     /// The primary has not answered within the silence timeout.
     Silent,
-    /// The primary answers, but its replicas no longer receive its log.
+    /// The primary answers, but its replicas have not received its log within the silence
+    /// timeout.
     Unconfirmed,
-    /// No server leads in the greatest term promised.
+    /// No server has led in the greatest term promised within the silence timeout.
     Leaderless,
     /// The operator is removing the primary.
     Leaving,
@@ -187,8 +190,8 @@
 
 /// Detects from observations of a group that its primary must be replaced.
 ///
-/// It only affects when a promotion starts: its safety is decided by the promises of the
-/// servers.
+/// The detector only affects when a promotion starts; the safety of the promotion depends on
+/// the promises of the servers.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
     /// Time since the last contact after which a server is considered unreachable.
@@ -198,10 +201,10 @@
     /// Start of the period over which silence is counted: the end of the observer's last
     /// pause.
     active_since: Instant,
-    /// Greatest term promised, and since when it has been the greatest.
+    /// Greatest term promised, and the time since which it has been the greatest.
     newest: (Term, Instant),
-    /// Greatest point held by a replica while the primary held a greater one, and since when
-    /// it has not advanced.
+    /// Greatest point held by a replica while the primary held a greater one, and the time since
+    /// which that point has not advanced.
     stalled: Option<(Point, Instant)>,
 }
 
@@ -230,7 +233,7 @@
         if newest != self.newest.0 {
             self.newest = (newest, now);
         }
-        let verdict = self.judge(now, newest, observations);
+        let verdict = self.assess(now, newest, observations);
         let reachable = observations.iter().filter(|s| self.is_reachable(now, s)).count();
         match verdict {
             Verdict::Suspected => verdict,
@@ -241,7 +244,7 @@
     }
 
     /// Time since which the replicas have received nothing although the primary's log is
-    /// ahead; none while they receive or have caught up.
+    /// ahead; none while they have caught up or too few of them are reachable.
     pub fn stalled_since(&self) -> Option<Instant> {
         self.stalled.map(|(_, since)| since)
     }
@@ -252,11 +255,11 @@
         self.observed_at = now;
     }
 
-    fn judge(&mut self, now: Instant, newest: Term, observations: &[Observation]) -> Verdict {
+    fn assess(&mut self, now: Instant, newest: Term, observations: &[Observation]) -> Verdict {
         let leads = |s: &&Observation| s.status.is_some_and(|s| s.leads() && s.term == newest);
         let Some(leader) = observations.iter().find(leads) else {
-            // Another observer may be running a promotion: a new term gets the silence
-            // timeout to find a leader.
+            // Another observer may be running a promotion, which has the silence timeout to
+            // give a new term a leader.
             return promote_after(
                 self.silence_timeout,
                 self.elapsed(now, Some(self.newest.1)),
@@ -276,23 +279,23 @@
                 Cause::Silent,
             );
         }
-        self.judge_replicas(now, leader, observations)
+        self.assess_replicas(now, leader, observations)
     }
 
-    /// Checks that the replicas receive the primary's log.
+    /// Assesses whether the replicas receive the primary's log.
     ///
-    /// A primary that answers its observers but is cut off from its replicas gets no write
-    /// confirmed, so callers would time out until the link is repaired.
-    fn judge_replicas(
+    /// A primary that answers its observers but is partitioned from its replicas gets no write
+    /// confirmed, so callers would time out until the partition ends.
+    fn assess_replicas(
         &mut self,
         now: Instant,
         leader: &Observation,
         observations: &[Observation],
     ) -> Verdict {
         let Some(status) = leader.status else { return Verdict::Suspected };
-        let others =
+        let replicas =
             observations.iter().filter(|s| !std::ptr::eq(*s, leader) && self.is_reachable(now, s));
-        let held: Vec<Point> = others.filter_map(|s| Some(s.status?.held)).collect();
+        let held: Vec<Point> = replicas.filter_map(|s| Some(s.status?.held)).collect();
         let best = held.iter().max().copied().unwrap_or_default();
         if best >= status.held || held.len() < majority(observations.len()) {
             self.stalled = None;
@@ -330,11 +333,11 @@
 }
 
 /// Returns the delay before the next attempt after `failures` failed promotions in a row,
-/// between 40 ms and 1 s. `chance` is a random number from 0 to 1, which keeps two promoters
-/// from colliding again.
+/// between 40 ms and 1 s. `chance` is a random number from 0 to 1, so that two promoters that
+/// failed at the same time do not retry at the same time.
 pub fn backoff(failures: u32, chance: f64) -> Duration {
     const MIN_DELAY_MS: f64 = 40.0;
     const MAX_DELAY_MS: f64 = 1_000.0;
-    let most = (MIN_DELAY_MS * 2_f64.powi(failures.min(8) as i32)).min(MAX_DELAY_MS);
-    Duration::from_millis((MIN_DELAY_MS + chance * (most - MIN_DELAY_MS)) as u64)
+    let max_delay = (MIN_DELAY_MS * 2_f64.powi(failures.min(8) as i32)).min(MAX_DELAY_MS);
+    Duration::from_millis((MIN_DELAY_MS + chance * (max_delay - MIN_DELAY_MS)) as u64)
 }
--- a/components/coordination/src/view.rs
+++ b/components/coordination/src/view.rs
@@ -1,4 +1,4 @@
-//! Members of the fleet and leaders of all groups at one version of the store.
+//! View of the fleet: its members and the leaders of all groups at one version of the store.
 //!
 //! The view is a table of the platform's store. A host uses the leader of a group only
 //! while it holds a *lease*: it can prove that at most [`LEASE_TTL`] ago the view named that
@@ -27,14 +27,15 @@
     succession::Terms,
 };
 
-/// How long a host may use a leader without a new proof that it leads.
+/// How long a host may use a leader without a new proof that the server leads.
 ///
-/// It covers typical store outages of 4 to 6 s with a second to spare, so that callers do
-/// not notice them. In return, a failover waits this long for a host that does not answer.
+/// The lease outlasts typical store outages of 4 to 6 s by more than a second, so that callers
+/// do not notice them. In return, a failover waits up to this long, plus [`LEASE_MARGIN`], for
+/// a host that does not answer.
 pub const LEASE_TTL: Duration = Duration::from_millis(7500);
 
-/// Margin that the waiting host adds to [`LEASE_TTL`]: drift of two clocks over the lease,
-/// and the time between a lease check and the send that it allows.
+/// Margin that the host that runs a failover adds to [`LEASE_TTL`]: the drift of two clocks
+/// over the lease, and the time between a lease check and the send that follows it.
 pub const LEASE_MARGIN: Duration = Duration::from_millis(250);
 
 /// A host of the fleet.
@@ -49,7 +50,8 @@
     #[serde(rename = "place")]
     pub row_hash: u64,
     /// Time of the store's clock at which other hosts removed this host because they did not
-    /// receive its heartbeats. It may still hold a lease, and registers again if it runs.
+    /// receive its heartbeats; none while it is a member. A removed host may still hold a
+    /// lease, and registers again if it runs.
     #[serde(default)]
     pub left: Option<Duration>,
     /// Version of the newest intent for which the host has released its lease; written only
@@ -62,7 +64,8 @@
 }
 
 impl Member {
-    /// Returns whether a removed host's lease has certainly expired at the store time `clock`.
+    /// Returns whether the host was removed and its lease has certainly expired at the store
+    /// time `clock`.
     pub fn lease_expired(&self, clock: Duration) -> bool {
         self.left.is_some_and(|left| clock >= left + LEASE_TTL + LEASE_MARGIN)
     }
@@ -81,14 +84,14 @@
     },
     /// A failover is in progress; no server may be used as the leader.
     Moving {
-        /// Former leader; none if it was never known.
+        /// Former leader; none if the group had no leader in the view.
         from: Option<ServerId>,
         /// Host that runs the failover.
         holder: HostId,
         /// Time of the store's clock at which the failover began; the holder's right to run
         /// it expires [`FAILOVER_TTL`] later.
         since: Duration,
-        /// Whether the failover is planned, with a former leader that still serves.
+        /// Whether the failover is planned, so that the former leader still serves.
         planned: bool,
         /// Term in which `from` led; 0 while it is unknown.
         #[serde(default)]
@@ -128,8 +131,9 @@
     /// Leadership by group; a group without an entry is led by the server that reports that
     /// it leads.
     pub groups: BTreeMap<GroupId, Versioned<Leadership>>,
-    /// Term up to which a group's terms may have ended, because a promotion was requested.
-    /// Only the host that runs a failover reads it, so it is not part of the stamp.
+    /// Newest closed term by group: terms up to it may have ended, because a promotion was
+    /// requested. Only the host that runs a failover reads the closed terms, so they are not
+    /// part of the stamp.
     #[serde(default)]
     pub closed: BTreeMap<GroupId, Term>,
 }
@@ -144,15 +148,15 @@
 }
 
 impl View {
-    /// Returns the known and the closed term of a group; 0 where unknown.
+    /// Returns the terms of a group; 0 where unknown.
     pub fn terms(&self, group: &GroupId) -> Terms {
         let known = self.groups.get(group).map(|row| row.value.term());
         let closed = self.closed.get(group).copied();
         Terms { known: known.unwrap_or_default(), closed: closed.unwrap_or_default() }
     }
 
-    /// Returns a hash of the keys and versions of all members and groups. It does not depend
-    /// on when the view was read.
+    /// Returns a hash of the keys and versions of all members and groups. The hash does not
+    /// depend on the version of the view nor on the time at which it was read.
     pub fn stamp(&self) -> u64 {
         let mut hash = xxh3::Xxh3::new();
         for (id, row) in &self.members {
@@ -173,7 +177,7 @@
     xxh3::xxh3_64(format!("{peer} {domain} {power}").as_bytes())
 }
 
-/// The newest view that a host has, and the time up to which it is proven current.
+/// Newest view of one host, with the latest time at which it is proven to have been current.
 #[derive(Debug)]
 pub struct LocalView {
     me: HostId,
@@ -182,13 +186,15 @@
     view: View,
     /// Stamp of `view`.
     stamp: u64,
+    /// Hosts removed from earlier views.
     removed: RemovedHosts,
-    /// Latest local time at which the view is proven to have been the newest.
+    /// Latest local time at which the view is proven to have been the newest; none before the
+    /// first proof.
     confirmed_at: Option<Instant>,
 }
 
 impl LocalView {
-    /// Creates an empty view for the host `me`.
+    /// Creates an empty view for the host `me`, whose row must have the hash `row_hash`.
     pub fn new(me: HostId, row_hash: u64) -> Self {
         Self {
             me,
@@ -205,11 +211,11 @@
         &self.view
     }
 
-    /// Replaces the view by one that was the newest at the local time `sent_at` or later.
-    /// Returns false, without any change, if the current one is newer.
+    /// Replaces the view by `view`, which was the newest at the local time `sent_at` or later.
+    /// Returns false, without any change, if the current view has a later version.
     ///
-    /// Rows from [`LocalView::replace_group`] that are newer than the view are kept: a host that has
-    /// released its lease on a leader must not return to an older row.
+    /// Rows from [`LocalView::replace_group`] that are newer than `view` are kept: a host that
+    /// has released its lease on a leader must not return to an older row.
     pub fn replace(&mut self, mut view: View, sent_at: Instant) -> bool {
         if view.version < self.view.version {
             return false;
@@ -226,10 +232,10 @@
         true
     }
 
-    /// Replaces one group's row if the given one is newer, and returns whether it was.
+    /// Replaces one group's row if `row` is newer; returns whether it was replaced.
     ///
     /// The lease is unchanged: it began no later than the row was written, so the next
-    /// failover of the group waits for it.
+    /// failover of the group waits for the lease.
     pub fn replace_group(&mut self, group: &GroupId, row: Versioned<Leadership>) -> bool {
         if self.leadership(group).is_some_and(|known| known.version >= row.version) {
             return false;
@@ -239,7 +245,8 @@
         true
     }
 
-    /// Returns the changes since the view of version `since`.
+    /// Returns the changes since the view of version `since`, or the whole view if that version
+    /// is too old.
     pub fn changes(&self, since: u64) -> Changes {
         self.removed.changes(&self.view, since)
     }
@@ -249,8 +256,9 @@
         self.stamp
     }
 
-    /// Renews the lease if this view has the given stamp. A view with that stamp was the
-    /// newest at the store time `clock`, which was at the local time `confirmed_at` or later.
+    /// Renews the lease if this view has the given stamp and `clock` is later than the view's
+    /// own time. A view with that stamp was the newest at the store time `clock`, which was at
+    /// the local time `confirmed_at` or later.
     pub fn renew(&mut self, stamp: u64, clock: Duration, confirmed_at: Instant) {
         if stamp == self.stamp && clock > self.view.clock {
             self.view.clock = clock;
@@ -263,17 +271,18 @@
         self.confirmed_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Local time at which the lease on the leaders of the view expires.
+    /// Local time at which the lease on the leaders of the view expires; none before the first
+    /// proof.
     pub fn lease_expiry(&self) -> Option<Instant> {
         self.confirmed_at.map(|at| at + LEASE_TTL)
     }
 
-    /// Returns whether the view lists this host as a member.
+    /// Returns whether the view lists this host as a member, with its current row hash.
     ///
-    /// A row written by an earlier process of the host counts as well: a failover contacts
-    /// the host at the same address, and a process listens there before it reads the view. So
-    /// a connection that is refused after the intent was written proves that no process of
-    /// the host has read an older view.
+    /// A row written by an earlier process of the host with the same hash counts as well: a
+    /// failover contacts the host at the same address, and a process listens there before it
+    /// reads the view. So a connection that is refused after the intent was written proves that
+    /// no process of the host has read an older view.
     pub fn is_member(&self) -> bool {
         let own = self.view.members.get(&self.me);
         own.is_some_and(|own| own.value.row_hash == self.row_hash && own.value.left.is_none())
@@ -281,12 +290,12 @@
 
     /// Returns whether this host holds a lease and so may use the leaders of the view.
     ///
-    /// A host that is not a member holds none, since a failover would not wait for it.
+    /// A host that is not a member holds no lease, since a failover would not wait for it.
     pub fn leased(&self, now: Instant) -> bool {
         self.is_member() && self.age(now).is_some_and(|age| age < LEASE_TTL)
     }
 
-    /// Leadership of a group in the view.
+    /// Leadership of a group; none if the view has no row of the group.
     pub fn leadership(&self, group: &GroupId) -> Option<&Versioned<Leadership>> {
         self.view.groups.get(group)
     }
@@ -297,12 +306,14 @@
 pub struct LeaseRelease {
     /// Local time at which every lease has expired, whether released or not.
     pub deadline: Instant,
+    /// Hosts that may still hold a lease.
     waiting: Vec<HostId>,
 }
 
 impl LeaseRelease {
-    /// Starts the wait at `now`, after the store accepted the intent, for all members of
-    /// `view` but `me`; `view` must be at least as new as the intent.
+    /// Starts the wait at `now`, after the store accepted the intent, for all members of `view`
+    /// but `me` and removed hosts whose lease has expired. `view` must be at least as new as the
+    /// intent.
     pub fn new(view: &View, me: &HostId, now: Instant) -> Self {
         let members = view.members.iter();
         let waiting = members
@@ -312,17 +323,19 @@
         Self { deadline: now + LEASE_TTL + LEASE_MARGIN, waiting }
     }
 
-    /// Hosts that may still hold a lease.
+    /// Hosts that may still hold a lease, up to the deadline.
     pub fn waiting(&self) -> &[HostId] {
         &self.waiting
     }
 
-    /// Records that a host holds no lease any more: it released it or its process has ended.
+    /// Records that a host holds no lease any more: the host released it or its process ended.
     pub fn mark_released(&mut self, host: &HostId) {
-        self.waiting.retain(|other| other != host);
+        self.waiting.retain(|id| id != host);
     }
 
-    /// Records releases that hosts wrote to the store, because they could not be reached.
+    /// Records from `view` the releases of the hosts that could not reach the host that runs
+    /// the failover, and the hosts that left or whose lease has expired. `intent` is the version
+    /// of the failover's intent.
     pub fn note(&mut self, view: &View, intent: u64) {
         self.waiting.retain(|host| match view.members.get(host) {
             Some(member) => {
