--- a/components/coordination/src/freshness.rs
+++ b/components/coordination/src/freshness.rs
@@ -2,20 +2,21 @@
 //!
 //! A revision is *accepted* once the table service stores it and it has been propagated to a
 //! majority of its own roster and to a majority of the previous roster. No revision is built
-//! on one that was not propagated in this way. A host acts only while it can prove that no
-//! newer revision had been accepted a few seconds ago. The proof is a read of the head of the
-//! chain, or votes of a majority of its own roster, none of which has a newer revision. Its
-//! time is the time at which the request was *sent*, since an answer may be delayed.
+//! on a revision that was not propagated in this way. A host acts only while it can prove that
+//! no newer revision had been accepted a few seconds ago. The proof is a read of the head of
+//! the revision chain, or confirmed votes of a majority of the host's own roster while no vote
+//! has a newer revision. The proof dates from the time at which the request was *sent*, since
+//! an answer may be delayed.
 //!
-//! Why this is safe: suppose that K+1 was accepted, and a host at K asks the roster of K. The
-//! hosts with K+1 are a majority of that roster, and so are the hosts that answer, so both
-//! majorities have at least one host in common. It answers with K+1, unless it restarted and
-//! lost it. But a restarted host has no vote before it has proven freshness itself: by the
-//! platform, which names K+1, or by a majority of voting hosts, of which fewer than a majority
-//! lack K+1. So the voting hosts that lack K+1 are never a majority, and the asking host gets
-//! no proof after the acceptance. For a host further behind, the same holds for the successor
-//! of *its* revision, which was propagated before any later one could be made, whatever the
-//! roster is by then.
+//! Why this is safe: suppose that K+1 was accepted, and a host at revision K requests votes
+//! from the roster of K. The hosts with K+1 are a majority of that roster, and so are the hosts
+//! that answer, so both majorities have at least one host in common. That host answers with
+//! K+1, unless it restarted and lost K+1. But a restarted host has no vote before it has proven
+//! freshness itself: by the platform, which names K+1, or by a majority of voting hosts, of
+//! which fewer than a majority lack K+1. So the voting hosts that lack K+1 are never a
+//! majority, and the requesting host gets no proof after the acceptance. For a host at an
+//! earlier revision, the same holds for the successor of *its* revision, which was propagated
+//! before any later one could be made, whatever the roster is by then.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +24,7 @@
 
 use crate::{HostId, Revision, leadership};
 
-/// A host's answer to another host that asks whether its revision is the newest.
+/// A host's answer to a request of another host for proof that its revision is the newest.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FreshnessVote {
     /// Newest revision that the host has; 0 if none.
@@ -32,7 +33,7 @@
     /// revision that it had before its restart.
     #[serde(rename = "vouches")]
     pub confirmed: bool,
-    /// Newest revision known to have been propagated to the majorities.
+    /// Newest revision that the host has recorded as propagated to the majorities.
     #[serde(rename = "told")]
     pub propagated: Revision,
     /// Hosts without recent contact.
@@ -43,9 +44,11 @@
 /// Result of one round of votes.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Tally {
-    /// Whether no revision newer than the asking host's was accepted before the round began.
+    /// Whether the round proves that no revision newer than the requesting host's was accepted
+    /// before the round began.
     pub newest: bool,
-    /// Whether majorities of its roster and of the previous one have the revision.
+    /// Whether majorities of the revision's roster and of the previous roster have the revision
+    /// or a newer one; hosts that are certainly dead are not counted.
     pub propagated: bool,
     /// Host with the newest revision, and that revision; none if no host has a newer one.
     pub newer: Option<(HostId, Revision)>,
@@ -53,17 +56,18 @@
     pub in_force: Vec<HostId>,
 }
 
-/// Counts the votes of one round, which include the asking host's own.
+/// Counts the votes of one round on the revision `known` with its `roster` and the `previous`
+/// roster. The votes include the requesting host's own.
 ///
-/// Votes of hosts outside both rosters and second votes of a host are ignored. Hosts that are
-/// certainly `dead` do not need the revision, as they act no more. Without this exception the
-/// permanent loss of a majority would block all changes for ever. The caller must be certain:
-/// a majority that is declared dead, but is running in a partition and voting for each other,
-/// would act on an old revision.
+/// Second votes of a host and votes of hosts outside both rosters count only as evidence of a
+/// newer revision. Hosts that are certainly `dead` do not need the revision, as
+/// they act no more. Without this exception the permanent loss of a majority would block all
+/// changes for ever. The caller must be certain: a majority that is declared dead, but is
+/// running in a partition and voting for each other, would act on an old revision.
 pub fn tally(
     known: Revision,
     roster: &[HostId],
-    before: &[HostId],
+    previous: &[HostId],
     dead: &[HostId],
     votes: &[(HostId, FreshnessVote)],
 ) -> Tally {
@@ -78,13 +82,13 @@
     Tally {
         newest: !roster.is_empty() && newer.is_none() && has_majority(roster, confirmed),
         propagated: has_majority(&alive(roster), has_revision)
-            && has_majority(&alive(before), has_revision),
+            && has_majority(&alive(previous), has_revision),
         newer: newer.map(|(host, vote)| (host.clone(), vote.known)),
         in_force: roster.iter().filter(has_revision).cloned().collect(),
     }
 }
 
-/// Returns whether a majority of the hosts passes; true for no hosts.
+/// Returns whether `passes` holds for a majority of the hosts; true if there are no hosts.
 pub fn has_majority<'a>(hosts: &'a [HostId], passes: impl Fn(&&'a HostId) -> bool) -> bool {
     hosts.is_empty() || hosts.iter().filter(passes).count() >= leadership::majority(hosts.len())
 }
@@ -103,21 +107,20 @@
     /// Raises the newest revision of this host.
     ///
     /// An earlier proof remains valid: if no revision newer than the old one had been
-    /// accepted, none newer than the new one had.
+    /// accepted, no revision newer than the new one had been accepted either.
     pub fn raise(&mut self, revision: Revision) {
         self.known = self.known.max(revision);
     }
 
-    /// Records a proof that no revision newer than `newest` had been accepted at `sent_at`.
-    ///
-    /// It is ignored if this host does not have `newest` yet.
+    /// Records a proof that no revision newer than `newest` had been accepted at `sent_at`. The
+    /// proof is ignored if this host does not have `newest` yet.
     pub fn confirm(&mut self, newest: Revision, sent_at: Instant) {
         if newest <= self.known {
             self.confirmed_at = self.confirmed_at.max(Some(sent_at));
         }
     }
 
-    /// Returns whether this host's vote counts: it has proven freshness since its start.
+    /// Returns whether this host's vote counts, because it has proven freshness since its start.
     pub fn may_vote(&self) -> bool {
         self.confirmed_at.is_some()
     }
@@ -127,10 +130,11 @@
         self.confirmed_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Returns whether the last proof is more recent than `limit`, so that this host may act.
+    /// Returns whether the last proof is younger than `limit`, so that this host may act; false
+    /// before the first proof.
     ///
-    /// The clock goes on while a host is suspended, so that after a long suspension it needs
-    /// a new proof before it serves.
+    /// The clock advances while a host is suspended, so that after a long suspension the host
+    /// needs a new proof before it serves.
     pub fn is_fresh(&self, now: Instant, limit: Duration) -> bool {
         self.age(now).is_some_and(|age| age < limit)
     }
@@ -138,11 +142,11 @@
 
 /// Maximum age of the configuration of an isolated host without a strict bound.
 ///
-/// A host that reaches neither the store nor a majority of the hosts cannot learn of a revoked
-/// key. It continues for this time, since most partitions last 5 to 9 s and all its callers
-/// would be refused, and then stops. A host that has contact with a majority, none of which
-/// has a newer configuration, continues: the store is unavailable to all of them, so nobody
-/// can change anything.
+/// A host that reaches neither the store nor a majority of the hosts receives no revocation of
+/// a key. It continues for this time, since most partitions last 5 to 9 s and all its callers
+/// would be refused otherwise, and then stops. A host that has contact with a majority, none of
+/// which has a newer configuration, continues: the store is unavailable to all of them, so the
+/// configuration cannot be changed.
 const MAX_ISOLATED_AGE: Duration = Duration::from_secs(10);
 
 /// Fraction of the strict bound after which an isolated host stops; the rest is for requests
@@ -163,7 +167,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConfigState {
     /// Time since the configuration was last proven to be the newest; none before the first
-    /// one.
+    /// proof.
     pub age: Option<Duration>,
     /// Whether another host has a newer configuration.
     pub outdated: bool,
@@ -172,12 +176,11 @@
 }
 
 impl ConfigState {
-    /// Returns whether the host may serve by its configuration.
+    /// Returns whether the host may serve by its configuration; false before the first proof.
     ///
-    /// An outdated host stops within the bounds. If it could not fetch the newer configuration
-    /// it would accept a revoked key for as long as that lasts. The newer configuration was
-    /// accepted after the host's own was last the newest, so it has been in force for at most
-    /// `age`.
+    /// An outdated host stops within the bounds. Otherwise, a host that cannot fetch the newer
+    /// configuration would accept a revoked key until it can. The newer configuration was
+    /// accepted after the last proof of the host's own, so it was accepted at most `age` ago.
     pub fn may_serve(self, bounds: Bounds) -> bool {
         let Some(age) = self.age else { return false };
         if self.outdated {
@@ -189,38 +192,39 @@
     }
 }
 
-/// Duration of a long poll of the store for a new configuration, as a fraction of the time
-/// within which one must be in force. A connection without an answer is closed a second after
-/// that, and the other hosts are asked in the meantime.
+/// Duration of a long poll of the store for a new configuration, as a fraction of the bound
+/// within which a new configuration must be in force. A connection without an answer is closed
+/// a second after the end of the poll, and the other hosts are polled in the meantime.
 const WAIT_FRACTION: f64 = 0.43;
 
-/// Age of the configuration at which other hosts are asked for a newer one, as a fraction of
+/// Age of the configuration at which other hosts are polled for a newer one, as a fraction of
 /// the bound: slightly more than the store usually takes to answer that there is none.
-const ASK_FRACTION: f64 = 0.73;
+const PEER_FRACTION: f64 = 0.73;
 
-/// Age of the configuration at which a host that normally gets it from its hub reads it from
-/// the store, as a fraction of the bound; the rest of the bound is for the call.
+/// Age of the configuration at which a host that normally receives the configuration from its
+/// hub reads the store itself, as a fraction of the bound; the rest of the bound is for the
+/// call.
 const READ_FRACTION: f64 = 0.8;
 
-/// Intervals at which a host polls for a new configuration.
+/// Duration of a poll, and the ages of the configuration at which a host polls for a new one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PollIntervals {
     /// Duration of a long poll of the store.
     pub wait: Duration,
-    /// Age of the configuration at which other hosts are asked.
+    /// Age of the configuration at which other hosts are polled.
     pub ask: Duration,
     /// Age of the configuration at which a host with a hub reads it from the store itself.
     pub read: Duration,
 }
 
 impl PollIntervals {
-    /// Returns the longest intervals by which a configuration is in force within `bound`;
-    /// each call of the store is charged.
+    /// Returns the longest times with which a new configuration is in force within `bound`;
+    /// longer times save calls of the store, each of which is charged.
     pub fn for_bound(bound: Duration) -> Self {
         let fraction = |fraction| bound.mul_f64(fraction);
         Self {
             wait: fraction(WAIT_FRACTION),
-            ask: fraction(ASK_FRACTION),
+            ask: fraction(PEER_FRACTION),
             read: fraction(READ_FRACTION),
         }
     }
--- a/components/coordination/src/succession.rs
+++ b/components/coordination/src/succession.rs
@@ -1,10 +1,10 @@
 //! Selection of the next leader of a group from the states that its servers report.
 //!
 //! Guards against the following fault: a leader is replaced, and within a second its
-//! successor crashes or stops answering before the other replicas have received its term. The
-//! first leader still runs, was not notified of the failover and reports that it leads, and
-//! every reachable replica confirms its term. If hosts used it again, it would acknowledge
-//! writes that the next promotion discards.
+//! successor crashes or stops answering before the other replicas have received the new term.
+//! The former leader still runs, was not notified of the failover and reports that it leads,
+//! and every reachable replica confirms its term. If hosts used the former leader again, it
+//! would acknowledge writes that the next promotion discards.
 //!
 //! Reported states are therefore not sufficient, and the store keeps two terms: the term of
 //! the last known leader, and the term up to which all terms are *closed* because a promotion
@@ -13,7 +13,7 @@
 
 use crate::{Point, ServerId, Term};
 
-/// State of a server as it reports it, with what this host has configured for it.
+/// Reported state of a server, with this host's configuration for the server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Standing {
     /// Id of the server.
@@ -37,14 +37,15 @@
 /// Terms of a group in the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Terms {
-    /// Term of the last known leader; 0 while it is unknown.
+    /// Term of the last known leader; 0 while no leader is known.
     pub known: Term,
-    /// Newest closed term: terms up to this one have ended or may have ended.
+    /// Newest closed term: terms up to this one may have ended; 0 if no term is closed.
     pub closed: Term,
 }
 
 impl Terms {
-    /// Returns whether a server that reports that it leads in `term` may be adopted.
+    /// Returns whether a server that reports that it leads in `term` may be adopted: no later
+    /// term is known, and `term` is not closed.
     pub fn allow(&self, term: Term) -> bool {
         term >= self.known && term > self.closed
     }
@@ -53,15 +54,16 @@
 /// Next step to give a group a leader.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Next {
-    /// Use a server that leads already, in the given term.
+    /// Use the server that already leads, in the given term.
     Adopt(ServerId, Term),
     /// Promote a server.
     Promote {
         /// Server to promote.
         successor: ServerId,
-        /// Newest known term, which the promotion closes.
+        /// Newest term, reported or known, which the promotion closes.
         after: Term,
-        /// Last record of the former leader, if it reported its state.
+        /// Last record of the former leader; none if it did not report its state or its term is
+        /// closed.
         last: Option<Point>,
     },
     /// No server can lead at present.
@@ -72,21 +74,22 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Order {
     /// By the number of databases that the server may serve, then warm before cold, then by
-    /// log. For a planned failover, in which the successor can still receive the whole log.
+    /// log. For planned failovers, in which the successor can still receive the whole log.
     Placement,
-    /// By log, since records that the server lacks may have been acknowledged; then as above.
+    /// By log, since records missing from the successor's log may have been acknowledged; then
+    /// by the number of databases and warm before cold. For unplanned failovers.
     Log,
 }
 
-/// Returns the next step from the reported states. `leaves` is a reachable leader that is to
-/// be replaced.
-pub fn next(states: &[Standing], terms: Terms, leaves: Option<&ServerId>, order: Order) -> Next {
+/// Returns the next step from the reported states. `retiring` is the leader to be replaced in a
+/// planned failover.
+pub fn next(states: &[Standing], terms: Terms, retiring: Option<&ServerId>, order: Order) -> Next {
     let newest = states.iter().map(|server| server.term).max().unwrap_or_default();
     let leader = states.iter().find(|server| server.leads && server.term == newest);
     let leader = leader.filter(|leader| terms.allow(leader.term));
     let adopt = |leader: &Standing| Next::Adopt(leader.id.clone(), leader.term);
     if let Some(leader) = leader
-        && Some(&leader.id) != leaves
+        && Some(&leader.id) != retiring
         && !leader.evacuated
     {
         return adopt(leader);
@@ -101,10 +104,11 @@
         }
     });
     let Some(successor) = successor else {
-        // No successor: the leader stays, for the statements that it may still run.
+        // Without a successor the leader stays, unless it is being removed: statements that
+        // only a leader can run may still run on it.
         return leader.filter(|leader| !leader.leaving).map_or(Next::Nobody, adopt);
     };
-    // Not set for the leader of a closed term: its records must not be waited for.
+    // `None` for the leader of a closed term: the promotion must not wait for its records.
     let last = leader.map(|leader| leader.received);
     Next::Promote { successor: successor.id.clone(), after: newest.max(terms.known), last }
 }
--- a/components/coordination/src/suspicion.rs
+++ b/components/coordination/src/suspicion.rs
@@ -1,27 +1,27 @@
 //! Failure detection for the leader of a group, from the observations of one host.
 //!
-//! It covers, under constant traffic, a leader that crashes (connections are refused), one
-//! that stops answering, and one that only some hosts cannot reach. A refused connection
-//! proves that the process has ended. A missing answer alone proves nothing: a leader that
-//! this host cannot reach may serve all other hosts, and its replicas then continue to
-//! receive its log.
+//! The detection covers, under constant traffic, a leader that crashes (connections are
+//! refused), a leader that stops answering, and a leader that only some hosts cannot reach. A
+//! refused connection proves that the process has ended. A missing answer alone proves nothing:
+//! a leader that this host cannot reach may serve all other hosts, and its replicas then
+//! continue to receive its log.
 
 use std::time::{Duration, Instant};
 
 use crate::Point;
 
 /// How long a leader may leave statements unanswered before it is probed: ten times the mean
-/// statement, and longer than stalls of 300 ms.
+/// duration of a statement, and longer than stalls of 300 ms.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long after a leader's last answer to its holder other hosts do not probe it. The
-/// holder, which has its connections, probes first and starts the failover.
+/// How long after a leader's last answer to its holder the other hosts do not probe it. The
+/// holder, which has the connections to the leader, probes first and starts the failover.
 pub const HOLDER_GRACE: Duration = Duration::from_millis(1200);
 
 /// Number of hosts that act on a silent leader at the same time.
 const BATCH_SIZE: usize = 5;
 
-/// Delay between two batches of hosts, and maximum delay of the last one.
+/// Delay between two batches of hosts, and maximum delay of a batch.
 const STAGGER_RANGE: (Duration, Duration) = (Duration::from_millis(60), Duration::from_millis(600));
 
 /// Returns the delay before the host of the given rank probes a silent leader or starts its
@@ -30,20 +30,20 @@
 /// Guards against hundreds of hosts that open connections to all servers of a group at once,
 /// or write to the same row of the store.
 pub fn stagger_delay(rank: usize) -> Duration {
-    let (step, most) = STAGGER_RANGE;
-    step.saturating_mul((rank / BATCH_SIZE) as u32).min(most)
+    let (step, max) = STAGGER_RANGE;
+    step.saturating_mul((rank / BATCH_SIZE) as u32).min(max)
 }
 
 /// Time allowed for the answer to a probe.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long the replicas of a silent leader must have received nothing before it is replaced.
-/// Groups commit every few tens of milliseconds; stalls of 300 ms must not count.
+/// How long the replicas of a silent leader must have received nothing before the leader is
+/// replaced. Groups commit every few tens of milliseconds; stalls of 300 ms must not count.
 pub const REPLICA_STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long a leader must be unreachable from this host before it is replaced although its
-/// replicas receive its log. Partitions of some hosts last 5 to 7 s; a failover interrupts
-/// all hosts for a second.
+/// How long a leader must have answered this host neither statements nor probes before it is
+/// replaced although its replicas receive its log. Partitions of some hosts last 5 to 7 s; a
+/// failover interrupts all hosts for a second.
 pub const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How long connections must have been refused before the leader is replaced. A server that
@@ -53,11 +53,12 @@
 /// Evidence that a leader has failed.
 #[derive(Clone, Debug, Default)]
 pub struct Suspicion {
-    /// Time of the first refused connection since the last answer.
+    /// Time of the first refused connection since the last answer; none without a refusal.
     refused: Option<Instant>,
     /// Time since which the leader has answered neither statements nor probes.
     unanswered: Option<Instant>,
-    /// Greatest point received by a replica, with the times of its first and last report.
+    /// Greatest point received by a replica, the time of its first report, and the time of the
+    /// last report of any replica.
     received: Option<(Point, Instant, Instant)>,
 }
 
@@ -66,7 +67,7 @@
 pub enum Advice {
     /// Keep the leader: there is no sufficient evidence of a failure.
     Keep,
-    /// Query the replicas for the last log record that they have received.
+    /// Query the replicas for the last log record that each has received.
     AskReplicas,
     /// Replace the leader.
     Replace,
@@ -79,7 +80,7 @@
     }
 
     /// Discards the evidence of silence, which becomes outdated while another host probes the
-    /// leader. Refusals are kept.
+    /// leader. Refused connections are kept.
     pub fn reset_silence(&mut self) {
         (self.unanswered, self.received) = (None, None);
     }
@@ -89,7 +90,8 @@
         self.refused.get_or_insert(now);
     }
 
-    /// Records that a probe was not answered; `since` is the start of the silence.
+    /// Records that a probe was not answered; `since` is the start of the silence. An earlier
+    /// start is kept.
     pub fn silent(&mut self, since: Instant) {
         self.unanswered.get_or_insert(since);
     }
@@ -102,7 +104,7 @@
         };
     }
 
-    /// Returns the action that the evidence calls for.
+    /// Returns the recommended action at `now`.
     pub fn advice(&self, now: Instant) -> Advice {
         let has_lasted = |since: Instant, limit| now.saturating_duration_since(since) >= limit;
         if self.refused.is_some_and(|since| has_lasted(since, REFUSAL_TIMEOUT)) {
--- a/components/coordination/src/view.rs
+++ b/components/coordination/src/view.rs
@@ -84,7 +84,7 @@
     },
     /// A failover is in progress; no server may be used as the leader.
     Moving {
-        /// Former leader; none if the group had no leader in the view.
+        /// Former leader; none if it is not known.
         from: Option<ServerId>,
         /// Host that runs the failover.
         holder: HostId,
