--- a/components/coordination/src/confirm.rs
+++ b/components/coordination/src/confirm.rs
@@ -1,10 +1,10 @@
 //! Confirmation that a commit acknowledged by the leader is held by a second server.
 //!
 //! Guards against a leader that is partitioned from its replicas and continues to acknowledge
-//! commits for seconds. Its successor has received none of them, and every booking confirmed
-//! to a caller in that time is lost. Replication is asynchronous, so the acknowledgement
-//! itself proves nothing: a replica is probed for the last record that it has received, once
-//! for all pending commits.
+//! commits for seconds. Its successor has received none of these commits, and every booking
+//! confirmed to a caller in that time is lost. Replication is asynchronous, so the
+//! acknowledgement itself proves nothing: a replica is probed for the last record that it has
+//! received, once for all pending commits.
 
 use std::{
     collections::BTreeMap,
@@ -13,8 +13,8 @@
 
 use crate::{Point, ServerId};
 
-/// Time within which a replica must confirm a commit. A replica receives it after about 2 ms
-/// and is probed within 3 ms; a replica with no free slot answers after a typical statement
+/// Time within which a replica must confirm a commit. A replica receives the commit after about
+/// 2 ms and is probed within 3 ms; a replica with no free slot answers after a typical statement
 /// of 50 ms, and twice that still fits.
 pub const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -25,8 +25,8 @@
 /// How long a replica's report that it lacks a commit is valid.
 const REPORT_TTL: Duration = Duration::from_millis(600);
 
-/// Time for which a new leader is not replaced although its replicas receive nothing. If they
-/// receive from no server at all, another leader would be no better.
+/// Time for which a new leader is not replaced although its replicas receive nothing. If the
+/// replicas cannot receive from any server, another leader would be no better.
 const MIN_TENURE: Duration = Duration::from_secs(10);
 
 /// Result of probing a replica for the last record that it has received.
@@ -42,7 +42,7 @@
     Silent,
 }
 
-/// Outcome of a commit for its caller.
+/// Whether a commit is confirmed, which decides the answer to its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
     /// No outcome yet.
@@ -52,23 +52,25 @@
     /// The leader's acknowledgement is sufficient: no replica is running that could replace
     /// it, or the running ones are too busy to answer.
     LeaderOnly,
-    /// A replica that could become the leader may lack the commit.
+    /// [`CONFIRM_TIMEOUT`] has passed, and a replica that could become the leader may lack the
+    /// commit.
     Unknown,
 }
 
 /// Replication progress of the replicas of one leader.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaProgress {
-    /// Greatest point that a replica has received.
+    /// Greatest point that any replica has received; none before the first report.
     newest: Option<Point>,
     /// Last probe of each replica and its time.
     probes: BTreeMap<ServerId, (ProbeResult, Instant)>,
-    /// First commit that no replica confirmed in time, and the time at which it began to wait.
+    /// First commit that no replica confirmed in time, and the time since which the commit has
+    /// been pending; none once a replica has received the commit.
     unconfirmed: Option<(Point, Instant)>,
 }
 
 impl ReplicaProgress {
-    /// Records that a replica has received the log up to `point`.
+    /// Records that any of the replicas has received the log up to `point`.
     pub fn note(&mut self, point: Point) {
         self.newest = self.newest.max(Some(point));
         if self.unconfirmed.is_some_and(|(commit, _)| self.covers(commit)) {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Records the result of probing a replica.
+    /// Records the result of a probe of the replica `server`.
     pub fn record(&mut self, server: &ServerId, probe: ProbeResult, now: Instant) {
         self.probes.insert(server.clone(), (probe, now));
         if let ProbeResult::Received(point) = probe {
@@ -84,14 +86,14 @@
         }
     }
 
-    /// Returns whether a second server holds the commit. A point of a later term is no proof,
-    /// since the commit may have been discarded before that term began.
+    /// Returns whether a replica is known to hold the commit. A point of a later term is no
+    /// proof, since the commit may have been discarded before that term began.
     pub fn covers(&self, commit: Point) -> bool {
         self.newest.is_some_and(|newest| newest.term == commit.term && newest >= commit)
     }
 
-    /// Returns the outcome of a commit that has been pending since `began`, where `replicas`
-    /// are the servers that could replace the leader.
+    /// Returns the verdict on a commit that has been pending since `began`, where `replicas` are
+    /// the servers that could replace the leader. Only probes recorded since `began` count.
     pub fn verdict(
         &mut self,
         commit: Point,
@@ -103,7 +105,7 @@
             return Verdict::Confirmed;
         }
         let probe =
-            |id| self.probes.get(id).filter(|(_, at)| *at >= began).map(|(probe, _)| *probe);
+            |id| self.probes.get(id).filter(|(_, time)| *time >= began).map(|(probe, _)| *probe);
         let all = |wanted: &[ProbeResult]| {
             replicas.iter().all(|id| probe(id).is_some_and(|probe| wanted.contains(&probe)))
         };
@@ -126,16 +128,17 @@
         self.unconfirmed.is_some()
     }
 
-    /// Returns whether a leader that has led since `led` must be replaced because a reachable
-    /// replica receives nothing from it.
-    pub fn is_partitioned(&self, led: Instant, now: Instant) -> bool {
+    /// Returns whether a leader that has led since `led_since` must be replaced because no
+    /// replica receives its log although one is reachable: it answered a probe less than 600 ms
+    /// ago. False within the first 10 s of the leader.
+    pub fn is_partitioned(&self, led_since: Instant, now: Instant) -> bool {
         let has_lasted = |since: Instant, limit| now.saturating_duration_since(since) >= limit;
-        let lacks = |(probe, at): &(ProbeResult, Instant)| {
-            matches!(probe, ProbeResult::Received(_)) && !has_lasted(*at, REPORT_TTL)
+        let reachable = |(probe, time): &(ProbeResult, Instant)| {
+            matches!(probe, ProbeResult::Received(_)) && !has_lasted(*time, REPORT_TTL)
         };
         self.unconfirmed
             .is_some_and(|(_, since)| has_lasted(since, CONFIRM_TIMEOUT + STALL_TIMEOUT))
-            && has_lasted(led, MIN_TENURE)
-            && self.probes.values().any(lacks)
+            && has_lasted(led_since, MIN_TENURE)
+            && self.probes.values().any(reachable)
     }
 }
