--- a/components/coordination/src/choice.rs
+++ b/components/coordination/src/choice.rs
@@ -9,8 +9,8 @@
 
 use crate::{Point, silence};
 
-/// Number of answers over which the mean response time is smoothed: each answer moves it by
-/// one part in this many.
+/// Number of answers over which the mean response time is smoothed: each answer moves the mean
+/// by this fraction, 1/8, of its difference from the mean.
 const MEAN_SAMPLES: f64 = 8.0;
 
 /// Response time assumed before the first answer: that of a typical read.
@@ -28,22 +28,23 @@
 /// other server can run.
 const LEADER_FACTOR: f64 = 1.5;
 
-/// Shortest and longest time for which a failing server is ejected.
+/// Minimum and maximum time for which a failing server is ejected; the time doubles with each
+/// further failure.
 const EJECTION_RANGE: (Duration, Duration) =
     (Duration::from_millis(250), Duration::from_millis(2000));
 
-/// Shortest and longest time for which a server that lacked a position is skipped for reads
-/// that require that position or a later one. The time doubles with each lag in a row: a
-/// typical lag is over after the first, and a lag of seconds does not cost each read an
-/// attempt.
+/// Minimum and maximum time for which a server that lacked a position is skipped for reads that
+/// require that position or a later one, unless the duration of its lag is known. The time
+/// doubles with each refusal in a row: a typical lag is over after the first skip, and a lag of
+/// seconds does not cost each read an attempt.
 const LAG_SKIP_RANGE: (Duration, Duration) =
     (Duration::from_millis(60), Duration::from_millis(500));
 
-/// Longest time for which a server is skipped when its lag is known. It is bounded because
-/// the server may be promoted, or restart with all that it received applied.
+/// Maximum time for which a server is skipped when the duration of its lag is known. The time
+/// is bounded because the server may be promoted, or restart with all received records applied.
 const MAX_LAG_SKIP: Duration = Duration::from_millis(1000);
 
-/// Consecutive failures after which a server is ejected.
+/// Number of failures without an answer between them after which a server is ejected.
 const EJECTION_FAILURES: u32 = 2;
 
 /// Health of a backend server as observed by this host from its answers.
@@ -52,11 +53,12 @@
     /// Smoothed response time in seconds.
     mean: f64,
     answers: silence::AnswerTracker,
-    /// Consecutive failures.
+    /// Failures since the last answer.
     failures: u32,
-    /// End and length of the current ejection.
+    /// End and length of the last ejection; none since the last answer.
     ejected: Option<(Instant, Duration)>,
-    /// Position that the server lacked, with the end and length of the skip.
+    /// Position that the server lacked, with the end and length of the skip; none if the server
+    /// had the position required last.
     lag: Option<(Point, Instant, Duration)>,
 }
 
@@ -78,40 +80,41 @@
         self.answers.begin(now);
     }
 
-    /// Records the end of a request; `answered` is the response time, or none if the request
-    /// ended without an answer.
-    pub fn end(&mut self, answered: Option<Duration>, now: Instant) {
-        self.answers.end(answered.is_some(), now);
-        if let Some(elapsed) = answered {
+    /// Records the end of a request; `response_time` is none if the request ended without an
+    /// answer. An answer ends the ejection of the server.
+    pub fn end(&mut self, response_time: Option<Duration>, now: Instant) {
+        self.answers.end(response_time.is_some(), now);
+        if let Some(elapsed) = response_time {
             self.mean += (elapsed.as_secs_f64() - self.mean) / MEAN_SAMPLES;
             self.failures = 0;
             self.ejected = None;
         }
     }
 
-    /// Records a failure that a healthy server would not cause.
+    /// Records a failure that a healthy server would not cause. The second failure since the last
+    /// answer, and each further one, ejects the server.
     pub fn fail(&mut self, now: Instant) {
         self.failures += 1;
         if self.failures >= EJECTION_FAILURES {
-            let (first, most) = EJECTION_RANGE;
-            let last = self.ejected.map_or(first, |(_, last)| (last * 2).min(most));
-            self.ejected = Some((now + last, last));
+            let (min, max) = EJECTION_RANGE;
+            let length = self.ejected.map_or(min, |(_, length)| (length * 2).min(max));
+            self.ejected = Some((now + length, length));
         }
     }
 
-    /// Records that the server lacked the position `point`. `missing` is the estimated time
-    /// until its reads show the position, if known.
+    /// Records that the server lacked the position `point`. `remaining` is the estimated time
+    /// until reads on the server show the position; none if there is no estimate.
     ///
     /// The estimate limits the refusals of a replica that lags by seconds: retried every half
-    /// second by each host for each read, it would refuse a hundred reads a second.
-    pub fn mark_lagging(&mut self, point: Point, missing: Option<Duration>, now: Instant) {
-        let (first, most) = LAG_SKIP_RANGE;
-        let doubled = self.lag.map_or(first, |(_, _, last)| (last * 2).min(most));
-        let last = missing.map_or(doubled, |missing| missing.clamp(first, MAX_LAG_SKIP));
-        self.lag = Some((point, now + last, last));
+    /// second by each host for each read, the replica would refuse a hundred reads a second.
+    pub fn mark_lagging(&mut self, point: Point, remaining: Option<Duration>, now: Instant) {
+        let (min, max) = LAG_SKIP_RANGE;
+        let doubled = self.lag.map_or(min, |(_, _, length)| (length * 2).min(max));
+        let length = remaining.map_or(doubled, |remaining| remaining.clamp(min, MAX_LAG_SKIP));
+        self.lag = Some((point, now + length, length));
     }
 
-    /// Returns whether the server is still skipped for lacking the position `need`.
+    /// Returns whether the server is still skipped for reads that require the position `need`.
     pub fn lacks(&self, need: Point, now: Instant) -> bool {
         self.lag.is_some_and(|(point, until, _)| need >= point && now < until)
     }
@@ -126,13 +129,13 @@
         self.answers.running()
     }
 
-    /// How long the server has left requests of this host without any answer; zero while
-    /// none is pending.
+    /// Time for which requests of this host have been pending at the server without any answer;
+    /// zero while no request is pending.
     pub fn unanswered_for(&self, now: Instant) -> Duration {
         self.answers.unanswered_for(now)
     }
 
-    /// Mean response time.
+    /// Smoothed response time; that of a typical read, 35 ms, before the first answer.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean)
     }
@@ -151,13 +154,13 @@
     pub health: &'a Health,
     /// Whether the server is in the failure domain of this host.
     pub same_domain: bool,
-    /// Whether an open connection is available.
+    /// Whether an open connection to the server is available.
     pub connected: bool,
     /// Whether the server leads its group.
     pub leads: bool,
     /// Whether the server has just started and may get only a few requests a second.
     pub cold: bool,
-    /// Statements that the server runs concurrently.
+    /// Number of statements that the server runs concurrently.
     pub slots: usize,
     /// Time that a statement would be queued at this host before it is sent.
     pub wait: Duration,
@@ -165,8 +168,8 @@
 
 /// Returns the estimated cost of sending a read to the candidate.
 ///
-/// An overdue answer raises the estimate while it is pending, so that a server that stops
-/// answering gets no more reads after one mean response time.
+/// While answers are overdue by more than the mean response time, the estimate grows with the
+/// time without an answer, so that a server that stops answering soon gets no more reads.
 pub fn cost(candidate: &Candidate<'_>, now: Instant) -> Duration {
     let health = candidate.health;
     let mean = health.mean.max(health.unanswered_for(now).as_secs_f64());
@@ -184,14 +187,14 @@
 
 /// Returns the indices of the candidates in the order in which to try them.
 ///
-/// Servers that are neither ejected nor lagging come first, within them warm servers before
-/// cold ones, then by cost. Unfit servers come last rather than being left out: a failed
-/// attempt is better than refusing the request.
+/// Servers that are neither ejected nor skipped for lacking `need` come before the others. Both
+/// parts list warm servers before cold ones, each by ascending cost. Ejected and skipped servers
+/// are not left out: a failed attempt is better than refusing the request.
 pub fn order(candidates: &[Candidate<'_>], need: Option<Point>, now: Instant) -> Vec<usize> {
     let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by_key(|i| {
         let candidate = &candidates[*i];
-        // The leader has every position.
+        // The leader is never skipped for lag: it has every position.
         let fits = candidate.health.fits(need.filter(|_| !candidate.leads), now);
         (!fits, candidate.cold, cost(candidate, now))
     });
