--- a/components/coordination/src/evacuation.rs
+++ b/components/coordination/src/evacuation.rs
@@ -2,9 +2,9 @@
 //!
 //! The operator evacuates a failure domain before maintenance, and within a stated bound no
 //! statement may reach a backend server there. Hosts receive the evacuation at different
-//! times, from the store or from other hosts. Every host therefore keeps the whole set as of
-//! one version of the store, so that sets from several sources can be ordered, and computes
-//! the end of the bound by itself.
+//! times, from the store or from other hosts. Every host therefore keeps the whole set of
+//! evacuated failure domains as of one version of the store, so that sets from several sources
+//! can be ordered, and computes the end of the bound independently.
 
 use std::{
     collections::BTreeMap,
@@ -15,8 +15,9 @@
 
 use crate::{ids, store_clock};
 
-/// Fraction of the bound during which work that only an evacuated server can run continues.
-/// The rest is for statements that are queued or sent at its end.
+/// Drain phase of an evacuation as a fraction of the bound. Work that only an evacuated server
+/// can run continues in this phase; the rest of the bound is for statements that are queued or
+/// sent at its end.
 const DRAIN_FRACTION: f64 = 0.5;
 
 /// Statements that may run on the servers of a failure domain.
@@ -48,7 +49,7 @@
     /// Version of the newest store change; 0 before the first read.
     #[serde(rename = "v")]
     version: u64,
-    /// Time of the store's clock at which the set is proven to have been the newest.
+    /// Latest time of the store's clock at which the set is proven to have been the newest.
     #[serde(rename = "c")]
     clock: Duration,
     #[serde(rename = "d", default, skip_serializing_if = "BTreeMap::is_empty")]
@@ -65,19 +66,19 @@
         self.version > 0
     }
 
-    /// Time of the store's clock at which the set is proven to have been the newest.
+    /// Latest time of the store's clock at which the set is proven to have been the newest.
     pub fn clock(&self) -> Duration {
         self.clock
     }
 
-    /// The evacuated failure domains.
+    /// Evacuated failure domains, sorted by name.
     pub fn domains(&self) -> impl Iterator<Item = (&ids::FailureDomain, &Evacuation)> {
         self.domains.iter()
     }
 
     /// Applies rows of the store at `version`, read at the store time `clock`: all rows if
-    /// `whole`, otherwise the changed ones. Rows older than the set are ignored, since the set
-    /// contains their changes already.
+    /// `whole`, otherwise the changed ones. The rows are ignored if `version` is older than the
+    /// set, which already contains their changes.
     pub fn read(&mut self, rows: &[Row], whole: bool, version: u64, clock: Duration) {
         if version < self.version {
             return;
@@ -98,14 +99,14 @@
         *self = Self { version, clock, domains };
     }
 
-    /// Replaces the set by that of another host if that one is newer.
+    /// Replaces the set by the set `other` of another host if `other` is newer.
     pub fn adopt(&mut self, other: &Self) {
         if (other.version, other.clock) <= (self.version, self.clock) {
             return;
         }
         let before = std::mem::replace(self, other.clone());
         for (domain, evacuation) in &mut self.domains {
-            // Both hosts' times precede the evacuation; the later one is more precise.
+            // The times of both hosts precede the evacuation; the later time is more precise.
             let known = before.domains.get(domain);
             let after = known.filter(|known| known.version == evacuation.version);
             let own = after.map_or(before.clock, |known| known.after);
@@ -113,8 +114,9 @@
         }
     }
 
-    /// Returns which statements may run on servers of the failure domain at `now`, where an
-    /// evacuation must be complete within `bound`.
+    /// Returns the statements that may run on servers of the failure domain at `now`, where an
+    /// evacuation must be complete within `bound`. Evacuations that began at an unknown time
+    /// have no drain phase.
     pub fn placement(
         &self,
         domain: &ids::FailureDomain,
