--- a/components/coordination/src/hubs.rs
+++ b/components/coordination/src/hubs.rs
@@ -1,10 +1,11 @@
-//! Gossip topology of the fleet, with a cost per host that does not grow with its size.
+//! Gossip topology of the fleet, with a bounded number of links per host.
 //!
 //! View changes and demand must reach every host within a second, in fleets of a few hosts and
-//! of many hundreds. In a small fleet all hosts are connected to each other. In a larger one
-//! each failure domain has a *hub*, the first of a few candidates that is reachable: hosts are
-//! connected to their own hub, and hubs to the hubs of the other failure domains. A host then
-//! has three links, and a candidate has three for each failure domain. Traffic between failure
+//! of many hundreds. In a small fleet all hosts are connected to each other. In a larger fleet
+//! each failure domain has a *hub*, the first of three candidates that is reachable: hosts are
+//! connected to the candidates of their own failure domain, and candidates also to those of the
+//! other failure domains. A host then has three links, and a candidate has about three for each
+//! failure domain. Traffic between failure
 //! domains, which is expensive, does not grow with the number of hosts.
 
 use std::{cmp::Reverse, collections::BTreeMap};
@@ -16,12 +17,12 @@
     view::{Member, Versioned, View},
 };
 
-/// Maximum number of hosts in a full mesh. At this size a mesh costs a host 40 short messages
+/// Maximum number of hosts in a full mesh. A mesh of this size costs each host 40 short messages
 /// a second.
 pub const MAX_MESH_SIZE: usize = 16;
 
-/// Number of hosts of a failure domain that may be its hub. With three candidates, up to two
-/// may fail at once without isolating the hosts of the failure domain for a moment.
+/// Maximum number of hosts of a failure domain that may be its hub. With three candidates, up to
+/// two may fail at once without isolating the hosts of the failure domain for a moment.
 const CANDIDATES: usize = 3;
 
 /// Maximum number of remote hubs that a host may use when no candidate of its own failure
@@ -33,17 +34,18 @@
 pub struct Neighbours {
     /// Hosts to keep a link to.
     pub links: Vec<HostId>,
-    /// Candidates for the hub of the host's own failure domain, best first.
+    /// Candidates for the hub of the host's own failure domain, most suitable first. In a mesh,
+    /// all hosts of the failure domain.
     pub candidates: Vec<HostId>,
-    /// First candidates for the hubs of other failure domains, used when no candidate of the
-    /// host's own one is reachable.
+    /// Most suitable hubs of at most two other failure domains, used when no candidate of the
+    /// host's own failure domain is reachable; empty in a mesh.
     pub remote_hubs: Vec<HostId>,
     /// Whether all hosts are connected to each other.
     pub mesh: bool,
 }
 
 /// Returns the hosts of a failure domain in order of suitability as hub: most powerful first,
-/// and hosts of equal power in an order that depends on their names only.
+/// and hosts of equal power in an order that depends only on their ids.
 fn order(view: &View, domain: &FailureDomain) -> Vec<HostId> {
     let members = view.members.iter();
     let of_domain =
@@ -58,17 +60,17 @@
     (Reverse(member.value.power), xxh3::xxh3_64(id.as_str().as_bytes()), id)
 }
 
-/// Returns the first candidates of other failure domains. The hash of `domain` selects the
-/// first one, which spreads the load.
+/// Returns the most suitable hubs of at most [`MAX_REMOTE_HUBS`] failure domains other than
+/// `domain`, whose hash selects the first of them, which spreads the load.
 fn remote_hubs(view: &View, domain: &FailureDomain) -> Vec<HostId> {
-    let mut best = BTreeMap::new();
+    let mut most_suitable = BTreeMap::new();
     let members = view.members.iter().filter(|(_, member)| member.value.left.is_none());
     for (id, member) in members.filter(|(_, member)| member.value.domain != *domain) {
         let candidate = suitability(id, member);
-        let first = best.entry(&member.value.domain).or_insert(candidate);
-        *first = candidate.min(*first);
+        let hub = most_suitable.entry(&member.value.domain).or_insert(candidate);
+        *hub = candidate.min(*hub);
     }
-    let mut hubs: Vec<_> = best.into_values().map(|(_, _, id)| id.clone()).collect();
+    let mut hubs: Vec<_> = most_suitable.into_values().map(|(_, _, id)| id.clone()).collect();
     let start = xxh3::xxh3_64(domain.as_str().as_bytes()) as usize % hubs.len().max(1);
     hubs.rotate_left(start);
     hubs.truncate(MAX_REMOTE_HUBS);
@@ -96,7 +98,8 @@
     Neighbours { links, candidates, remote_hubs, mesh: false }
 }
 
-/// Returns the failure domains of the fleet, sorted.
+/// Returns the failure domains of all hosts of the view, sorted and including those of removed
+/// hosts.
 pub fn domains(view: &View) -> Vec<FailureDomain> {
     let members = view.members.values();
     let mut domains: Vec<_> = members.map(|member| member.value.domain.clone()).collect();
@@ -106,7 +109,8 @@
 }
 
 impl Neighbours {
-    /// Returns the hub: the first candidate that is `me` or up, or `me` if there is none.
+    /// Returns the hub: the first candidate that is `me` or for which `is_up` holds, or `me` if
+    /// there is no such candidate.
     pub fn hub(&self, me: &HostId, is_up: impl Fn(&HostId) -> bool) -> HostId {
         let hub = self.candidates.iter().find(|id| *id == me || is_up(id));
         hub.unwrap_or(me).clone()
