--- a/components/coordination/src/changes.rs
+++ b/components/coordination/src/changes.rs
@@ -1,8 +1,8 @@
 //! Differences between two views, which hosts exchange instead of whole views.
 //!
-//! A whole view of 300 hosts is 45 KB. Sent to each host whenever a leader is replaced or a
-//! host joins, in a fleet of several hundred hosts, it would fill the links of small hosts
-//! (10 Mbit/s) for seconds, while a change of one row is 150 bytes.
+//! A whole view of 300 hosts is 45 KB, a change of one row 150 bytes. If a host of a fleet of
+//! several hundred hosts sent the whole view to every other host whenever a leader is replaced
+//! or a host joins, the links of small hosts (10 Mbit/s) would be saturated for seconds.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,24 +13,25 @@
     view::{Leadership, Member, Versioned, View},
 };
 
-/// Maximum number of removed hosts to keep; a host with an older view gets the whole view. At
-/// most a few hundred hosts are replaced within minutes.
+/// Maximum number of removed hosts to keep. A host whose view is older than the first of them
+/// receives the whole view. At most a few hundred hosts are replaced within minutes.
 const MAX_REMOVED: usize = 256;
 
-/// Hosts removed from a view, with the versions that removed them.
+/// Hosts whose rows were removed from the view.
 #[derive(Debug, Default)]
 pub struct RemovedHosts {
+    /// Removed hosts, oldest first, each with the version of the first view without it.
     hosts: VecDeque<(u64, HostId)>,
-    /// Version after which every removal is in `hosts`.
+    /// Version of the view since which `hosts` contains every removal.
     complete: u64,
 }
 
 /// Difference between a view and an older one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Changes {
-    /// Version of the older view; 0 if this is a whole view.
+    /// Version of the older view; 0 if `view` is the whole view.
     pub since: u64,
-    /// The newer view, with only the rows of members and groups that changed.
+    /// Newer view, with only the rows of members and groups that changed unless `since` is 0.
     pub view: View,
     /// Stamp of the newer view with all its rows.
     pub stamp: u64,
@@ -39,7 +40,7 @@
 }
 
 impl RemovedHosts {
-    /// Records the hosts of the view `before` that are not in `after`, which replaces it.
+    /// Records the hosts that are in the view `before` but not in `after`, which replaces it.
     pub fn note(&mut self, before: &View, after: &View) {
         if before.version == 0 {
             self.complete = after.version;
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Returns the changes of `view` since version `since`, or the whole view if that version
-    /// is too old.
+    /// Returns the changes of `view` since the view of version `since`, or the whole view if not
+    /// every removal since then is recorded.
     pub fn changes(&self, view: &View, since: u64) -> Changes {
         let since = if since < self.complete { 0 } else { since };
         let removed = self.hosts.iter().filter(|(version, _)| since > 0 && *version > since);
@@ -82,10 +83,10 @@
 
 impl Changes {
     /// Applies the changes to the older view `base` and returns the sender's view, or `None` if
-    /// they do not apply to `base`, so that the whole view must be requested.
+    /// the changes do not apply to `base`, so that the whole view must be requested.
     ///
-    /// The stamp covers the version of every row, so that no host acts on rows that the store
-    /// no longer has.
+    /// The result is compared by its stamp, which covers the version of every row, so that no
+    /// host acts on rows that the store no longer has. A whole view is not compared.
     pub fn apply_to(self, base: &View) -> Option<View> {
         let Self { since, view, stamp, gone } = self;
         if since == 0 {
