--- a/components/coordination/src/ages.rs
+++ b/components/coordination/src/ages.rs
@@ -1,7 +1,7 @@
 //! Upper bound on the age of a replica's data.
 //!
-//! The bound follows from the times at which positions of the primary were observed, so data
-//! is never older than stated. Without sufficient observations no age is stated.
+//! The bound is computed from the times at which positions of the primary were observed, so data
+//! is never older than the returned age. Without sufficient observations no age is returned.
 
 use std::{
     collections::VecDeque,
@@ -13,8 +13,8 @@
 /// Maximum number of samples; at one per 50 ms they cover several minutes.
 const MAX_SAMPLES: usize = 8192;
 
-/// Minimum interval between two samples of a primary. The samples are used for ages of a
-/// second and more, of which 50 ms are a twentieth at most.
+/// Minimum interval between two samples recorded by [`PositionHistory::note_point`]. The samples
+/// are used for ages of a second and more, of which 50 ms are a twentieth at most.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Status of a server with the time of the request for it.
@@ -22,26 +22,27 @@
 pub struct Observed {
     /// Status in the answer.
     pub status: Status,
-    /// Time of the request: the status held at that time or later.
+    /// Time at which the request was sent; the server had the status at that time or later.
     pub sent: Instant,
 }
 
 /// History of the primary's positions.
 #[derive(Clone, Debug, Default)]
 pub struct PositionHistory {
-    /// Points of the primary, each with a time before which no write beyond it was
-    /// acknowledged. Neither decreases.
+    /// Points of the primary, each with a time before which no write beyond the point was
+    /// acknowledged. Neither times nor points decrease.
     samples: VecDeque<(Instant, Point)>,
 }
 
 impl PositionHistory {
-    /// Records the primary's point if the primary provably led at that time: another server of
-    /// the group, asked no earlier, had promised no later term.
+    /// Records the primary's point if the primary provably led at `primary.sent`: another server
+    /// of the group, queried at that time or later, had promised no later term. A sample that is
+    /// not newer than the last one is ignored.
     ///
-    /// Otherwise the data of a primary that was partitioned and replaced would be considered
-    /// current for ever, since its own position no longer advances. A majority of three that
-    /// promised a later term before `primary.sent` would include one of the two servers that
-    /// answered since.
+    /// Without that proof the data of a primary that was partitioned and replaced would be
+    /// considered current for ever, since its position no longer advances. In a group of three, a
+    /// majority that promised a later term before `primary.sent` would include one of the two
+    /// servers that answered since.
     pub fn note(&mut self, primary: Observed, others: &[Observed]) {
         let status = primary.status;
         let led = status.leads()
@@ -57,11 +58,12 @@
         }
     }
 
-    /// Records the point of a primary that was queried at `sent` and is known to have led then,
-    /// by a lease or otherwise.
+    /// Records the point of a primary that was queried at `sent` and certainly led at that time,
+    /// as a lease or another proof shows.
     ///
-    /// Samples less than `SAMPLE_INTERVAL` apart are dropped. Samples from other hosts arrive
-    /// late, so a sample may belong between existing ones.
+    /// A sample is dropped if it is less than 50 ms apart from another sample of the same term or
+    /// contradicts the order of the points. Samples from other hosts arrive late, so a sample may
+    /// belong between existing samples.
     pub fn note_point(&mut self, sent: Instant, point: Point) {
         let after = self.samples.partition_point(|(at, _)| *at < sent);
         let fits_previous = after.checked_sub(1).is_none_or(|before| {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Returns the newest sample.
+    /// Returns the newest sample, as the time of the request and the point; none without samples.
     pub fn newest(&self) -> Option<(Instant, Point)> {
         self.samples.back().copied()
     }
@@ -100,8 +102,8 @@
         Some(now.saturating_duration_since(*at))
     }
 
-    /// Returns the point that data must show to be no older than `max_age`, or `None` if there
-    /// is no sample that recent.
+    /// Returns the point that a read must show so that its data is no older than `max_age`, or
+    /// `None` if there is no sample that recent.
     pub fn floor(&self, max_age: Duration, now: Instant) -> Option<Point> {
         let since = now.checked_sub(max_age)?;
         let after = self.samples.partition_point(|(at, _)| *at < since);
