--- a/components/coordination/src/silence.rs
+++ b/components/coordination/src/silence.rs
@@ -1,16 +1,16 @@
-//! How long a server has left a host's requests unanswered.
+//! Time for which the requests of a host to a server have been pending without any answer.
 
 use std::time::{Duration, Instant};
 
 /// Tracks the pending requests of one host to one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AnswerTracker {
-    /// Requests sent and not answered.
+    /// Number of pending requests.
     running: usize,
-    /// Time of the last answer while requests were pending, or of the first pending request;
-    /// none while nothing is pending.
+    /// Time of the last answer, or of the first pending request if no answer arrived since;
+    /// none while no request is pending.
     since: Option<Instant>,
-    /// Time of the last answer.
+    /// Time of the last answer; none if the server never answered.
     answered: Option<Instant>,
 }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Number of requests sent and not answered.
+    /// Number of pending requests: sent and not ended.
     pub fn running(&self) -> usize {
         self.running
     }
@@ -43,7 +43,7 @@
         self.answered.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Time for which requests have been pending without any answer; zero while none is
+    /// Time for which requests have been pending without any answer; zero while no request is
     /// pending.
     pub fn unanswered_for(&self, now: Instant) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
