--- a/components/coordination/src/homes.rs
+++ b/components/coordination/src/homes.rs
@@ -1,7 +1,8 @@
 //! Regions in which the requests of a database or a client account may run.
 //!
 //! A fleet and its servers may span several regions, and the operator binds databases or
-//! accounts to some of them. If both are bound, both bindings apply.
+//! accounts to some regions. If both the database and the account of a request are bound, both
+//! bindings apply.
 
 use std::collections::BTreeSet;
 
@@ -23,14 +24,14 @@
         self.0.is_none()
     }
 
-    /// Returns whether requests may run in the given region. An unknown region is allowed only
-    /// if there is no restriction.
+    /// Returns whether requests may run in `region`. A server without a region, `None`, is
+    /// allowed only if there is no restriction.
     pub fn allow(&self, region: Option<&ids::Region>) -> bool {
         let Some(regions) = &self.0 else { return true };
         region.is_some_and(|region| regions.contains(region))
     }
 
-    /// Returns the regions that both allow, possibly none.
+    /// Returns the regions that both bindings allow, possibly no region.
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (Some(own), Some(others)) => Self(Some(own & others)),
@@ -40,7 +41,7 @@
     }
 }
 
-/// Returns the number of databases that a server in the given region may serve.
+/// Returns the number of databases whose bindings allow a server in `region`.
 pub fn served<'a>(
     databases: impl Iterator<Item = &'a Homes>,
     region: Option<&ids::Region>,
