--- a/components/coordination/src/rendezvous.rs
+++ b/components/coordination/src/rendezvous.rs
@@ -13,6 +13,7 @@
     pub domain: &'a FailureDomain,
 }
 
+/// Returns the priority of a host for a key.
 fn weight(key: &str, host: &HostId) -> u64 {
     let mut hasher = xxh3::Xxh3::new();
     hasher.update(key.as_bytes());
@@ -21,11 +22,11 @@
     hasher.digest()
 }
 
-/// Orders the candidates for `group`, best first.
+/// Returns the candidates for `group` by descending priority.
 ///
-/// Hosts of the `near` failure domain come first. Otherwise the order depends on the names
-/// only, so that hosts with the same view agree, and the removal of a host moves only the
-/// groups that it served.
+/// Hosts of the failure domain `near` come first. Otherwise the order depends only on the ids
+/// of the group and the hosts, so that hosts with the same view agree, and the removal of a host
+/// moves only the groups served by that host.
 pub fn rank<'a>(
     group: &GroupId,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
@@ -39,7 +40,8 @@
     ranked.into_iter().map(|(_, _, host)| host).collect()
 }
 
-/// Orders the hosts for `key`, best first. The order depends on the names only.
+/// Returns the hosts by descending priority for `key`. The order depends only on `key` and the
+/// host ids.
 pub fn order<'a>(key: &str, hosts: &'a [HostId]) -> Vec<&'a HostId> {
     let mut ordered: Vec<_> = hosts.iter().map(|host| (weight(key, host), host)).collect();
     ordered.sort_by(|a, b| b.cmp(a));
