--- a/components/coordination/src/retry.rs
+++ b/components/coordination/src/retry.rs
@@ -1,6 +1,6 @@
 //! Retry budget, which keeps retries from multiplying the load during a fault.
 
-/// Budget that allows retries as a fraction of the requests.
+/// Budget that limits the retries to a fraction of the requests.
 ///
 /// At most `reserve + share * requests` retries are allowed in total, so that during a fault
 /// the load on the servers is only slightly more than the requests of the callers.
@@ -15,12 +15,12 @@
 }
 
 impl RetryBudget {
-    /// Creates a budget with a full reserve.
+    /// Creates a budget with a full reserve, which adds `share` retries per request.
     pub fn new(share: f64, reserve: f64) -> Self {
         Self { share, reserve, balance: reserve }
     }
 
-    /// Adds the share of one request.
+    /// Adds the share of one request, up to the reserve.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + self.share).min(self.reserve);
     }
@@ -36,7 +36,7 @@
 }
 
 impl Default for RetryBudget {
-    /// One retry for ten requests.
+    /// Returns a budget of one retry per ten requests, with a reserve of ten retries.
     fn default() -> Self {
         Self::new(0.1, 10.0)
     }
