--- a/components/coordination/src/clock.rs
+++ b/components/coordination/src/clock.rs
@@ -9,7 +9,7 @@
 pub trait Clock {
     /// Returns the monotonic time.
     fn now(&self) -> Instant;
-    /// Returns the time of day; for display only.
+    /// Returns the wall-clock time; for display only.
     fn wall(&self) -> SystemTime;
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Clock that advances only by [`ManualClock::advance`].
+/// Clock that advances only when [`ManualClock::advance`] is called.
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
@@ -35,12 +35,13 @@
 }
 
 impl ManualClock {
-    /// Creates a stopped clock.
+    /// Creates a clock that starts at the current monotonic time, and at the Unix epoch as its
+    /// wall-clock time.
     pub fn new() -> Self {
         Self { start: Instant::now(), elapsed: Cell::new(Duration::ZERO) }
     }
 
-    /// Advances the clock.
+    /// Advances the monotonic and the wall-clock time by `by`.
     pub fn advance(&self, by: Duration) {
         self.elapsed.set(self.elapsed.get() + by);
     }
