--- a/components/coordination/src/lib.rs
+++ b/components/coordination/src/lib.rs
@@ -1,8 +1,8 @@
 //! Building blocks for the coordination of hosts without a consensus group of their own.
 //!
-//! Every block is a plain structure or function. It takes the time and random numbers as
-//! arguments, does no input or output and does not depend on a runtime, so that a daemon, a
-//! test or another program can use it.
+//! Every block is a plain structure or function that takes the time and random numbers as
+//! arguments, performs no input or output and does not depend on a runtime. A daemon, a test or
+//! another program can use each block by itself.
 //!
 //! A busy server shared by two accounts:
 //!
