--- a/components/coordination/src/ages.rs
+++ b/components/coordination/src/ages.rs
@@ -52,7 +52,7 @@
         let newer = self
             .samples
             .back()
-            .is_none_or(|(at, point)| primary.sent > *at && status.applied >= *point);
+            .is_none_or(|(time, point)| primary.sent > *time && status.applied >= *point);
         if led && newer {
             self.push(primary.sent, status.applied);
         }
@@ -65,14 +65,14 @@
     /// contradicts the order of the points. Samples from other hosts arrive late, so a sample may
     /// belong between existing samples.
     pub fn note_point(&mut self, sent: Instant, point: Point) {
-        let after = self.samples.partition_point(|(at, _)| *at < sent);
+        let after = self.samples.partition_point(|(time, _)| *time < sent);
         let fits_previous = after.checked_sub(1).is_none_or(|before| {
-            let (at, last) = self.samples[before];
-            let distinct = sent >= at + SAMPLE_INTERVAL || point.term > last.term;
+            let (time, last) = self.samples[before];
+            let distinct = sent >= time + SAMPLE_INTERVAL || point.term > last.term;
             distinct && point >= last
         });
-        let fits_next = self.samples.get(after).is_none_or(|(at, next)| {
-            let distinct = *at >= sent + SAMPLE_INTERVAL || next.term > point.term;
+        let fits_next = self.samples.get(after).is_none_or(|(time, next)| {
+            let distinct = *time >= sent + SAMPLE_INTERVAL || next.term > point.term;
             distinct && point <= *next
         });
         if fits_previous && fits_next && self.samples.len() < MAX_SAMPLES {
@@ -88,25 +88,25 @@
         self.samples.back().copied()
     }
 
-    fn push(&mut self, at: Instant, point: Point) {
+    fn push(&mut self, time: Instant, point: Point) {
         if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
-        self.samples.push_back((at, point));
+        self.samples.push_back((time, point));
     }
 
     /// Returns the maximum age of data that shows `applied`, or `None` if no sample bounds it.
     pub fn age(&self, applied: Point, now: Instant) -> Option<Duration> {
         let covered = self.samples.partition_point(|(_, point)| applied.covers(*point));
-        let (at, _) = self.samples.get(covered.checked_sub(1)?)?;
-        Some(now.saturating_duration_since(*at))
+        let (time, _) = self.samples.get(covered.checked_sub(1)?)?;
+        Some(now.saturating_duration_since(*time))
     }
 
     /// Returns the point that a read must show so that its data is no older than `max_age`, or
     /// `None` if there is no sample that recent.
     pub fn floor(&self, max_age: Duration, now: Instant) -> Option<Point> {
         let since = now.checked_sub(max_age)?;
-        let after = self.samples.partition_point(|(at, _)| *at < since);
+        let after = self.samples.partition_point(|(time, _)| *time < since);
         self.samples.get(after).map(|(_, point)| *point)
     }
 }
--- a/components/coordination/src/leadership.rs
+++ b/components/coordination/src/leadership.rs
@@ -322,9 +322,12 @@
             && self.elapsed(now, observation.last_seen) <= self.silence_timeout
     }
 
-    /// Returns the time since `at`, or since the observer's last pause if that is shorter.
-    fn elapsed(&self, now: Instant, at: Option<Instant>) -> Duration {
-        now.saturating_duration_since(at.map_or(self.active_since, |at| at.max(self.active_since)))
+    /// Returns the time elapsed from `since`, or from the end of the observer's last pause if that
+    /// is later or `since` is none.
+    fn elapsed(&self, now: Instant, since: Option<Instant>) -> Duration {
+        now.saturating_duration_since(
+            since.map_or(self.active_since, |since| since.max(self.active_since)),
+        )
     }
 }
 
--- a/components/coordination/src/offsets.rs
+++ b/components/coordination/src/offsets.rs
@@ -11,11 +11,11 @@
 /// Maximum drift between two steady clocks over the few seconds for which offsets are used.
 const MAX_DRIFT: Duration = Duration::from_millis(2);
 
-/// Returns the milliseconds from `base` to `at`, rounded down and less [`MAX_DRIFT`]; negative if
-/// `at` is earlier.
-pub fn offset_ms(at: Instant, base: Instant) -> i64 {
-    let after = at.saturating_duration_since(base).as_millis() as i64;
-    let before = base.saturating_duration_since(at) + MAX_DRIFT;
+/// Returns the milliseconds from `base` to `time`, less the maximum clock drift of 2 ms and
+/// rounded down; negative if `time` is earlier.
+pub fn offset_ms(time: Instant, base: Instant) -> i64 {
+    let after = time.saturating_duration_since(base).as_millis() as i64;
+    let before = base.saturating_duration_since(time) + MAX_DRIFT;
     after - before.as_micros().div_ceil(1000) as i64
 }
 
