--- a/components/coordination/src/choice.rs
+++ b/components/coordination/src/choice.rs
@@ -10,7 +10,7 @@
 use crate::{Point, silence};
 
 /// Number of answers over which the mean response time is smoothed: each answer moves the mean
-/// by this fraction, 1/8, of its difference from the mean.
+/// by one eighth of the difference between them.
 const MEAN_SAMPLES: f64 = 8.0;
 
 /// Response time assumed before the first answer: that of a typical read.
