--- a/components/coordination/src/demand.rs
+++ b/components/coordination/src/demand.rs
@@ -1,10 +1,10 @@
 //! Rate limits of accounts over all hosts, based on the demand that hosts report to each
 //! other.
 //!
-//! Handles a load balancer that spreads callers unevenly over the hosts, accounts of which
-//! a few are large, and an account that sends several times its rate, all while hosts fail
-//! and return. With fixed parts, callers would be refused at the host where most of them
-//! are connected while other hosts have unused tokens.
+//! Handles load balancers that spread callers unevenly over the hosts, a few large accounts
+//! among many small ones, and accounts that send several times their rate, all while hosts
+//! fail and return. With a fixed part of the rate at each host, callers would be refused at
+//! the host where most of them are connected while other hosts have unused tokens.
 //!
 //! Each host keeps a replica of the account's single token bucket. It fills at the full
 //! rate and is drained by what all hosts *reported* as admitted, this host included. All
@@ -12,11 +12,12 @@
 //! Until the next reports each host may admit its *weight* of the remaining tokens: three
 //! quarters of the weight follow the reported demand, with the unrequested part of the rate
 //! divided equally, and one quarter is equal. All hosts together admit no more than the
-//! remaining tokens.
+//! remaining tokens plus a fraction of the slack. In a fleet with hubs, a weight
+//! belongs to a *participant*, see the module `reports`, and is divided between its hosts.
 //!
 //! A host that has just started uses equal weights until the others have reported, and
-//! takes over their bucket level. When all hosts fail, the level is lost. A bucket then
-//! starts with a part of the tolerance that hosts do not use otherwise: requests admitted
+//! adopts the bucket levels in their reports. When all hosts fail, the level is lost. A
+//! bucket then starts with a part of the tolerance that is otherwise unused: requests admitted
 //! before and after the restart together stay within the limit over any window, however
 //! short the outage, and accounts within their rate are served again immediately.
 //!
@@ -51,8 +52,8 @@
 /// the minimum part.
 pub const ISOLATION_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Demand in requests per second below which an account is left out of reports: almost all
-/// of it has decayed.
+/// Demand in requests per second up to which an account is left out of reports: almost all
+/// of the demand has decayed.
 const MIN_REPORTED_RATE: f64 = 0.05;
 
 /// Fraction of the slack that hosts may admit beyond their weight of the remaining tokens,
@@ -60,7 +61,8 @@
 /// account, a weight is less than the three or four requests that arrive together.
 const SLACK_FRACTION: f64 = 0.25;
 
-/// Maximum retry delay given to callers: demand may have shifted by then.
+/// Maximum retry delay given to callers: after it, a shift of demand may have changed the
+/// host's weight.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Decision on one request.
@@ -73,7 +75,7 @@
     /// Part of the rate shared by the hosts that this host can reach, itself included, from
     /// 0 to 1.
     pub side: f64,
-    /// Tokens that remained for all of these hosts.
+    /// Tokens that remained for these hosts before the decision, according to all reports.
     pub level: f64,
     /// Time until a token is expected to be available.
     pub retry: Duration,
@@ -91,8 +93,9 @@
     share: f64,
 }
 
-/// Returns a host's fraction of its participant's weight; up to `others` more hosts admit
-/// requests for the same participant.
+/// Returns a host's fraction, from 0 to 1, of its participant's weight. `own_rate` is the
+/// demand at the host and `requested` the demand at all hosts of the participant, both in
+/// requests per second; `others` is the number of its other hosts that may admit requests.
 fn share(own_rate: f64, requested: f64, others: usize) -> f64 {
     let equal = 1.0 / (others + 1) as f64;
     let by_demand = if requested > 0.0 { own_rate / requested } else { equal };
@@ -106,7 +109,7 @@
     /// Identifies this process among successive ones of the host.
     run: u64,
     /// Sequence number of the last snapshot.
-    no: u64,
+    sequence: u64,
     /// Participant that this host belongs to, with the reports of its other hosts.
     own: (Option<HostId>, Participant),
     /// Other participants.
@@ -121,7 +124,7 @@
         Self {
             tolerance,
             run,
-            no: 0,
+            sequence: 0,
             own: (None, Participant::new(now)),
             participants: BTreeMap::new(),
             ledgers: HashMap::new(),
@@ -129,7 +132,8 @@
     }
 
     /// Adds an account that was created while this host runs: its bucket starts full, less
-    /// the admissions that other hosts have already reported.
+    /// the admissions that other hosts have already reported. For an account that is already
+    /// present, only sets the contract.
     ///
     /// Guards against refusals in the first second of a new account whose callers already
     /// send at their full rate.
@@ -148,7 +152,8 @@
         }
     }
 
-    /// Sets the participant that this host belongs to and the other participants.
+    /// Sets the participant that this host belongs to and the other participants. Keeps the
+    /// reports of participants that are unchanged.
     pub fn set_participants(
         &mut self,
         own: &HostId,
@@ -159,11 +164,11 @@
             self.own = (Some(own.clone()), Participant::new(now));
         }
         let mut old = std::mem::take(&mut self.participants);
-        let known = |id: HostId| {
+        let keep_or_add = |id: HostId| {
             let participant = old.remove(&id).unwrap_or_else(|| Participant::new(now));
             (id, participant)
         };
-        self.participants = others.into_iter().map(known).collect();
+        self.participants = others.into_iter().map(keep_or_add).collect();
     }
 
     /// Sets an account's contract. A new bucket starts without its burst; otherwise hosts
@@ -211,7 +216,7 @@
     /// Takes a snapshot of this host's admissions and demand for the reports that are sent
     /// to all other hosts now, and charges the admissions to the buckets.
     pub fn publish(&mut self, now: Instant) {
-        self.no += 1;
+        self.sequence += 1;
         let accounts: Vec<_> = self.ledgers.keys().cloned().collect();
         for account in accounts {
             let part = self.part(&account, now);
@@ -223,7 +228,8 @@
         }
     }
 
-    /// Returns the report of the last snapshot.
+    /// Returns the report of the last snapshot. Omits bucket levels while this host lacks
+    /// reports of other participants.
     pub fn report(&self, now: Instant) -> Report {
         let new = self.is_new(now);
         let active = self.ledgers.iter().filter(|(_, ledger)| ledger.reported > MIN_REPORTED_RATE);
@@ -233,7 +239,7 @@
             admitted: ledger.admitted_reported,
             level: (!new).then_some(ledger.level as f32),
         });
-        Report { run: self.run, no: self.no, figures: figures.collect() }
+        Report { run: self.run, no: self.sequence, figures: figures.collect() }
     }
 
     /// Returns whether another participant that may be running has not reported since it
@@ -243,9 +249,9 @@
         self.participants.values().any(pending)
     }
 
-    /// Returns the part of every rate shared by the participants heard from within
-    /// `timeout`, this host's own included. The sum over all sides of a network partition
-    /// is at most 1.
+    /// Returns the part of every rate, from 0 to 1, shared by this host's participant and
+    /// the participants whose last report arrived less than `timeout` ago. The sum over all
+    /// sides of a network partition is at most 1.
     fn pool(&self, timeout: Duration, now: Instant) -> f64 {
         let count = (self.participants.len() + 1) as f64;
         let silences = self
@@ -266,9 +272,9 @@
         let ledger = self.ledgers.get(account);
         let (own_rate, contract_rate) =
             ledger.map_or((0.0, 0.0), |ledger| (ledger.reported, ledger.rate.0));
-        let peers = self.own.1.rates(account, now);
+        let peer_rates = self.own.1.rates(account, now);
         let (others, participant_rate) =
-            peers.fold((0, own_rate), |(n, sum), rate| (n + 1, sum + rate));
+            peer_rates.fold((0, own_rate), |(n, sum), rate| (n + 1, sum + rate));
         let present = self
             .participants
             .values()
@@ -299,7 +305,8 @@
         }
     }
 
-    /// Decides on a request of the account; takes a token if it is admitted.
+    /// Decides on a request of the account; counts an admitted request against this host's
+    /// weight.
     pub fn take(&mut self, account: &AccountId, rate: Rate, burst: Burst, now: Instant) -> Ruling {
         self.set_contract(account, rate, burst, now);
         let part = self.part(account, now);
