--- a/components/coordination/src/reports.rs
+++ b/components/coordination/src/reports.rs
@@ -22,12 +22,12 @@
 /// fallen back to the minimum part.
 pub const LOST_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// Time after which the counts of a host without reports are dropped. If the host reports
-/// again later, it is charged for its recent demand.
+/// Time after which the counts of a host without reports may be dropped. If the host reports
+/// again later, each account is charged for at most its recent demand there.
 const COUNTS_TTL: Duration = Duration::from_secs(60);
 
 /// Entry of one account in a report. Reports are sent several times per second with
-/// hundreds of entries, so they are serialized as [`Packed`].
+/// hundreds of entries, so each entry is serialized as [`Packed`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(from = "Packed", into = "Packed")]
 pub struct AccountReport {
@@ -38,7 +38,7 @@
     /// Requests admitted since the process started.
     pub admitted: u64,
     /// Tokens in the account's bucket as computed by the process; `None` while the process
-    /// is new.
+    /// lacks reports of other participants.
     pub level: Option<f32>,
 }
 
@@ -77,20 +77,20 @@
     pub figures: Vec<AccountReport>,
 }
 
-/// Classification of a report's sender by the time since its last report.
+/// Classification of a process or participant by the time since its last report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Liveness {
     /// Reports arrive in time.
     Live,
-    /// The sender may still be using its weight of the remaining tokens.
+    /// The process or participant may still be using its weight of the remaining tokens.
     Suspect,
-    /// The sender is dead, or has detected by now that it is cut off.
+    /// The process or participant has ended, or has detected by now that it is isolated.
     Lost,
 }
 
 impl Liveness {
-    fn since(at: Instant, now: Instant) -> Self {
-        match now.saturating_duration_since(at) {
+    fn since(last_contact: Instant, now: Instant) -> Self {
+        match now.saturating_duration_since(last_contact) {
             silence if silence < SUSPECT_TIMEOUT => Self::Live,
             silence if silence < LOST_TIMEOUT => Self::Suspect,
             _ => Self::Lost,
@@ -103,7 +103,8 @@
 struct Reporter {
     /// Process that reports for the host, and the sequence number of its last report.
     last_report: (u64, u64),
-    /// Process that reported before that one; its reports are out of date.
+    /// Preceding process of the host, whose reports are out of date; `None` if only one
+    /// process has reported.
     previous_run: Option<u64>,
     /// Demand in requests per second; empty while the host admits no requests for its
     /// participant.
@@ -127,8 +128,9 @@
         }
     }
 
-    /// Returns whether a report is older than the last one from the host. Links that were
-    /// cut deliver old reports after newer ones.
+    /// Returns whether a report is not newer than the last one of its process, or is from
+    /// the preceding process. Links that were interrupted deliver old reports after newer
+    /// ones.
     fn is_outdated(&self, report: &Report) -> bool {
         let (run, no) = self.last_report;
         if run == report.run { report.no <= no } else { self.previous_run == Some(report.run) }
@@ -142,8 +144,9 @@
         self.last_report = (report.run, report.no);
     }
 
-    /// Applies the entries of a report and returns, for each of them, the number of
-    /// requests admitted since the previous report.
+    /// Applies the entries of a report and returns, for each entry, the number of requests
+    /// admitted since the previous report; if there is none or the host was lost, at most
+    /// the recent demand.
     fn count(&mut self, figures: &[AccountReport], now: Instant) -> Vec<u64> {
         let lost = Liveness::since(self.last_contact, now) == Liveness::Lost;
         self.last_contact = now;
@@ -188,15 +191,16 @@
         Liveness::since(self.last_contact, now)
     }
 
-    /// Applies a report; returns, for each of its entries, the number of requests admitted
-    /// since the host's previous report, or `None` if the report is out of date.
+    /// Applies a report; returns, for each entry, the number of requests admitted since the
+    /// host's previous report, or `None` if the report is out of date. Without a recent
+    /// previous report, the number is at most the recent demand.
     pub fn receive(&mut self, from: &HostId, report: &Report, now: Instant) -> Option<Vec<u64>> {
         let silence = |reporter: &Reporter| now.saturating_duration_since(reporter.last_contact);
         self.reporters.retain(|host, reporter| host == from || silence(reporter) < COUNTS_TTL);
-        let known = self.reporters.contains_key(from);
+        let has_reported = self.reporters.contains_key(from);
         let reporter =
             self.reporters.entry(from.clone()).or_insert_with(|| Reporter::new(report, now));
-        if known && reporter.is_outdated(report) {
+        if has_reported && reporter.is_outdated(report) {
             return None;
         }
         reporter.advance(report);
@@ -204,21 +208,23 @@
         Some(reporter.count(&report.figures, now))
     }
 
-    /// Records that a host of the participant currently admits no requests. Its counts
-    /// stay.
+    /// Records that a host of the participant currently admits no requests. The host's
+    /// counts stay.
     pub fn mark_idle(&mut self, host: &HostId) {
         if let Some(reporter) = self.reporters.get_mut(host) {
             reporter.rates.clear();
         }
     }
 
-    /// Returns the account's requests admitted by the participant, as far as reported.
+    /// Returns the number of the account's requests that the participant's processes have
+    /// reported as admitted since each of them started.
     pub fn admitted(&self, account: &AccountId) -> u64 {
         self.reporters.values().filter_map(|reporter| reporter.admitted.get(account)).sum()
     }
 
     /// Returns the account's demand in requests per second, summed over the processes that
-    /// report in time; without any, the demand of the one that reported last.
+    /// report in time; if there are none, the demand at the process that reported last, and
+    /// 0 before the first report.
     pub fn rate(&self, account: &AccountId, now: Instant) -> f64 {
         let rate = |reporter: &Reporter| reporter.rates.get(account).copied().unwrap_or_default();
         let live =
