--- a/components/coordination/src/ledger.rs
+++ b/components/coordination/src/ledger.rs
@@ -8,30 +8,31 @@
 pub const DEMAND_DECAY: Duration = Duration::from_millis(2000);
 
 /// Fraction of the tolerance that hosts use deliberately. The rest covers admissions of
-/// a host that died before reporting them, and differing clocks.
+/// a host that failed before it reported them, and differing clocks.
 const TOLERANCE_USED: f64 = 0.5;
 
-/// Fraction of the rest with which a bucket starts when its host starts. The sum of 0.6 and
-/// the admissions that hosts have not reported yet stays below 1.
+/// Initial level of a bucket when its host starts, as a fraction of the tolerance that hosts
+/// do not use deliberately. The sum of 0.6 and the admissions that hosts have not reported
+/// yet, in the same unit, stays below 1.
 const INITIAL_FRACTION: f64 = 0.6;
 
-/// How far a rate may be exceeded over the whole fleet.
+/// Maximum excess over an account's rate and burst, over the whole fleet.
 ///
-/// Hosts use part of it deliberately: with the bare rate, a host refuses requests that a
-/// single bucket for all hosts would have admitted, whenever requests arrive at the hosts
-/// in another rhythm than their tokens accrue.
+/// Hosts use part of the tolerance deliberately: with the bare rate, a host refuses requests
+/// that a single bucket for all hosts would have admitted, whenever requests arrive at the
+/// hosts unevenly while their tokens accrue evenly.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tolerance {
-    /// As a fraction of the rate and the burst.
+    /// Relative excess, as a fraction of the rate and the burst.
     pub overage: f64,
-    /// In requests per window.
+    /// Absolute excess, in requests per window.
     pub slack: f64,
-    /// Window over which the excess is counted.
+    /// Window over which the excess is measured.
     pub window: Duration,
 }
 
 impl Tolerance {
-    /// Returns the initial level of a bucket whose previous level is unknown.
+    /// Returns the initial level, in tokens, of a bucket whose previous level is unknown.
     pub fn start(&self, rate: Rate, burst: Burst) -> f64 {
         let overage_tokens = self.overage * (rate.0 * self.window.as_secs_f64() + burst.0);
         INITIAL_FRACTION * (1.0 - TOLERANCE_USED) * (overage_tokens + self.slack)
@@ -76,7 +77,8 @@
     /// Number of admitted requests that were reported to the other hosts; at most
     /// `admitted`.
     pub admitted_reported: u64,
-    /// Tokens remaining for this side of the fleet, according to all reports.
+    /// Tokens remaining for this side of the fleet, which is this host and the hosts in
+    /// contact with it, according to all reports. May be negative.
     pub level: f64,
     /// Time up to which `level` has been filled.
     pub updated: Instant,
@@ -106,13 +108,13 @@
         (self.rate.0 * self.side * factor).max(f64::MIN_POSITIVE)
     }
 
-    /// Returns the maximum level of this side.
+    /// Returns the maximum level of this side in tokens.
     pub fn max_level(&self, tolerance: &Tolerance) -> f64 {
         (self.burst.0 + TOLERANCE_USED * tolerance.slack) * self.side
     }
 
-    /// Fills the bucket up to `now`. When `side` shrinks, leaves their part of the level to
-    /// the hosts that are no longer reachable.
+    /// Fills the bucket up to `now`. When `side` shrinks, reduces the level in proportion:
+    /// the rest is left to the hosts that are no longer reachable.
     pub fn fill(&mut self, tolerance: &Tolerance, side: f64, now: Instant) {
         if side < self.side {
             self.level *= side / self.side;
@@ -124,9 +126,10 @@
         self.updated = now;
     }
 
-    /// Removes tokens for admitted requests. The level has a lower bound of minus one
-    /// burst, so admissions beyond it, reported by a host that reconnects, count against
-    /// the account for no longer than it takes to fill the bucket once.
+    /// Removes tokens for admitted requests. The level has a lower bound of minus one burst
+    /// (of at least one token). Excess admissions, reported by a host that reconnects,
+    /// therefore count against the account for no longer than the bucket takes to fill by one
+    /// burst.
     pub fn spend(&mut self, tokens: f64) {
         self.level = (self.level - tokens).max(-self.burst.0.max(1.0));
     }
