--- a/components/coordination/src/bucket.rs
+++ b/components/coordination/src/bucket.rs
@@ -154,7 +154,7 @@
 
     /// Starts a loan request to `lender`; returns the id of the loan, and the ids of ended
     /// loans of that lender.
-    pub fn ask(&mut self, lender: &HostId, now: Instant) -> (LoanId, Vec<LoanId>) {
+    pub fn request_loan(&mut self, lender: &HostId, now: Instant) -> (LoanId, Vec<LoanId>) {
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
         self.pending.insert(id, LoanRequest { lender: lender.clone(), sent: now });
--- a/components/coordination/src/gate.rs
+++ b/components/coordination/src/gate.rs
@@ -144,7 +144,7 @@
 
     /// Admits a statement of an open transaction regardless of the limit: the transaction
     /// holds a connection, and possibly locks, until it ends.
-    pub fn go_on(&mut self) {
+    pub fn force(&mut self) {
         self.running += 1;
     }
 
--- a/components/coordination/tests/gate.rs
+++ b/components/coordination/tests/gate.rs
@@ -149,7 +149,7 @@
     gate.set_bounds(4, 23);
     for n in 0..400_u32 {
         while gate.running() < gate.limit() {
-            gate.go_on();
+            gate.force();
         }
         gate.end(Some(Duration::from_millis(20 + u64::from(n))));
     }
--- a/components/coordination/tests/limits.rs
+++ b/components/coordination/tests/limits.rs
@@ -248,7 +248,7 @@
         let typical = newest.typical(&account());
         let chosen = host.lenders.choose(lenders.cloned(), typical, want, now);
         for (lender, tokens) in chosen {
-            let (id, ended) = self.hosts[i].bucket.ask(&lender, now);
+            let (id, ended) = self.hosts[i].bucket.request_loan(&lender, now);
             let to = self.names.iter().position(|name| *name == lender).unwrap();
             self.send_with_faults(i, to, || Body::LoanRequest { id, tokens, ended: ended.clone() });
         }
--- a/components/fleet/src/limits.rs
+++ b/components/fleet/src/limits.rs
@@ -127,7 +127,7 @@
     }
 
     async fn borrow_from(&self, id: &AccountId, account: &Account, host: HostId, tokens: f64) {
-        let (no, over) = account.bucket.borrow_mut().ask(&host, self.clock.now());
+        let (no, over) = account.bucket.borrow_mut().request_loan(&host, self.clock.now());
         let lend = Lend { account: id.clone(), loan: no, tokens, settled: over };
         let answer = match self.mesh.link(&host) {
             Some(link) => link.query(Question::Lend(lend), LEND_TIMEOUT).await.ok(),
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -227,7 +227,7 @@
             }
             monoio::time::sleep(wait).await;
         }
-        self.gate.borrow_mut().go_on();
+        self.gate.borrow_mut().force();
         Ok(Permit { pool: self.clone(), latency: Cell::default() })
     }
 
