--- a/components/coordination/src/fair.rs
+++ b/components/coordination/src/fair.rs
@@ -14,7 +14,7 @@
 /// Minimum time charged for a request, so that no request is free.
 const MIN_COST: Duration = Duration::from_micros(50);
 
-/// Smoothing of the mean slot time: inverse of the weight of each new measurement.
+/// Smoothing of the mean slot time: inverse of the weight of each new slot time.
 const MEAN_SAMPLES: f64 = 32.0;
 
 /// A request that waits for a slot.
@@ -51,8 +51,9 @@
 pub struct FairQueue<T> {
     /// Maximum number of requests that run at the same time.
     slots: usize,
+    /// Requests that hold a slot; may exceed `slots` by forced requests.
     running: usize,
-    /// Largest start tag granted so far; never decreases.
+    /// Largest start tag granted so far, in seconds; never decreases.
     virtual_time: f64,
     flows: BTreeMap<AccountId, Flow<T>>,
     /// Exponential moving mean of the time that a request holds its slot, in seconds.
@@ -103,7 +104,7 @@
         self.flows.values().all(|flow| flow.waiting.is_empty())
     }
 
-    /// Returns the number of requests that hold a slot, forced ones included.
+    /// Returns the number of requests that hold a slot, forced requests included.
     pub fn running(&self) -> usize {
         self.running
     }
@@ -113,7 +114,8 @@
         Duration::from_secs_f64(self.mean)
     }
 
-    /// Estimates how long a new request of the account would wait.
+    /// Estimates the wait of a new request for a slot; zero if a slot is free and the queue is
+    /// empty. An urgent request precedes the account's queue.
     ///
     /// Slots are shared by weight among the accounts with waiting requests, so the
     /// account's own queue drains at its share of the throughput of all slots.
@@ -137,8 +139,8 @@
         Duration::from_secs_f64((ahead + 1) as f64 / (throughput * share))
     }
 
-    /// Queues a request, or rejects it with a retry delay if it could not be done before
-    /// its deadline.
+    /// Queues a request, or returns its item with a retry delay if the request could not be
+    /// done before its deadline.
     ///
     /// Guards against serving requests after their callers have timed out: without this
     /// bound the queue of a saturated server grows until no request is served in time.
@@ -171,14 +173,14 @@
         Ok(())
     }
 
-    /// Grants a slot to the next request, if a slot is free.
+    /// Grants a slot to the next request; `None` if no slot is free or no request waits.
     pub fn pop(&mut self) -> Option<Granted<T>> {
         if self.running >= self.slots {
             return None;
         }
-        let busy = self.flows.iter().filter(|(_, flow)| !flow.waiting.is_empty());
+        let backlogged = self.flows.iter().filter(|(_, flow)| !flow.waiting.is_empty());
         let (account, _) =
-            busy.min_by(|a, b| a.1.start_tag.total_cmp(&b.1.start_tag).then(a.0.cmp(b.0)))?;
+            backlogged.min_by(|a, b| a.1.start_tag.total_cmp(&b.1.start_tag).then(a.0.cmp(b.0)))?;
         let account = account.clone();
         let cost = self.mean().max(MIN_COST);
         let flow = self.flows.get_mut(&account)?;
@@ -204,7 +206,7 @@
     }
 
     /// Takes a slot, even above the limit, for a transaction that is already open; returns
-    /// the cost charged.
+    /// the cost, which is not charged to an account without recent requests in the queue.
     ///
     /// The transaction may hold locks that all running requests wait for. If it waited for
     /// a slot, both would block each other until their deadlines. A slot above the limit
@@ -218,7 +220,7 @@
         cost
     }
 
-    /// Releases a slot whose request was no longer wanted, and refunds its cost.
+    /// Releases a slot that its request did not use, and refunds the cost.
     pub fn release_unused(&mut self, account: &AccountId, cost: Duration) {
         self.running = self.running.saturating_sub(1);
         if let Some(flow) = self.flows.get_mut(account) {
@@ -236,13 +238,13 @@
     /// with its retry delay.
     ///
     /// When a server slows down, the estimates made in [`push`](Self::push) no longer hold;
-    /// affected requests are rejected now instead of at their deadlines.
+    /// affected requests are rejected early instead of at their deadlines.
     pub fn shed(&mut self, now: Instant) -> Vec<(Infeasible, T)> {
         let total: f64 =
             self.flows.values().filter(|f| !f.waiting.is_empty()).map(|f| f.weight).sum();
         let throughput = self.slots as f64 / self.mean.max(MIN_COST.as_secs_f64());
         let mean = self.mean();
-        let mut out = Vec::new();
+        let mut rejected = Vec::new();
         for flow in self.flows.values_mut() {
             let throughput = throughput * flow.weight / total.max(flow.weight);
             let mut kept = VecDeque::with_capacity(flow.waiting.len());
@@ -251,13 +253,13 @@
                 let remaining = waiting.deadline.saturating_duration_since(now);
                 if wait >= remaining {
                     let retry = (wait + mean).saturating_sub(remaining).max(mean);
-                    out.push((Infeasible { retry }, waiting.item));
+                    rejected.push((Infeasible { retry }, waiting.item));
                 } else {
                     kept.push_back(waiting);
                 }
             }
             flow.waiting = kept;
         }
-        out
+        rejected
     }
 }
