--- a/components/coordination/src/gate.rs
+++ b/components/coordination/src/gate.rs
@@ -2,15 +2,15 @@
 //! queue.
 //!
 //! Guards against overload of a leader that serves all reads of its group because its
-//! replicas are seconds behind, so that the load exceeds its slots. A server runs
-//! statements first come, first served. With all connections of all hosts in that queue,
+//! replicas are seconds behind, so that the load exceeds the leader's slots. A server runs
+//! statements in order of arrival. With all connections of all hosts in the server's queue,
 //! each answer would take ten times its execution time and all answers would be late. The
 //! queue is therefore kept at the hosts: each host limits its statements in flight to the
 //! number that the server answers without long queueing, sends queued statements by
 //! priority and then by earliest queue deadline, and refuses statements at once whose wait
 //! would exceed their queue timeout. In order of arrival, long reads with long queue
-//! timeouts would take the slots of short reads with short ones, and the short reads would
-//! be refused.
+//! timeouts would take the slots of short reads with short queue timeouts, and the short
+//! reads would be refused.
 
 use std::{
     collections::BTreeSet,
@@ -24,7 +24,7 @@
 const MEAN_SAMPLES: f64 = 12.0;
 
 /// Smoothing of the baseline while the mean is above it: inverse of the weight of each new
-/// answer. The baseline follows servers that have become permanently slower, but not
+/// answer. The baseline adapts to servers that have become permanently slower, but not to
 /// queues.
 const BASELINE_SAMPLES: f64 = 4000.0;
 
@@ -35,10 +35,12 @@
 /// Factor applied to the limit, at most once per round of answers, while answers are slow.
 const SHRINK_FACTOR: f64 = 0.8;
 
-/// Initial limit. If more are needed, the limit grows within a second.
+/// Initial limit. If the load requires more statements in flight, the limit grows within a
+/// second.
 const INITIAL_LIMIT: f64 = 6.0;
 
-/// Minimum limit. Several hosts with one statement each fill the slots.
+/// Minimum limit unless set by [`Gate::set_bounds`]. Several hosts with one statement each
+/// fill the slots.
 const MIN_LIMIT: f64 = 1.0;
 
 /// Sort key of a queued statement: priority (0 is the most urgent), queue deadline, arrival
@@ -52,13 +54,16 @@
     limit: f64,
     min_limit: f64,
     max_limit: f64,
+    /// Statements in flight; may exceed `limit` by statements of open transactions.
     running: usize,
+    /// Moving mean of the answer time, in seconds.
     mean: f64,
+    /// Estimated answer time without queueing at the server, in seconds.
     baseline: f64,
     waiting: BTreeSet<QueueKey>,
     next_sequence: u64,
-    /// Answers until the limit may shrink again: statements that were in flight when it
-    /// shrank still reflect the longer queue.
+    /// Number of answers until the limit may shrink again: statements that were in flight
+    /// when the limit shrank still reflect the longer queue.
     cooldown: f64,
 }
 
@@ -115,7 +120,8 @@
         self.limit.max(self.min_limit) as usize
     }
 
-    /// Estimates the wait of a new statement with this priority and queue deadline.
+    /// Estimates the wait of a new statement with this priority and queue deadline; zero if
+    /// it would be admitted at once.
     pub fn wait(&self, priority: u32, deadline: Instant) -> Duration {
         if self.running < self.limit() && self.waiting.is_empty() {
             return Duration::ZERO;
@@ -153,8 +159,8 @@
         self.waiting.remove(&key);
     }
 
-    /// Ends a statement in flight; `took` is its answer time, `None` if it was not
-    /// answered.
+    /// Ends a statement in flight and adapts the limit to its answer time `took`; `None` if
+    /// the statement was not answered, which leaves the limit unchanged.
     pub fn end(&mut self, took: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         let Some(took) = took else { return };
@@ -176,7 +182,7 @@
     }
 
     /// Drops statements whose queue deadline has passed and, if the limit allows it,
-    /// dequeues the next one, which then counts as in flight.
+    /// dequeues the next statement, which then counts as in flight.
     pub fn next(&mut self, now: Instant) -> Option<QueueKey> {
         self.waiting.retain(|(_, deadline, _)| *deadline > now);
         if self.running >= self.limit() {
