--- a/components/coordination/src/bucket.rs
+++ b/components/coordination/src/bucket.rs
@@ -36,7 +36,7 @@
     borrower: HostId,
     id: LoanId,
     tokens: f64,
-    /// Time until which the loan counts against the ceiling.
+    /// Time until which the loan counts against the lender's ceiling.
     until: Instant,
 }
 
@@ -61,16 +61,16 @@
 #[derive(Debug)]
 pub struct Bucket {
     share: Share,
-    /// Own tokens; together with `lent` at most the burst of `share`.
+    /// Own tokens; at most [`Bucket::ceiling`].
     level: f64,
     /// Time up to which `level` has been refilled.
     refilled: Instant,
-    /// Loans that may still be spent by other hosts, ordered by end time.
+    /// Loans to other hosts that count against the ceiling, ordered by end time.
     lent: VecDeque<Lent>,
     /// Loans that may be spent here, ordered by end time.
     borrowed: Vec<Borrowed>,
     pending: HashMap<LoanId, LoanRequest>,
-    /// Ended loans not yet reported to their lenders, by lender.
+    /// Loans that are no longer used here and whose end has not been reported, by lender.
     ended: HashMap<HostId, Vec<LoanId>>,
     next_id: LoanId,
     /// Demand in tokens, decaying with time constant [`DEMAND_WINDOW`].
@@ -115,23 +115,24 @@
         self.share
     }
 
-    /// Takes one token, if available. Each call counts as demand.
+    /// Takes one token and returns whether one was available. Each call counts as demand.
     pub fn take(&mut self, now: Instant) -> bool {
         self.demand = self.demand(now) + 1.0;
         self.last_demand = now;
         self.take_counted(now)
     }
 
-    /// Takes one token for a request that was already counted as demand.
+    /// Takes one token for a request that was already counted as demand, from borrowed tokens
+    /// first; returns whether one was available.
     pub fn take_counted(&mut self, now: Instant) -> bool {
         if self.tokens(now) < 1.0 {
             return false;
         }
         let mut due = 1.0;
         for loan in &mut self.borrowed {
-            let part = loan.tokens.min(due);
-            loan.tokens -= part;
-            due -= part;
+            let spent = loan.tokens.min(due);
+            loan.tokens -= spent;
+            due -= spent;
         }
         self.level -= due;
         self.end_loans(|loan| loan.tokens <= 0.0);
@@ -145,15 +146,16 @@
         self.level + self.borrowed.iter().map(|loan| loan.tokens).sum::<f64>()
     }
 
-    /// Returns the number of tokens to borrow for `waiting` requests and the demand
-    /// expected in the next [`DEMAND_WINDOW`].
+    /// Returns the number of tokens to borrow, a whole number: for `waiting` requests and the
+    /// demand above the rate expected in the next [`DEMAND_WINDOW`], less the available
+    /// tokens.
     pub fn want(&mut self, waiting: usize, now: Instant) -> f64 {
         let shortage = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
         (waiting as f64 + shortage.max(0.0) - self.tokens(now)).max(0.0).ceil()
     }
 
     /// Starts a loan request to `lender`; returns the id of the loan, and the ids of ended
-    /// loans of that lender.
+    /// loans to report to that lender.
     pub fn request_loan(&mut self, lender: &HostId, now: Instant) -> (LoanId, Vec<LoanId>) {
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
@@ -180,8 +182,8 @@
         }
     }
 
-    /// Lends up to `requested` tokens, excluding those needed here soon. Loans in `ended`
-    /// no longer count against the ceiling.
+    /// Lends up to `requested` tokens and returns their number, at most [`Bucket::spare`].
+    /// Loans in `ended` no longer count against the ceiling.
     ///
     /// Lends whole tokens only: fractions would be spread over several hosts and expire
     /// there before they add up to a whole token.
@@ -205,7 +207,8 @@
         tokens
     }
 
-    /// Returns the number of own tokens not expected to be needed here soon.
+    /// Returns the number of own tokens beyond the demand above the rate expected here in the
+    /// next [`DEMAND_WINDOW`].
     pub fn spare(&mut self, now: Instant) -> f64 {
         self.refill(now);
         let shortage = self.demand(now) - self.share.rate.0 * DEMAND_WINDOW.as_secs_f64();
@@ -221,8 +224,8 @@
     }
 
     fn demand(&self, now: Instant) -> f64 {
-        let since = now.saturating_duration_since(self.last_demand);
-        self.demand * (-since.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp()
+        let elapsed = now.saturating_duration_since(self.last_demand);
+        self.demand * (-elapsed.as_secs_f64() / DEMAND_WINDOW.as_secs_f64()).exp()
     }
 
     fn ceiling(&self) -> f64 {
@@ -240,8 +243,8 @@
     }
 
     fn grow(&mut self, until: Instant) {
-        let since = until.saturating_duration_since(self.refilled);
-        let level = self.level + self.share.rate.0 * since.as_secs_f64();
+        let elapsed = until.saturating_duration_since(self.refilled);
+        let level = self.level + self.share.rate.0 * elapsed.as_secs_f64();
         self.level = level.min(self.ceiling());
         self.refilled = self.refilled.max(until);
     }
@@ -249,11 +252,11 @@
     fn end_loans(&mut self, has_ended: impl Fn(&Borrowed) -> bool) {
         let ended = &mut self.ended;
         self.borrowed.retain(|loan| {
-            let over = has_ended(loan);
-            if over {
+            let loan_ended = has_ended(loan);
+            if loan_ended {
                 ended.entry(loan.lender.clone()).or_default().push(loan.id);
             }
-            !over
+            !loan_ended
         });
     }
 }
