--- a/components/coordination/src/shares.rs
+++ b/components/coordination/src/shares.rs
@@ -1,4 +1,5 @@
-//! Each host's part of every account's rate and burst, per configuration revision.
+//! Parts of every account's rate and burst that each host may use, per configuration
+//! revision.
 //!
 //! The parts of one revision add up to the contract. While hosts may act on different
 //! revisions, a host uses the minimum of its parts in all of them, so that the parts in use
@@ -14,9 +15,9 @@
 
 use crate::{AccountId, Burst, HostId, Rate, Revision, bucket, rendezvous};
 
-/// Minimum burst of a part, in tokens. With less, a host could never hold a whole token;
-/// accounts with a small burst therefore have fewer hosts that hold a part, and the other
-/// hosts borrow from them.
+/// Minimum burst of a part, in tokens, unless a single host holds the whole contract. With
+/// less, a host could never hold a whole token; accounts with a small burst therefore have
+/// fewer holders of a part, and the other hosts borrow from these.
 const MIN_BURST: f64 = 2.0;
 
 /// Maximum fraction by which one host's clock may run slower than another's.
@@ -53,8 +54,8 @@
 pub struct Allotment {
     /// Configuration revision.
     pub revision: Revision,
-    /// Freshness period: how long a host may act on the revision without confirming that it
-    /// is the newest.
+    /// Freshness period: maximum time for which a host may act on the revision without a new
+    /// confirmation that the revision is the newest.
     pub fresh: Duration,
     /// Hosts of the fleet, without duplicates.
     pub roster: Vec<HostId>,
@@ -72,14 +73,14 @@
         hosts
     }
 
-    /// Returns the part of each host that holds one.
+    /// Returns the part of each holder; zero if the revision does not contain the account.
     pub fn typical(&self, account: &AccountId) -> Share {
         let contract = self.contracts.get(account).copied().unwrap_or_default();
         contract.part(self.holders(account).len().max(1))
     }
 
-    /// Returns a host's part; `None` if the account is unknown, so that no host uses any of
-    /// its rate.
+    /// Returns a host's part; `None` if the revision does not contain the account, so that no
+    /// host uses any of its rate under this revision.
     fn part(&self, account: &AccountId, host: &HostId) -> Option<Share> {
         let contract = self.contracts.get(account)?;
         let holders = self.holders(account);
@@ -100,8 +101,8 @@
 #[derive(Debug)]
 pub struct Shares {
     host: HostId,
-    /// Revisions that some host may still act on, oldest first. Until the first of them has
-    /// settled there may be older revisions that this host never received.
+    /// Revisions that some host may still act on, oldest first. While `complete` is false,
+    /// there may be older revisions that this host never received.
     active: Vec<ActiveRevision>,
     /// Whether `active` contains every revision that some host may still act on.
     complete: bool,
@@ -122,8 +123,8 @@
 
     /// Puts a newer revision into force on this host.
     ///
-    /// A host that missed the preceding revision does not know the parts that other hosts
-    /// may still use under it, so it starts over like a host that has just started.
+    /// A host that missed the preceding revision lacks the parts that other hosts may still
+    /// use under that revision, so it starts over like a host that has just started.
     /// Otherwise a part that is the same before and after the gap would be used together
     /// with the larger parts of other hosts within the gap.
     pub fn advance(&mut self, allotment: Allotment) {
@@ -138,7 +139,7 @@
     /// Records that majorities acknowledged the revision, and with it all earlier ones,
     /// before `now`.
     ///
-    /// Each revision settles independently. If a later revision restarted the wait, a fleet
+    /// Each revision has its own wait. If a later revision restarted the wait, a fleet
     /// whose hosts are replaced one after another would have hosts without any part
     /// throughout, and would refuse accounts that are within their rate.
     pub fn acknowledged(&mut self, revision: Revision, now: Instant) {
@@ -153,9 +154,9 @@
         }
     }
 
-    /// Drops revisions that no host can act on any more, and returns the time since when
-    /// parts that grow may be used, if a revision has settled. The parts in use stay within
-    /// those of the oldest remaining revision, which every host acts on or has received.
+    /// Drops revisions that no host can act on any more. If a revision has settled, returns
+    /// the time from which growing parts may be used. The parts in use stay within the parts
+    /// of the oldest remaining revision, which every host acts on or has received.
     ///
     /// Guards against losing the burst at a host without recent requests: `now` may be long
     /// after the parts settled, and tokens accrue from that earlier time.
@@ -167,7 +168,8 @@
         self.active[0].settles_at.take()
     }
 
-    /// Returns the part of an account's rate that this host may use now.
+    /// Returns the part of an account's rate and burst that this host may use now; zero until
+    /// a revision has settled, except after [`Shares::begin`].
     pub fn share(&self, account: &AccountId) -> Share {
         let newest = self.newest().and_then(|newest| newest.part(account, &self.host));
         let Some(newest) = newest.filter(|_| self.complete) else { return Share::NONE };
