--- a/components/coordination/src/lenders.rs
+++ b/components/coordination/src/lenders.rs
@@ -7,8 +7,8 @@
 
 use crate::{HostId, shares::Share};
 
-/// Time for which a host's last reported number of spare tokens is used; after that, its
-/// own demand may have ended.
+/// Time for which the last reported number of a host's spare tokens is used; after that,
+/// the demand at that host may have ended.
 const SPARE_TTL: Duration = Duration::from_millis(50);
 
 /// Time for which a host that did not answer is skipped.
@@ -41,9 +41,10 @@
         self.contacts.insert(host.clone(), Contact { spare: 0.0, updated: now, answered: false });
     }
 
-    /// Selects the fewest hosts that together may have `want` tokens, those with the most
-    /// tokens first, and the number of tokens to request from each. Empty if no host is
-    /// expected to have a whole token; a request is not worthwhile then.
+    /// Selects the fewest of `hosts` that together may have `want` tokens, in descending order
+    /// of expected tokens, and the number of tokens to request from each. A host whose spare
+    /// tokens are not known is expected to have the burst of `share`. Hosts without an
+    /// expected whole token are left out, so the selection may be too small or empty.
     pub fn choose(
         &self,
         hosts: impl IntoIterator<Item = HostId>,
@@ -69,10 +70,10 @@
 
     fn estimate(&self, host: &HostId, share: Share, now: Instant) -> f64 {
         let Some(contact) = self.contacts.get(host) else { return share.burst.0 };
-        let since = now.saturating_duration_since(contact.updated);
+        let age = now.saturating_duration_since(contact.updated);
         match contact.answered {
-            false if since < RETRY_DELAY => 0.0,
-            true if since < SPARE_TTL => contact.spare + share.rate.0 * since.as_secs_f64(),
+            false if age < RETRY_DELAY => 0.0,
+            true if age < SPARE_TTL => contact.spare + share.rate.0 * age.as_secs_f64(),
             _ => share.burst.0,
         }
     }
