--- a/components/coordination/src/congestion.rs
+++ b/components/coordination/src/congestion.rs
@@ -1,12 +1,12 @@
 //! Backoff for statements whose queue is kept at another host.
 //!
-//! Guards against load of ten to a hundred times what the servers can run. The queue for a
-//! server is kept at the host that holds its connections. If every host sent the holder
-//! every statement only to have it refused, the holder's processor would be spent on
-//! refusals, and callers would wait for them. A refusal states how long the queue is, so a
-//! host can tell how long further statements would be refused as well. Many hosts compete
-//! for the slots that become free, so the delay doubles with each consecutive refusal, and
-//! shrinks again with each statement served.
+//! Guards against load of ten to a hundred times the capacity of the servers. The queue for
+//! a server is kept at its holder, the host that holds its connections. If every host sent
+//! every statement to the holder only to have it refused, the holder's processor would be
+//! occupied with refusals, and callers would wait for them. A refusal contains the expected
+//! wait, from which a host estimates how long further statements would be refused as well.
+//! Many hosts compete for the slots that become free, so the delay doubles with each refusal,
+//! and is halved again with each statement served.
 
 use std::{
     collections::BTreeMap,
@@ -17,23 +17,25 @@
 /// keeps a queue of usual length from running empty while all hosts back off.
 const BACKOFF_RANGE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(1280));
 
-/// Maximum number of doublings of the delay.
+/// Maximum number of doublings of the delay; the delay also stays within
+/// [`BACKOFF_RANGE`].
 const MAX_DOUBLINGS: u32 = 8;
 
 /// A queue that refused a statement.
 #[derive(Clone, Copy, Debug)]
 struct FullQueue {
-    /// Time until which such statements are refused.
+    /// Time until which statements with at most `queue_timeout` are refused.
     until: Instant,
-    /// Queue timeout of the refused statement.
+    /// Longest queue timeout of the refused statements.
     queue_timeout: Duration,
-    /// Refusals minus statements served.
+    /// Refusals minus statements served; at least 0.
     streak: u32,
 }
 
 /// Recent refusals of the queue for one server, by priority of the refused statement.
 #[derive(Clone, Debug, Default)]
 pub struct Backoff {
+    /// Key: priority of the refused statement; 0 is the most urgent.
     full: BTreeMap<u32, FullQueue>,
 }
 
@@ -69,7 +71,8 @@
         }
     }
 
-    /// Returns how long a statement would still be refused; `None` if it may be sent.
+    /// Returns the time for which a statement would still be refused; `None` if it may be
+    /// sent. A refusal also covers statements of less urgent priorities.
     pub fn remaining(
         &self,
         priority: u32,
