--- a/components/coordination/src/connections.rs
+++ b/components/coordination/src/connections.rs
@@ -6,7 +6,7 @@
 //! their connections are reused only if they stay open that long. The holder therefore
 //! keeps most of the connections that the server accepts, and leaves headroom for the
 //! standby that replaces it: for seconds after a host loses power, a server still counts
-//! its connections.
+//! that host's connections.
 
 use std::time::Duration;
 
@@ -19,16 +19,17 @@
 /// own connections.
 const PROBE_CONNECTIONS: usize = 3;
 
-/// Minimum number of connections that a host may open, regardless of the number of hosts:
-/// enough for the transactions and statements that arrive together at one host.
+/// Minimum number of connections that a host may open, regardless of the number of hosts, if
+/// the server accepts that many: enough for the transactions and statements that arrive
+/// together at one host.
 const MIN_CAP: usize = 4;
 
 /// Time after which an unused connection beyond `kept` is closed: longer than the usual
 /// pause between two statements of an account.
 const IDLE_TTL: Duration = Duration::from_millis(800);
 
-/// Time after which an unused connection is closed at a host without a share of the
-/// server's connections: most of them are then in use by idle transactions.
+/// Time after which an unused connection is closed at a host that may keep none: most of the
+/// server's connections are then in use by idle transactions.
 const SCARCE_IDLE_TTL: Duration = Duration::from_millis(100);
 
 /// Role of a host for the connections of a server.
@@ -48,17 +49,17 @@
 pub struct Bounds {
     /// Maximum number of open connections; at least 1.
     pub cap: usize,
-    /// Number of connections that stay open although unused; at most `cap`.
+    /// Number of connections up to which unused connections stay open; at most `cap`.
     pub kept: usize,
-    /// Number of connections opened before the first statement of their accounts; at most
-    /// `kept`.
+    /// Number of open connections up to which connections are opened before the first
+    /// statement of their accounts; at most `kept`.
     pub ahead: usize,
     /// Time after which an unused connection beyond `kept` is closed.
     pub idle_ttl: Duration,
 }
 
-/// Returns the bounds for a server that accepts `max_connections` connections and runs
-/// `slots` statements concurrently.
+/// Returns a host's bounds for a server that accepts `max_connections` connections and runs
+/// `slots` statements concurrently, in a fleet of `hosts` hosts.
 pub fn bounds(max_connections: usize, slots: usize, hosts: usize, role: Role) -> Bounds {
     let share = max_connections / hosts.max(1);
     let min_cap = MIN_CAP.min(max_connections).max(1);
@@ -85,7 +86,7 @@
     }
 }
 
-/// Current use of a server by a host.
+/// Number of connections and statements of a host at a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Usage {
     /// Connections open or being opened.
@@ -96,8 +97,10 @@
     pub waiting: usize,
 }
 
-/// Returns the account for which to open a connection before its first statement, if a slot
-/// is free: the first of `accounts` without a connection.
+/// Returns the account for which to open a connection before its first statement: the first
+/// of `accounts` without a connection. `None` if all have one, if `bounds.ahead` connections
+/// are open, if statements wait, or if the running statements leave fewer than two slots free
+/// (fewer than one at a server with a single slot).
 ///
 /// Guards against slow statements in the first seconds after a start, when every statement
 /// would have to wait for a new connection.
