--- a/components/coordination/src/idle.rs
+++ b/components/coordination/src/idle.rs
@@ -1,8 +1,8 @@
 //! Idle connections, indexed by account and by last use.
 //!
 //! Sized for thousands of accounts at one server that accepts thousands of connections.
-//! Each statement looks up a connection of its account, and each connection opened in
-//! advance looks for an account without one; neither may scan all connections.
+//! Each statement requires a look-up of a connection of its account, and each connection
+//! opened in advance a check of which accounts have none; neither may scan all connections.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -11,9 +11,9 @@
 /// Idle connections of one server.
 #[derive(Debug)]
 pub struct Connections<T> {
-    /// Connections in order of last use, the most recently used last.
+    /// Connections by a key that increases with each use; the most recently used is last.
     by_use: BTreeMap<u64, (ids::AccountId, T)>,
-    /// Keys in `by_use` of each account's connections; never an empty set.
+    /// Keys in `by_use` of each account's connections; accounts without any are absent.
     by_account: HashMap<ids::AccountId, BTreeSet<u64>>,
     next_key: u64,
 }
@@ -47,11 +47,12 @@
         self.by_account.contains_key(account)
     }
 
-    /// Removes and returns the account's connection with the lowest `cost`; among equal
-    /// ones the most recently used.
+    /// Removes and returns the account's connection with the lowest `cost`, and among
+    /// connections of equal cost the most recently used.
     pub fn take(&mut self, account: &ids::AccountId, cost: impl Fn(&T) -> usize) -> Option<T> {
         let keys = self.by_account.get(account)?.iter().rev();
-        let key = *keys.min_by_key(|key| self.by_use.get(*key).map(|(_, entry)| cost(entry)))?;
+        let key = *keys
+            .min_by_key(|key| self.by_use.get(*key).map(|(_, connection)| cost(connection)))?;
         self.remove(key)
     }
 
