--- a/components/coordination/src/pieces.rs
+++ b/components/coordination/src/pieces.rs
@@ -3,8 +3,8 @@
 //! Handles a configuration of some hundred KB that all hosts of a failure domain fetch from
 //! one of them at the same moment, over links of unknown bandwidth that also carry
 //! statements and leases. A large document in a single answer takes longer than the timeout
-//! of an answer; when it is requested again, the link fills with copies that arrive too
-//! late, so that the document never arrives and other traffic is blocked. A piece is
+//! of an answer; when it is requested again, the link is filled with copies that arrive too
+//! late, so that the transfer never succeeds and other traffic is blocked. A piece is
 //! therefore requested only after the preceding one has arrived, received pieces are kept
 //! when the link fails, and the size of pieces adapts to the link.
 
@@ -16,8 +16,8 @@
 
 use crate::{Revision, Size};
 
-/// Timeout for a piece while its link is up. When a hundred hosts request one from the same
-/// host at the same moment over 1 Mbit/s, each receives [`MIN_PIECE`] in this time; with a
+/// Timeout for a piece while its link is up. When a hundred hosts request a piece from the
+/// same host at the same moment over 1 Mbit/s, each receives [`MIN_PIECE`] in this time; with a
 /// shorter timeout, all pieces would be requested again while the first are still being
 /// sent.
 pub const PIECE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -25,8 +25,8 @@
 /// Minimum size of a piece, and the size of the first one, which probes the link.
 const MIN_PIECE: Size = Size(4 * 1024);
 
-/// Maximum size of a piece. A link of 10 Mbit/s, occupied by it for 100 ms, can still serve
-/// callers.
+/// Maximum size of a piece. A piece occupies a link of 10 Mbit/s for 100 ms, so the link can
+/// still serve callers.
 pub const MAX_PIECE: Size = Size(128 * 1024);
 
 /// Transfer time of a piece below which the size of the next one is doubled.
@@ -36,8 +36,8 @@
 /// on the link is delayed by this time.
 const SLOW_TRANSFER: Duration = Duration::from_millis(160);
 
-/// Number of documents that a host offers. Older ones are for hosts that have begun to
-/// fetch them: if a fetch started over with each version, it would never finish while
+/// Maximum number of documents that a host offers. Older documents are for hosts that have
+/// begun to fetch them: if a fetch started over with each version, it would never finish while
 /// versions arrive faster than they can be fetched.
 const MAX_DOCUMENTS: usize = 4;
 
@@ -48,7 +48,7 @@
     pub revision: Revision,
     /// Offset of the piece in bytes.
     pub from: Size,
-    /// Maximum size of the piece in bytes.
+    /// Maximum size of the piece in bytes; at most [`MAX_PIECE`] are sent.
     pub most: Size,
 }
 
@@ -82,7 +82,8 @@
 }
 
 impl Documents {
-    /// Adds the document of a revision that is newer than all others.
+    /// Adds the document of a revision that is newer than all others here; drops the oldest
+    /// beyond `MAX_DOCUMENTS`.
     pub fn add(&mut self, revision: Revision, bytes: Bytes) {
         let digest = xxh3::xxh3_64(&bytes);
         let confirmed = self.confirmed();
@@ -100,8 +101,8 @@
     }
 
     /// Returns the store time up to which no document newer than the newest one here was
-    /// accepted. The time holds for a newer document as well, so an added one starts with
-    /// it.
+    /// accepted; zero before the first confirmation. This also holds for any newer document,
+    /// so an added document starts with this time.
     pub fn confirmed(&self) -> Duration {
         self.documents.back().map(|newest| newest.confirmed).unwrap_or_default()
     }
@@ -138,7 +139,7 @@
     pub revision: Revision,
     /// Number of pieces received.
     pub pieces: u32,
-    /// Number of pieces not received.
+    /// Number of requested pieces that were not received.
     pub missed: u32,
     /// Latest store time at which a sender confirmed that the document was the newest.
     pub confirmed: Duration,
@@ -171,7 +172,7 @@
         PieceRequest { revision: self.revision, from, most: self.piece_size }
     }
 
-    /// Adds the requested piece, which was received after `took`.
+    /// Adds the requested piece, which was received `took` after the request.
     pub fn take(&mut self, piece: Piece, took: Duration) -> Progress {
         self.pieces += 1;
         self.confirmed = self.confirmed.max(piece.confirmed);
@@ -196,7 +197,8 @@
         Progress::Complete(std::mem::take(&mut self.bytes).into())
     }
 
-    /// Records that the piece was not received: the link was lost, or the timeout passed.
+    /// Records that the requested piece was not received: the link was lost, or the timeout
+    /// passed.
     pub fn miss(&mut self) {
         self.missed += 1;
         self.shrink();
