--- a/components/coordination/src/outcome.rs
+++ b/components/coordination/src/outcome.rs
@@ -1,21 +1,22 @@
 //! Outcomes of requests that run at most once.
 //!
 //! Each request with an id has a row in the outcome table of its database group, written in
-//! the request's own transaction. Every writer reads the row first, and writes it only if
-//! it is unchanged; so of several attempts, however late one of them resumes, only one
+//! the request's own transaction. Every attempt reads the row first, and writes it only if
+//! the row is unchanged; so of several attempts, however late one of them resumes, only one
 //! succeeds.
 
 use std::{fmt, str::FromStr, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-/// One attempt to run a request or to rule it out; its id is never reused.
+/// Id of one attempt to run a request, or to prevent its earlier attempts from running;
+/// never reused.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Attempt(Box<str>);
 
 impl Attempt {
-    /// Creates an attempt with a random id.
+    /// Creates an id from a random number.
     pub fn new(random: u128) -> Self {
         Self(format!("{random:032x}").into())
     }
@@ -32,7 +33,7 @@
 pub enum Row {
     /// The request ran.
     Done,
-    /// This attempt ruled out all attempts that began before it.
+    /// This attempt invalidated all attempts that read the row earlier.
     Void(Attempt),
 }
 
@@ -44,7 +45,7 @@
 impl FromStr for Row {
     type Err = RowError;
 
-    /// Parses a state and an attempt, separated by a space.
+    /// Parses a state, `done` or `void`, and an attempt, separated by a space.
     fn from_str(text: &str) -> Result<Self, RowError> {
         match text.split_once(' ') {
             Some(("done", _)) => Ok(Self::Done),
@@ -54,20 +55,22 @@
     }
 }
 
-/// How a row is written so that it conflicts with every other attempt.
+/// Write of a row that succeeds only if no other attempt has written the row since it was
+/// read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Claim {
-    /// There was no row: insert it, which fails if there is one by now.
+    /// Insert the row, since there was none; fails if there is one by now.
     Insert,
-    /// Replace the row of this attempt, which changes nothing if the row belongs to another
-    /// attempt by now.
+    /// Replace the row of this attempt; changes nothing if the row belongs to another attempt
+    /// by now.
     Replace(Attempt),
 }
 
 /// Action for a request, or for a query for its outcome.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Plan {
-    /// Write the row: as done in the request's transaction, or as void on its own.
+    /// Write the row: as done in the request's transaction, or, for a query, as void in a
+    /// transaction of its own.
     Write(Claim),
     /// The request already ran.
     Done,
@@ -95,7 +98,7 @@
     NotRun,
     /// The outcome is not known yet.
     Unknown {
-        /// Time after which to query the outcome again.
+        /// Delay before the outcome should be queried again.
         again: Duration,
     },
 }
