--- a/components/coordination/src/refusal.rs
+++ b/components/coordination/src/refusal.rs
@@ -13,7 +13,7 @@
     Overload,
     /// No server can serve the request now.
     Unavailable,
-    /// No majority of the group's servers is reachable, so no primary can be trusted.
+    /// No majority of the group's servers is reachable, so the primary cannot be confirmed.
     NoMajority,
     /// The host cannot prove that its revision is the newest.
     Stale,
@@ -90,9 +90,9 @@
     pub reason: Reason,
     /// Whether the request ran.
     pub fate: Fate,
-    /// Time after which to retry; `None` if retrying does not help.
+    /// Delay before a retry; `None` if a retry does not help.
     pub retry: Option<Duration>,
-    /// Message for people.
+    /// Human-readable message.
     pub message: Box<str>,
 }
 
