--- a/components/coordination/src/token.rs
+++ b/components/coordination/src/token.rs
@@ -1,6 +1,6 @@
-//! Session token: the positions that a session has seen, carried by the caller.
+//! Session token: the log positions that a session has seen, carried by the caller.
 //!
-//! Hosts share no session state, so a session may move to any host.
+//! Hosts share no session state, so a session can continue at any host.
 
 use std::collections::BTreeMap;
 
@@ -13,6 +13,7 @@
 /// Maximum number of groups in a token.
 pub const MAX_GROUPS: usize = 64;
 
+/// Length of a token's signature, a truncated keyed hash, in bytes.
 const TAG_LEN: usize = 16;
 
 /// Reason why a token is rejected.
@@ -48,7 +49,8 @@
     }
 
     fn mac(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).expect("a key of any length");
+        let mut mac =
+            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC accepts keys of any length");
         for part in parts {
             mac.update(&(part.len() as u64).to_be_bytes());
             mac.update(part);
@@ -63,14 +65,15 @@
     }
 }
 
-/// Points of the log that a session has seen, one per group.
+/// Last point that a session has seen in the log of each group.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SessionToken {
     points: BTreeMap<GroupId, Point>,
 }
 
 impl SessionToken {
-    /// Returns the session's required position in `group`.
+    /// Returns the session's required position in `group`; `None` if the session has seen no
+    /// point of the group.
     pub fn floor(&self, group: &GroupId) -> Option<Point> {
         self.points.get(group).copied()
     }
@@ -81,7 +84,7 @@
     }
 
     /// Records a point that the session has seen; the required position never decreases.
-    /// Above [`MAX_GROUPS`] groups, the first ones in the order of their ids are dropped.
+    /// Beyond [`MAX_GROUPS`] groups, the groups that are first by id are dropped.
     pub fn raise(&mut self, group: &GroupId, point: Point) {
         let floor = self.points.entry(group.clone()).or_default();
         *floor = (*floor).max(point);
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Records all points of another token.
+    /// Records all points of another token, as by [`SessionToken::raise`].
     pub fn merge(&mut self, other: &Self) {
         for (group, point) in &other.points {
             self.raise(group, *point);
