--- a/components/coordination/src/units.rs
+++ b/components/coordination/src/units.rs
@@ -53,7 +53,7 @@
 }
 
 counter! {
-    /// Term of leadership of a database group; each primary has its own.
+    /// Term of leadership of a database group; each primary has a term of its own.
     Term, "a term (a whole number)"
 }
 counter! {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Maximum number of requests that may run at once above the steady rate.
+/// Maximum number of requests that may be admitted at once, above the steady rate.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Burst(pub f64);
