--- a/components/coordination/src/ids.rs
+++ b/components/coordination/src/ids.rs
@@ -4,10 +4,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a name in bytes.
+/// Maximum length of an identifier in bytes.
 pub const MAX_ID_LEN: usize = 64;
 
-/// Error: a text is not a valid name.
+/// Error: a text is not a valid identifier.
 #[derive(Clone, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum IdError {
     /// The text is empty.
@@ -45,7 +45,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Returns the name as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
