--- a/components/coordination/tests/connections.rs
+++ b/components/coordination/tests/connections.rs
@@ -8,22 +8,26 @@
 };
 use rand::{Rng, SeedableRng, distr::weighted::WeightedIndex, prelude::Distribution, rngs::StdRng};
 
+/// Interval at which the simulated host closes unused connections.
 const TRIM_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time for which a statement holds its connection.
 const EXECUTION_TIME: Duration = Duration::from_millis(33);
 
-/// A deployment: maximum connections and slots of a server, number of accounts, and statements
-/// per second.
+/// A server and the load on it.
 struct Load {
+    /// Maximum number of connections that the server accepts.
     max_connections: usize,
+    /// Number of statements that the server runs concurrently.
     slots: usize,
     accounts: usize,
+    /// Statements per second.
     rate: f64,
 }
 
-/// Returns the number of connections opened per statement, once all accounts have sent some.
-fn openings(load: &Load, bounds: Bounds, seed: u64) -> f64 {
+/// Returns the fraction of statements for which a connection is opened, from 0 to 1. Simulates
+/// 90 s and excludes the first 30 s, in which accounts send their first statements.
+fn opening_ratio(load: &Load, bounds: Bounds, seed: u64) -> f64 {
     let mut rng = StdRng::seed_from_u64(seed);
     let weights: Vec<f64> = (1..=load.accounts).map(|rank| 1.0 / rank as f64).collect();
     let account = WeightedIndex::new(weights).unwrap();
@@ -32,7 +36,7 @@
     let mut busy: Vec<(Duration, usize)> = Vec::new();
     let (mut opened, mut sent) = (0, 0);
     let (mut now, mut trimmed) = (Duration::ZERO, Duration::ZERO);
-    let (from, until) = (Duration::from_secs(30), Duration::from_secs(90));
+    let (measured_from, until) = (Duration::from_secs(30), Duration::from_secs(90));
     while now < until {
         now += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / load.rate);
         busy.retain(|(end, account)| {
@@ -50,14 +54,14 @@
             }
         }
         let account = account.sample(&mut rng);
-        let hit = idle.iter().rposition(|(of, _)| *of == account);
-        if now >= from {
+        let hit = idle.iter().rposition(|(owner, _)| *owner == account);
+        if now >= measured_from {
             sent += 1;
             opened += usize::from(hit.is_none());
         }
         match hit {
-            Some(at) => {
-                idle.remove(at);
+            Some(index) => {
+                idle.remove(index);
             }
             None if idle.len() + busy.len() >= bounds.cap && !idle.is_empty() => {
                 idle.remove(0);
@@ -69,17 +73,17 @@
     f64::from(opened as u32) / f64::from(sent)
 }
 
-/// Guards against a new connection for every second statement when each account sends a
-/// statement only once in a while.
+/// Guards against a new connection for every second statement, because connections of accounts
+/// that pause between statements are closed during the pause.
 #[test]
-fn connections_of_many_accounts_are_reused() {
+fn connections_of_many_accounts_are_reused_for_nine_statements_in_ten() {
     let large = Load { max_connections: 193, slots: 5, accounts: 190, rate: 40.0 };
     let small = Load { max_connections: 34, slots: 5, accounts: 8, rate: 40.0 };
     for load in [large, small] {
         let bounds = connections::bounds(load.max_connections, load.slots, 295, Role::Holder);
         for seed in 0..3 {
-            let part = openings(&load, bounds, seed);
-            assert!(part <= 0.10, "{part:.3} openings per statement, {} accounts", load.accounts);
+            let ratio = opening_ratio(&load, bounds, seed);
+            assert!(ratio <= 0.10, "{ratio:.3} openings per statement, {} accounts", load.accounts);
         }
     }
 }
@@ -98,31 +102,43 @@
     while let Some(account) = next(&open, usage(&open)) {
         open.push(account);
     }
-    assert_eq!(open, accounts[..bounds.ahead], "accounts with the highest rate come first");
-    assert!(bounds.ahead > 5 && bounds.ahead <= bounds.kept, "every slot has an open connection");
+    assert_eq!(
+        open,
+        accounts[..bounds.ahead],
+        "connections are not opened in the order of the accounts"
+    );
+    assert!(
+        bounds.ahead > 5 && bounds.ahead <= bounds.kept,
+        "ahead is not above the slots or exceeds kept"
+    );
     let open = &open[1..];
-    assert_eq!(next(open, usage(open)), Some(accounts[0].clone()), "closed connection is reopened");
+    assert_eq!(
+        next(open, usage(open)),
+        Some(accounts[0].clone()),
+        "closed connection is not reopened"
+    );
     let busy = Usage { running: 4, ..usage(open) };
-    assert_eq!(next(open, busy), None, "the last free slot is reserved for statements");
+    assert_eq!(next(open, busy), None, "connection opened in the last free slot");
     let waiting = Usage { waiting: 1, ..usage(open) };
-    assert_eq!(next(open, waiting), None);
+    assert_eq!(next(open, waiting), None, "connection opened while a statement waits");
 }
 
-/// Guards against more connections opened ahead at the start of a fleet than its callers send
-/// statements in the first seconds: 300 groups of three servers with 20 statements a second each.
+/// Guards against more connections opened ahead at the start of a fleet of 300 hosts than its
+/// callers send statements in the first 10 s: a group of three servers with 20 statements a
+/// second.
 #[test]
-fn start_of_many_groups_opens_fewer_connections_than_statements() {
+fn start_of_a_large_fleet_opens_fewer_connections_than_statements() {
     for (max, slots) in [(79, 5), (193, 5), (632, 40)] {
         let bounds = connections::bounds(max, slots, 300, Role::Holder);
         let (ahead, statements) = (3 * bounds.ahead, 20 * 10);
-        assert!(ahead < statements, "{ahead} openings for {statements} statements");
+        assert!(ahead < statements, "{ahead} connections opened ahead for {statements} statements");
     }
 }
 
-/// Guards against a standby that gets no connections while the server still counts those of a
-/// dead holder.
+/// Guards against a standby that gets no connections while the server still counts the connections
+/// of a failed holder.
 #[test]
-fn standby_can_fill_the_slots_beside_a_holder() {
+fn standby_can_fill_the_slots_beside_the_connections_of_a_failed_holder() {
     for (max, slots) in [(193, 5), (285, 6), (90, 6), (60, 3), (50, 5), (34, 5), (23, 3)] {
         for hosts in [2, 9, 89, 295, 1800] {
             let holder = connections::bounds(max, slots, hosts, Role::Holder);
@@ -133,9 +149,10 @@
     }
 }
 
-/// Guards against bounds that leave a host without any connection.
+/// Guards against bounds that leave a host without any connection, because its share of the
+/// server's connections is less than one.
 #[test]
-fn every_host_may_open_a_connection() {
+fn every_host_may_open_a_connection_to_a_server_that_accepts_few() {
     for max in [1, 2, 3, 5, 193] {
         for role in [Role::Holder, Role::Standby, Role::Other] {
             let bounds = connections::bounds(max, 1, 1800, role);
