--- a/components/coordination/tests/hubs.rs
+++ b/components/coordination/tests/hubs.rs
@@ -10,6 +10,8 @@
 
 const DOMAINS: [&str; 4] = ["north", "east", "south", "west"];
 
+/// Returns the view of a fleet of `size` hosts in four failure domains; half of the hosts of each
+/// have a power of 500, the others of 120.
 fn fleet(size: usize) -> View {
     let members: BTreeMap<_, _> = (0..size)
         .map(|n| {
@@ -35,19 +37,20 @@
     hubs::neighbours(view, &id(n), &DOMAINS[n % 4].parse().unwrap())
 }
 
-/// Guards against a full mesh in a large fleet: as it grows from eight hosts to ninety, each host
-/// would spend most of its messages on hosts that have no news for it.
+/// Guards against a full mesh in a large fleet, here of 40 to 1800 hosts: each host would exchange
+/// most of its messages with hosts that have no changes to report. A fleet of 8 hosts is a mesh.
 #[test]
-fn number_of_links_does_not_grow_with_the_fleet() {
+fn number_of_links_does_not_grow_with_the_size_of_a_large_fleet() {
     for size in [40, 100, 400, 1800] {
         let view = fleet(size);
         let max_links = (0..size).map(|n| neighbours_of(&view, n).links.len()).max().unwrap();
         assert!(max_links <= 11, "a host has {max_links} links in a fleet of {size}");
     }
-    assert_eq!(neighbours_of(&fleet(8), 3).links.len(), 7);
+    assert_eq!(neighbours_of(&fleet(8), 3).links.len(), 7, "a small fleet is not a full mesh");
 }
 
-/// Guards against a small host that carries the messages of its whole failure domain.
+/// Guards against a hub with little power, which would be overloaded by the messages of its whole
+/// failure domain.
 #[test]
 fn hub_is_among_the_most_powerful_hosts() {
     let view = fleet(90);
@@ -55,7 +58,7 @@
     assert_eq!(view.members[&hub].value.power, 500);
 }
 
-/// Guards against hosts of a failure domain that use different hubs after theirs has failed. A
+/// Guards against hosts of a failure domain that use different hubs after their hub has failed. A
 /// host that reaches no candidate is its own hub.
 #[test]
 fn hosts_use_the_same_next_candidate_after_the_loss_of_a_hub() {
@@ -63,14 +66,15 @@
     let first = neighbours_of(&view, 3).hub(&id(3), |_| true);
     let next_hubs: Vec<_> =
         [3, 7, 11, 15].map(|n| neighbours_of(&view, n).hub(&id(n), |id| *id != first)).into();
-    let others = next_hubs.iter().filter(|hub| **hub != next_hubs[0]).count();
-    assert!(others <= 1, "hosts use different hubs: {next_hubs:?}");
+    let differing = next_hubs.iter().filter(|hub| **hub != next_hubs[0]).count();
+    assert!(differing <= 1, "hosts use different hubs: {next_hubs:?}");
     let other_host =
         (0..90).find(|n| !neighbours_of(&view, *n).candidates.contains(&id(*n))).unwrap();
     assert_eq!(neighbours_of(&view, other_host).hub(&id(other_host), |_| false), id(other_host));
 }
 
-/// Guards against refusals while all candidates of a failure domain are down.
+/// Guards against refusals while all candidates of a failure domain are down, because its other
+/// hosts would then have no contact to the fleet.
 #[test]
 fn hosts_of_large_fleets_have_two_remote_hubs() {
     let view = fleet(90);
