--- a/components/coordination/tests/view.rs
+++ b/components/coordination/tests/view.rs
@@ -34,11 +34,11 @@
     }
 }
 
-/// Guards against a host that is suspended, resumes and uses its former leader although another
-/// was promoted meanwhile. The lease counts from the request for the view, by a clock that runs
-/// during the suspension.
+/// Guards against a host that resumes after a suspension and uses the former leader, although
+/// another server was promoted meanwhile. The lease begins when the view is requested, by a clock
+/// that also runs during a suspension.
 #[test]
-fn lease_expires_after_its_ttl() {
+fn lease_expires_its_ttl_after_the_view_was_requested() {
     let start = Instant::now();
     let mut local = LocalView::new(host("a"), 1);
     assert!(!local.leased(start));
@@ -47,8 +47,8 @@
     assert!(!local.leased(start + LEASE_TTL));
 }
 
-/// Guards against a lease that a failover does not wait for: the host was removed, or its row
-/// contains another address.
+/// Guards against a host that uses a leader by a lease for which a failover does not wait, because
+/// the host was removed from the view or its row contains another address.
 #[test]
 fn host_that_is_not_a_member_holds_no_lease() {
     let start = Instant::now();
@@ -60,23 +60,24 @@
     assert!(!local.leased(start));
 }
 
-/// Guards against seconds without leaders after all hosts have died, while each writes its row
-/// again. A failover contacts a host at its address, whichever process listens there.
+/// Guards against seconds without leaders after a restart of all hosts, because each new process
+/// would have to write its row first. A row with the same address is sufficient: a failover contacts the
+/// host at its address, independent of the process that listens there.
 #[test]
-fn row_of_an_earlier_process_grants_a_lease() {
+fn row_of_an_earlier_process_with_the_same_address_grants_a_lease() {
     let domain = "north".parse().unwrap();
-    let at = |port: u16| view::place(([192, 0, 2, 1], port).into(), &domain, 250);
-    let mut local = LocalView::new(host("a"), at(7000));
+    let row_hash = |port: u16| view::place(([192, 0, 2, 1], port).into(), &domain, 250);
+    let mut local = LocalView::new(host("a"), row_hash(7000));
     let start = Instant::now();
-    local.learn(view(5, &[("a", member(at(7000)))]), start);
+    local.learn(view(5, &[("a", member(row_hash(7000)))]), start);
     assert!(local.leased(start));
-    local.learn(view(6, &[("a", member(at(7001)))]), start);
-    assert!(!local.leased(start), "the row contains another address");
+    local.learn(view(6, &[("a", member(row_hash(7001)))]), start);
+    assert!(!local.leased(start), "lease granted by a row with another address");
 }
 
-/// Guards against a delayed message with an old view that replaces the newer one.
+/// Guards against a delayed message whose old view replaces a newer view.
 #[test]
-fn older_view_is_ignored() {
+fn view_of_an_older_version_is_ignored() {
     let start = Instant::now();
     let mut local = LocalView::new(host("a"), 1);
     assert!(local.learn(view(6, &[("a", member(1))]), start));
@@ -84,8 +85,8 @@
     assert_eq!(local.view().version, 6);
 }
 
-/// Guards against a lease that is renewed on outdated rows: another host reports that a view with
-/// other rows was the newest at a time of the store's clock.
+/// Guards against a lease on outdated rows: a report of another host confirms its own view as the
+/// newest, and the receiver renews the lease on a view with different rows.
 #[test]
 fn lease_is_renewed_only_for_an_identical_view() {
     let start = Instant::now();
@@ -98,9 +99,9 @@
     assert!(local.leased(start + LEASE_TTL));
 }
 
-/// Guards against a write that the former leader acknowledges after its successor was promoted,
-/// because the failover did not wait for an unreachable host. It waits until the last lease has
-/// expired or was released.
+/// Guards against a write acknowledged by the former leader after the promotion of another server,
+/// because an unreachable host still uses the former leader. A failover waits until every lease
+/// has been released or has expired.
 #[test]
 fn failover_waits_for_hosts_that_have_not_released_their_lease() {
     let now = Instant::now();
@@ -113,10 +114,11 @@
     assert!(release.is_over(now));
 }
 
-/// Guards against a failover that takes a whole lease although the host that it cannot reach,
-/// which is cut off from the other hosts but not from the store, has written its release there.
+/// Guards against a failover that waits for a lease to expire although it was released: a host
+/// that reaches the store but not the other hosts writes its release to the store. A release for
+/// an earlier intent has no effect.
 #[test]
-fn release_written_to_the_store_counts() {
+fn release_written_to_the_store_ends_the_wait_of_a_failover() {
     let now = Instant::now();
     let before = view(7, &[("me", member(1)), ("b", member(1))]);
     let mut release = LeaseRelease::new(&before, &host("me"), now);
@@ -128,9 +130,10 @@
     assert!(release.is_over(now));
 }
 
-/// Guards against a permanently removed host that delays every failover.
+/// Guards against a permanently removed host that delays every failover, because its row stays in
+/// the view without a release.
 #[test]
-fn failover_does_not_wait_for_a_host_removed_long_ago() {
+fn failover_does_not_wait_for_a_removed_host_whose_lease_has_expired() {
     let now = Instant::now();
     let removed = Member { left: Some(Duration::from_secs(2)), ..member(1) };
     let early = view(5, &[("me", member(1)), ("b", removed.clone())]);
@@ -139,10 +142,11 @@
     assert!(LeaseRelease::new(&late, &host("me"), now).is_over(now));
 }
 
-/// Guards against a report of another host that looks newer than it is, because a partition held
-/// it back. Its time is that of the store's clock, which does not depend on the delay.
+/// Guards against a lease that lasts too long, because a report delayed by a partition counts from
+/// its arrival. A report contains a time of the store's clock, which is mapped to a local time
+/// that is never later than the true one.
 #[test]
-fn store_time_is_never_mapped_to_a_local_time_too_late() {
+fn store_time_is_never_mapped_to_a_later_local_time() {
     let start = Instant::now();
     let mut clock = StoreClock::default();
     assert_eq!(clock.local(Duration::from_secs(50)), None);
