--- a/components/coordination/tests/connections.rs
+++ b/components/coordination/tests/connections.rs
@@ -102,11 +102,7 @@
     while let Some(account) = next(&open, usage(&open)) {
         open.push(account);
     }
-    assert_eq!(
-        open,
-        accounts[..bounds.ahead],
-        "connections are not opened in the order of the accounts"
-    );
+    assert_eq!(open, accounts[..bounds.ahead], "accounts with the highest rate do not come first");
     assert!(
         bounds.ahead > 5 && bounds.ahead <= bounds.kept,
         "ahead is not above the slots or exceeds kept"
@@ -120,7 +116,7 @@
     let busy = Usage { running: 4, ..usage(open) };
     assert_eq!(next(open, busy), None, "connection opened in the last free slot");
     let waiting = Usage { waiting: 1, ..usage(open) };
-    assert_eq!(next(open, waiting), None, "connection opened while a statement waits");
+    assert_eq!(next(open, waiting), None);
 }
 
 /// Guards against more connections opened ahead at the start of a fleet of 300 hosts than its
--- a/components/coordination/tests/hubs.rs
+++ b/components/coordination/tests/hubs.rs
@@ -46,7 +46,7 @@
         let max_links = (0..size).map(|n| neighbours_of(&view, n).links.len()).max().unwrap();
         assert!(max_links <= 11, "a host has {max_links} links in a fleet of {size}");
     }
-    assert_eq!(neighbours_of(&fleet(8), 3).links.len(), 7, "a small fleet is not a full mesh");
+    assert_eq!(neighbours_of(&fleet(8), 3).links.len(), 7);
 }
 
 /// Guards against a hub with little power, which would be overloaded by the messages of its whole
--- a/components/coordination/tests/view.rs
+++ b/components/coordination/tests/view.rs
@@ -61,8 +61,8 @@
 }
 
 /// Guards against seconds without leaders after a restart of all hosts, because each new process
-/// would have to write its row first. A row with the same address is sufficient: a failover contacts the
-/// host at its address, independent of the process that listens there.
+/// would have to write its row first. A row with the same address is sufficient: a failover
+/// contacts a host at its address, independent of the process that listens there.
 #[test]
 fn row_of_an_earlier_process_with_the_same_address_grants_a_lease() {
     let domain = "north".parse().unwrap();
