--- a/components/coordination/src/congestion.rs
+++ b/components/coordination/src/congestion.rs
@@ -5,8 +5,8 @@
 //! every statement to the holder only to have it refused, the holder's processor would be
 //! occupied with refusals, and callers would wait for them. A refusal contains the expected
 //! wait, from which a host estimates how long further statements would be refused as well.
-//! Many hosts compete for the slots that become free, so the delay doubles with each refusal,
-//! and is halved again with each statement served.
+//! Many hosts compete for the slots that become free, so the delay doubles with each refusal
+//! up to a maximum, and shrinks again as statements are served.
 
 use std::{
     collections::BTreeMap,
