--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -47,7 +47,7 @@
 const NEXT_REPLICA_DELAY: Duration = Duration::from_millis(40);
 
 /// Interval between polls of a replica while replicas receive nothing and no commit waits.
-const STUCK_INTERVAL: Duration = Duration::from_millis(100);
+const STALLED_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Received positions of a group's replicas, and the commits that wait for them.
 #[derive(Default)]
@@ -130,9 +130,9 @@
     let receipts = &group.receipts;
     loop {
         let waiting = receipts.waiting.get() > 0;
-        let stuck = receipts.state.borrow().is_stalled();
+        let stalled = receipts.state.borrow().is_stalled();
         let replica = group.leader().is_some_and(|leader| leader != id);
-        if !(waiting || stuck) || !replica || host.server(&id).is_none() {
+        if !(waiting || stalled) || !replica || host.server(&id).is_none() {
             break;
         }
         let before = receipts.state.borrow().clone();
@@ -144,7 +144,7 @@
         let delay = match (advanced, waiting) {
             (true, _) => Duration::ZERO,
             (false, true) => RETRY_DELAY,
-            (false, false) => STUCK_INTERVAL,
+            (false, false) => STALLED_INTERVAL,
         };
         monoio::time::sleep(delay).await;
     }
--- a/components/proxy/src/conn.rs
+++ b/components/proxy/src/conn.rs
@@ -33,9 +33,9 @@
     /// Priority where not all requests can be served; 0 is the most urgent.
     pub priority: u32,
     /// Queue timeout.
-    pub patience: Duration,
+    pub queue_timeout: Duration,
     /// Time after which a connection is of no use.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 /// Reason why an exchange brought no answer of the server.
@@ -90,9 +90,10 @@
         queue: QueueParams,
         now: StdInstant,
     ) -> Result<Self, NotSent> {
-        let permit = pool.enter(queue.priority, queue.patience, now).await;
+        let permit = pool.enter(queue.priority, queue.queue_timeout, now).await;
         let permit = permit.map_err(queue_full)?;
-        let leased = pool.lease(account, &session.values, queue.until).await.map_err(not_sent)?;
+        let leased =
+            pool.lease(account, &session.values, queue.deadline).await.map_err(not_sent)?;
         Ok(Self::Own(Box::new(Own { leased, permit: Some(permit) })))
     }
 
@@ -232,7 +233,7 @@
             transaction: self.transaction,
             opens: self.transaction.is_some() && !self.pinned,
             priority: self.queue.priority,
-            queue_timeout_ms: self.queue.patience.as_millis() as u32,
+            queue_timeout_ms: self.queue.queue_timeout.as_millis() as u32,
             timeout_ms: timeout.as_millis() as u32,
         };
         // Until its answer arrives the holder may keep the connection.
--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -39,7 +39,7 @@
             Ok(verdict) => info!(?change.expect, ?verdict, "fleet: eviction sent to the store"),
             Err(error) => info!(error = %format_args!("{error:#}"), "fleet: eviction failed"),
         }
-        host.look.notify_one();
+        host.view_wakeup.notify_one();
     }
 }
 
--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -45,7 +45,7 @@
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Time for another host to let its statements at the leader end and to answer.
-const ACT_TIMEOUT: Duration = Duration::from_millis(1800);
+const APPLY_TIMEOUT: Duration = Duration::from_millis(1800);
 
 /// Interval between attempts to reach a host whose link is being set up.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -340,11 +340,11 @@
         let acquired = duty::Duty { holder: host.settings.host.clone(), since, free: false };
         let change = Change {
             expect: vec![
-                (fleet::DUTY.into(), view.duty.map_or(0, |row| row.version)),
+                (fleet::DUTY_KEY.into(), view.duty.map_or(0, |row| row.version)),
                 (fleet::group_key(&group.id), self.intent),
             ],
             put: vec![
-                (fleet::DUTY.into(), serde_json::to_vec(&acquired)?),
+                (fleet::DUTY_KEY.into(), serde_json::to_vec(&acquired)?),
                 (fleet::closed_key(&group.id), serde_json::to_vec(&after)?),
             ],
             remove: Vec::new(),
@@ -359,13 +359,16 @@
     async fn release_duty(&self, host: &Host, group: &Group, token: u64, rejected: bool) {
         let holder = host.settings.host.clone();
         let released = duty::Duty { holder, since: Duration::ZERO, free: true };
-        let mut put =
-            vec![(fleet::DUTY.into(), serde_json::to_vec(&released).expect("writing to memory"))];
+        let mut put = vec![(
+            fleet::DUTY_KEY.into(),
+            serde_json::to_vec(&released).expect("writing to memory"),
+        )];
         if rejected {
             let closed = serde_json::to_vec(&self.terms.closed).expect("writing to memory");
             put.push((fleet::closed_key(&group.id), closed));
         }
-        let change = Change { expect: vec![(fleet::DUTY.into(), token)], put, remove: Vec::new() };
+        let change =
+            Change { expect: vec![(fleet::DUTY_KEY.into(), token)], put, remove: Vec::new() };
         if let Err(error) = store::change(&self.client, &change, STORE_TIMEOUT).await {
             // The duty expires after a few seconds.
             info!(
@@ -454,10 +457,10 @@
 fn notify_hosts(host: &Rc<Host>, id: &GroupId, row: &Versioned<Leadership>) {
     let links = host.mesh.links().into_iter().chain(host.mesh.temporary_links());
     for link in links.filter(|link| link.is_up()) {
-        let act = Question::ApplyLeadership { group: id.clone(), row: row.clone() };
+        let question = Question::ApplyLeadership { group: id.clone(), row: row.clone() };
         monoio::spawn(async move {
             // A host out of reach receives the row from its hub or the store.
-            let _ = link.query(act, ACT_TIMEOUT).await;
+            let _ = link.query(question, APPLY_TIMEOUT).await;
         });
     }
 }
@@ -475,8 +478,8 @@
         let was_up = link.as_ref().is_some_and(|link| link.is_up());
         let released = match link.filter(|_| was_up) {
             Some(link) => {
-                let act = Question::ApplyLeadership { group: group.clone(), row: row.clone() };
-                let answer = link.query(act, ACT_TIMEOUT).await;
+                let question = Question::ApplyLeadership { group: group.clone(), row: row.clone() };
+                let answer = link.query(question, APPLY_TIMEOUT).await;
                 matches!(answer, Ok(Answer::LeadershipApplied(version)) if version >= row.version)
             }
             None => monitor::is_dead(&host, &id).await,
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -59,7 +59,7 @@
 const RELEASE_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Ping interval and silence limit of links between hosts. Heartbeats are more frequent.
-pub const LINK_PACE: Keepalive =
+pub const LINK_KEEPALIVE: Keepalive =
     Keepalive { interval: Duration::from_millis(1000), timeout: Duration::from_millis(2200) };
 
 const MEMBER_PREFIX: &str = "host/";
@@ -71,7 +71,7 @@
 const SECRET_KEY: &str = "secret";
 
 /// Key of the row for the duty of calling for promotions.
-pub const DUTY: &str = "duty";
+pub const DUTY_KEY: &str = "duty";
 
 /// Returns the key of a group's row.
 pub fn group_key(group: &GroupId) -> Box<str> {
@@ -108,7 +108,7 @@
             let term =
                 serde_json::from_slice(&row.value).context("decoding a group's closed terms")?;
             view.closed.insert(group.parse()?, term);
-        } else if &*row.key == DUTY {
+        } else if &*row.key == DUTY_KEY {
             let value = serde_json::from_slice(&row.value).context("decoding the duty's row")?;
             view.duty = Some(Versioned { version, value });
         } else if &*row.key == SECRET_KEY {
@@ -123,7 +123,7 @@
     /// View that has this host as a member.
     pub view: View,
     /// Local time at which the view was requested.
-    pub requested: Instant,
+    pub requested_at: Instant,
     /// Shared secret by which hosts of the fleet authenticate to each other.
     pub secret: Box<str>,
 }
@@ -143,30 +143,30 @@
         monoio::time::sleep(FIRST_START_DELAY + spread).await;
     }
     loop {
-        let requested = clock.now();
+        let requested_at = clock.now();
         let view = retry("reading the first view", || read(client)).await;
         if !is_member(&view, settings) {
             retry("joining", || join(settings, client)).await;
             continue;
         }
         if let Some(secret) = view.secret.clone() {
-            let ms = (clock.now() - requested).as_millis() as u64;
+            let ms = (clock.now() - requested_at).as_millis() as u64;
             info!(version = view.version, hosts = view.members.len(), ms, "start: view read");
-            return Membership { view, requested, secret };
+            return Membership { view, requested_at, secret };
         }
         retry("creating the secret", || create_secret(client)).await;
     }
 }
 
 /// Returns the hash of this host's peer address, failure domain and power.
-pub fn place(settings: &Settings) -> u64 {
+pub fn member_hash(settings: &Settings) -> u64 {
     view::place(settings.peer_address, &settings.domain, settings.cpu_millicores)
 }
 
 /// Returns whether the view has a row of this host with its current place.
 fn is_member(view: &View, settings: &Settings) -> bool {
     let row = view.members.get(&settings.host);
-    row.is_some_and(|row| row.value.place == place(settings) && row.value.left.is_none())
+    row.is_some_and(|row| row.value.place == member_hash(settings) && row.value.left.is_none())
 }
 
 /// Retries a step until it succeeds; the store may be unreachable when a host starts.
@@ -205,11 +205,11 @@
 /// Keeps the view current, in an endless loop.
 pub async fn follow(host: Rc<Host>) {
     let client = Client::new(host.settings.store_address);
-    let mut unreadable_version = false;
+    let mut last_read_failed = false;
     let mut woken = false;
     loop {
         if !needs_read(&host) && !woken {
-            let wake = monoio::time::timeout(CHECK_INTERVAL, host.look.notified()).await;
+            let wake = monoio::time::timeout(CHECK_INTERVAL, host.view_wakeup.notified()).await;
             woken = wake.is_ok();
             continue;
         }
@@ -222,14 +222,14 @@
             info!(error = %format_args!("{error:#}"), "fleet: joining failed");
             monoio::time::sleep(RETRY_DELAY).await;
         }
-        let requested = host.now();
+        let requested_at = host.now();
         match read(&client).await {
             Ok(view) => {
-                if std::mem::take(&mut unreadable_version) {
+                if std::mem::take(&mut last_read_failed) {
                     info!("fleet: view readable again");
                 }
-                host.store_clock.borrow_mut().note(requested, view.clock);
-                apply_view(&host, view, requested);
+                host.store_clock.borrow_mut().note(requested_at, view.clock);
+                apply_view(&host, view, requested_at);
                 let all_up = host.mesh.links().iter().all(|link| link.is_up());
                 let pause = if all_up { VIEW_INTERVAL } else { DEGRADED_VIEW_INTERVAL };
                 let serving = *host.phase.borrow() == Phase::Serving;
@@ -238,10 +238,10 @@
                     continue;
                 }
                 // The view is read after the pause as well as after a wake-up.
-                let _ = monoio::time::timeout(pause, host.look.notified()).await;
+                let _ = monoio::time::timeout(pause, host.view_wakeup.notified()).await;
             }
             Err(error) => {
-                if !std::mem::replace(&mut unreadable_version, true) {
+                if !std::mem::replace(&mut last_read_failed, true) {
                     let age = host.leased_view.borrow().age(host.now());
                     let age_ms = age.map(|age| age.as_millis() as u64);
                     let error = format_args!("{error:#}");
@@ -258,7 +258,7 @@
     let member = Member {
         peer: settings.peer_address,
         domain: settings.domain.clone(),
-        place: place(settings),
+        place: member_hash(settings),
         left: None,
         released: 0,
         power: settings.cpu_millicores,
@@ -283,11 +283,11 @@
     Ok(())
 }
 
-/// Applies a view that was the newest at the local time `requested` or later.
-pub fn apply_view(host: &Rc<Host>, view: View, requested: Instant) {
+/// Applies a view that was the newest at the local time `requested_at` or later.
+pub fn apply_view(host: &Rc<Host>, view: View, requested_at: Instant) {
     let until = host.leased_view.borrow().until();
     let before = host.leased_view.borrow().view().groups.clone();
-    if !host.leased_view.borrow_mut().learn(view, requested) {
+    if !host.leased_view.borrow_mut().learn(view, requested_at) {
         return;
     }
     let after = host.leased_view.borrow().view().groups.clone();
@@ -295,7 +295,7 @@
     host.refresh();
     for (id, row) in after {
         if before.get(&id).is_none_or(|old| old.version != row.version) {
-            handle_new_row(host, &id, row, until, requested);
+            handle_new_row(host, &id, row, until, requested_at);
         }
     }
 }
@@ -327,7 +327,7 @@
     monoio::spawn(async move {
         release(&host, &group, row.version, end).await;
         monoio::time::sleep(RELEASE_REQUEST_TIMEOUT).await;
-        if group.requested.get() >= row.version {
+        if group.release_requested.get() >= row.version {
             return;
         }
         if let Err(error) = publish_release(&host, &holder, row.version).await {
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -95,7 +95,7 @@
     replier: Replier,
 ) {
     let group = host.group(&id);
-    group.requested.set(group.requested.get().max(row.version));
+    group.release_requested.set(group.release_requested.get().max(row.version));
     fleet::apply_row(&host, &id, row.clone());
     loop {
         let newest = host.leased_view.borrow().leadership(&id).cloned().unwrap_or(row.clone());
@@ -194,7 +194,7 @@
 /// to transfer it: each would arrive too late and block all other traffic.
 fn request_updates(host: &Rc<Host>, link: Rc<Link>) {
     let now = host.now();
-    let mut requested = host.requested.borrow_mut();
+    let mut requested = host.pending_requests.borrow_mut();
     let recent =
         requested.values().any(|since| now.saturating_duration_since(*since) < NEXT_HOST_DELAY);
     if recent || requested.contains_key(&link.host) {
@@ -204,7 +204,7 @@
     let host = host.clone();
     monoio::spawn(async move {
         fetch_updates(&host, &link).await;
-        host.requested.borrow_mut().remove(&link.host);
+        host.pending_requests.borrow_mut().remove(&link.host);
     });
 }
 
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -40,7 +40,7 @@
     pub released: Cell<u64>,
     /// Version of the newest failover intent whose author has requested the release from
     /// this host directly.
-    pub requested: Cell<u64>,
+    pub release_requested: Cell<u64>,
     /// Received positions of the replicas, and the commits that wait for them.
     pub receipts: Receipts,
     /// Leader that new work may use.
@@ -85,7 +85,7 @@
             probing: Cell::default(),
             in_failover: Cell::default(),
             released: Cell::default(),
-            requested: Cell::default(),
+            release_requested: Cell::default(),
             receipts: Receipts::default(),
             led_since: Cell::default(),
             leader: RefCell::default(),
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -110,7 +110,7 @@
     /// Local time of the hub's last report that it has contact with a majority.
     pub hub_majority: Cell<Option<Instant>>,
     /// Hosts with an outstanding request for newer state, and its start.
-    pub requested: RefCell<HashMap<HostId, Instant>>,
+    pub pending_requests: RefCell<HashMap<HostId, Instant>>,
     /// Time of the last contact from each host, and the version of its row at that time.
     pub last_contact: RefCell<HashMap<HostId, (Instant, Option<u64>)>>,
     /// Connection pools of the backend servers, by server.
@@ -138,7 +138,7 @@
     /// Shutdown phase.
     pub phase: watch::Sender<Phase>,
     /// Wakes the task that reads the fleet view.
-    pub look: Notify,
+    pub view_wakeup: Notify,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Number of open sessions.
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -334,7 +334,7 @@
                 info!(group = %group.id, %error, "leader: failover intent not written");
             }
         }
-        host.look.notify_one();
+        host.view_wakeup.notify_one();
         monoio::time::sleep(CHECK_INTERVAL).await;
         group.in_failover.set(false);
     });
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -78,8 +78,8 @@
     let host = new_host(settings, run, clock, &membership.secret);
     *state.borrow_mut() = Some(host.clone());
     info!(host = %host.settings.host, run = host.run, "host: started");
-    host.store_clock.borrow_mut().note(membership.requested, membership.view.clock);
-    fleet::apply_view(&host, membership.view, membership.requested);
+    host.store_clock.borrow_mut().note(membership.requested_at, membership.view.clock);
+    fleet::apply_view(&host, membership.view, membership.requested_at);
     monoio::spawn(accept_peers(peers, host.clone()));
     monoio::spawn(fleet::follow(host.clone()));
     monoio::spawn(gossip::send_heartbeats(host.clone()));
@@ -105,10 +105,13 @@
     let secret = Secret::new(secret.as_bytes());
     let started = clock.now();
     let routes = contract::Routes::new(&[]);
-    let mesh = Mesh::with_keepalive(me, secret, clock.clone(), routes, fleet::LINK_PACE);
+    let mesh = Mesh::with_keepalive(me, secret, clock.clone(), routes, fleet::LINK_KEEPALIVE);
     let demand = Demand::new(settings.rate_tolerance, run, started);
     Rc::new(Host {
-        leased_view: RefCell::new(LocalView::new(settings.host.clone(), fleet::place(&settings))),
+        leased_view: RefCell::new(LocalView::new(
+            settings.host.clone(),
+            fleet::member_hash(&settings),
+        )),
         settings,
         clock,
         run,
@@ -128,7 +131,7 @@
         servers_stamp: Cell::default(),
         neighbours: RefCell::default(),
         hub_majority: Cell::default(),
-        requested: RefCell::default(),
+        pending_requests: RefCell::default(),
         last_contact: RefCell::default(),
         pools: RefCell::default(),
         by_group: RefCell::default(),
@@ -140,7 +143,7 @@
         last_admission: Cell::default(),
         demand: RefCell::new(demand),
         phase: watch::Sender::new(Phase::Serving),
-        look: Notify::new(),
+        view_wakeup: Notify::new(),
         metrics: Metrics::default(),
         sessions: Cell::default(),
     })
--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -182,8 +182,11 @@
 ) -> Result<Execution, Refusal> {
     let Target { pool, required_position, usage } = target;
     let until = operation.deadline.min(Instant::now() + CONNECTION_TIMEOUT);
-    let turn =
-        QueueParams { priority: operation.priority, patience: operation.queue_timeout, until };
+    let turn = QueueParams {
+        priority: operation.priority,
+        queue_timeout: operation.queue_timeout,
+        deadline: until,
+    };
     let now = host.now();
     let conn =
         match placement::holder_link(host, &pool, &operation.homes).await {
