--- a/components/proxy/src/failover.rs
+++ b/components/proxy/src/failover.rs
@@ -32,10 +32,10 @@
 /// Time for a promoted server to become leader before the promotion is requested again.
 const PROMOTION_TIMEOUT: Duration = Duration::from_millis(3000);
 
-/// Interval between status requests to the former leader while the leases on it expire.
+/// Interval between status requests to the former leader while hosts may still hold leases on it.
 const RECOVERY_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Interval between reads of the store for releases by hosts out of reach.
+/// Interval between reads of the store for the releases of hosts that this host cannot reach.
 const RELEASE_READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Interval between status requests to the successor.
@@ -44,28 +44,30 @@
 /// Time for the successor of a leaving leader to receive all of its log.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time for another host to let its statements at the leader end and to answer.
+/// Timeout of a request to apply a group's row. The other host replies after its statements at
+/// the former leader have ended.
 const APPLY_TIMEOUT: Duration = Duration::from_millis(1800);
 
-/// Interval between attempts to reach a host whose link is being set up.
+/// Delay before a host whose link is not up is tried again.
 const LINK_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A failover that this host runs.
 pub struct Failover {
     client: Client,
-    /// The leader to replace, if one is known.
+    /// Leader to replace; `None` if it is unknown.
     from: Option<ServerId>,
     planned: bool,
     /// Version of the intent's row in the store.
     intent: u64,
     /// The group's terms as stored; only the host that wrote the intent changes them.
     terms: Terms,
-    /// Time by which this host must finish; another one may take over later.
+    /// Time by which this host must finish; another host may take over some time later.
     deadline: Instant,
 }
 
 impl Failover {
-    /// Writes the intent; `None` if another host was first.
+    /// Writes the intent to replace `from`; `None` if the group's row is no longer `before`, which
+    /// is the case after another host has written an intent.
     pub async fn begin(
         host: &Rc<Host>,
         group: &Rc<Group>,
@@ -101,7 +103,8 @@
         Ok(intent.map(|intent| Self { client, from, planned, intent, terms, deadline }))
     }
 
-    /// Runs the failover to its end.
+    /// Runs the failover until the leader is written to the store: a new one, or the former one
+    /// if it recovers. Fails if no leader is found before the deadline.
     pub async fn run(mut self, host: &Rc<Host>, group: &Rc<Group>) -> anyhow::Result<()> {
         let (began, sent_at) = (host.now(), host.now());
         let view = self.read_view(host).await?;
@@ -132,7 +135,7 @@
                 Ok(None) => {}
                 Err(error) => {
                     let error = format_args!("{error:#}");
-                    info!(group = %group.id, %error, "leader: no successor found, trying again");
+                    info!(group = %group.id, %error, "leader: failover step failed, retrying");
                 }
             }
             monoio::time::sleep(monitor::CHECK_INTERVAL).await;
@@ -140,7 +143,8 @@
         bail!("failover not finished within its time limit")
     }
 
-    /// Reads a view that contains the intent.
+    /// Reads a view that contains the intent; retries failed reads until the deadline. Fails on
+    /// a view older than the intent.
     async fn read_view(&self, host: &Host) -> anyhow::Result<View> {
         let view = loop {
             match fleet::read(&self.client).await {
@@ -157,10 +161,11 @@
     }
 
     /// Waits until the former leader answers again and still leads, in a term that no promotion
-    /// has closed.
+    /// has closed. Never returns in a planned failover or if no former leader is known.
     ///
-    /// While other hosts may still hold leases on it no other server can lead. If it recovers
-    /// first, keeping it ends the gap and loses nothing that was acknowledged.
+    /// No other server can lead while hosts may hold leases on the former leader. If the former
+    /// leader recovers in that time, keeping it ends the outage without loss of acknowledged
+    /// writes.
     async fn wait_recovery(&self, host: &Host) -> (ServerId, Term) {
         loop {
             monoio::time::sleep(RECOVERY_CHECK_INTERVAL).await;
@@ -178,8 +183,8 @@
         }
     }
 
-    /// Waits until no host uses the former leader any more; `view` contains the intent and was
-    /// requested at `sent_at`.
+    /// Waits until no host uses the former leader any more, because each host has released it or
+    /// its lease has expired. `view` contains the intent and was requested at `sent_at`.
     async fn wait_released(
         &self,
         host: &Rc<Host>,
@@ -211,7 +216,7 @@
                 return Ok(());
             }
             if now >= last_read + RELEASE_READ_INTERVAL {
-                // Hosts that this one cannot reach release the leader through the store.
+                // Hosts that this host cannot reach publish their releases through the store.
                 if let Ok(view) = fleet::read(&self.client).await {
                     release.borrow_mut().note(&view, self.intent);
                 }
@@ -229,7 +234,8 @@
     ) -> anyhow::Result<Option<(ServerId, Term)>> {
         let mut pools = host.servers(&group.id);
         pools.retain(|pool| !placement::is_forbidden(host, pool));
-        // A status request to a leader that does not answer would only cost time.
+        // In an unplanned failover, a status request to the former leader would only cost its
+        // timeout.
         pools.retain(|pool| self.planned || Some(&pool.listed.borrow().id) != self.from.as_ref());
         let order = if self.planned { Order::Placement } else { Order::Log };
         let next = self.select_successor(host, group, &pools, order).await;
@@ -276,6 +282,9 @@
         next
     }
 
+    /// Requests the promotion of a server and waits until the server leads in a term after
+    /// `after`; `None` if the duty was not acquired, the platform rejects the request, or the
+    /// server does not lead within [`PROMOTION_TIMEOUT`].
     async fn promote(
         &self,
         host: &Host,
@@ -287,7 +296,8 @@
         let Some((token, call_by)) = self.acquire_duty(host, group, after).await? else {
             return Ok(None);
         };
-        // Guards against a host that was suspended: another one may call by now.
+        // If this host was suspended after the acquisition, another host may have acquired the
+        // duty since.
         anyhow::ensure!(
             host.now() < call_by,
             "promotion not requested: time to begin the call is over"
@@ -300,7 +310,7 @@
         info!(group = %id, %server, token, ?answer, error, "promotion: requested");
         let rejected = matches!(promoted, Ok(Outcome::Refused | Outcome::Unavailable));
         if promoted.is_ok() {
-            // Without an answer the call may still be in flight.
+            // Not released without an answer: the call may still be in flight.
             self.release_duty(host, group, token, rejected).await;
         }
         if rejected {
@@ -320,11 +330,12 @@
     }
 
     /// Acquires the duty to call for promotions and closes the terms up to `after`. Returns the
-    /// token and the time by which the call must begin; `None` while another host has the duty.
+    /// token and the time by which the call must begin; `None` while another host has the duty,
+    /// or if the store did not apply the change.
     ///
-    /// Closing the terms before the call guards against a host that takes the failover over from
-    /// one that called and died: it would find the former leader, which has not been notified of
-    /// the promotion, and adopt it again.
+    /// The terms are closed before the call in case this host dies after the call and another
+    /// host takes the failover over: the former leader may not have been notified of the
+    /// promotion and still report that it leads, and the other host would adopt it again.
     async fn acquire_duty(
         &self,
         host: &Host,
@@ -355,7 +366,8 @@
         Ok(Some((token, began + CALL_DEADLINE)))
     }
 
-    /// Releases the duty; reopens the terms that were closed for a call that was `rejected`.
+    /// Releases the duty acquired with `token`. If the call was `rejected`, also reopens the terms
+    /// that were closed for it.
     async fn release_duty(&self, host: &Host, group: &Group, token: u64, rejected: bool) {
         let holder = host.settings.host.clone();
         let released = duty::Duty { holder, since: Duration::ZERO, free: true };
@@ -378,7 +390,8 @@
         }
     }
 
-    /// Writes the leader to the store and notifies all hosts.
+    /// Writes the leader to the store and notifies all hosts in reach. Retries until the group's
+    /// row is no longer this failover's intent, at most until the deadline.
     async fn finish(
         &self,
         host: &Rc<Host>,
@@ -413,6 +426,7 @@
     }
 }
 
+/// Combines a server's reported status with its entry in the list and its placement.
 fn standing(host: &Host, pool: &Pool, status: Status) -> Standing {
     let listed = pool.listed.borrow();
     Standing {
@@ -427,11 +441,11 @@
     }
 }
 
-/// Waits until a replica has received the leaving leader's log up to `last`, so that nothing
-/// acknowledged is lost; returns false if it has not.
+/// Waits until a replica has received the leaving leader's log up to `last`, so that no
+/// acknowledged write is lost; returns false if that takes longer than [`CATCH_UP_TIMEOUT`].
 ///
-/// Stops early for a replica that receives nothing any more: it is cut off from the leader, and
-/// no caller got a confirmation of what it lacks.
+/// Returns false early if the replica's position stands still: the replica is cut off from the
+/// leader, and no caller got a confirmation of the records that it lacks.
 async fn wait_caught_up(host: &Host, pool: &Pool, last: Point) -> bool {
     let deadline = host.now() + CATCH_UP_TIMEOUT;
     let mut newest: Option<(Point, Instant)> = None;
@@ -453,19 +467,20 @@
     false
 }
 
-/// Sends a group's row to all hosts in reach.
+/// Sends a group's row to all hosts whose links are up, without waiting for their answers.
 fn notify_hosts(host: &Rc<Host>, id: &GroupId, row: &Versioned<Leadership>) {
     let links = host.mesh.links().into_iter().chain(host.mesh.temporary_links());
     for link in links.filter(|link| link.is_up()) {
         let question = Question::ApplyLeadership { group: id.clone(), row: row.clone() };
         monoio::spawn(async move {
-            // A host out of reach receives the row from its hub or the store.
+            // A host that does not answer receives the row from its hub or the store.
             let _ = link.query(question, APPLY_TIMEOUT).await;
         });
     }
 }
 
-/// Requests a host's release of the former leader, until it is given or no longer needed.
+/// Requests a host's release of the former leader until the host releases it, the host is found
+/// dead, or no lease is outstanding any more.
 async fn request_release(
     host: Rc<Host>,
     id: HostId,
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -36,15 +36,17 @@
 /// Timeout of a request to the host that holds a server's connections.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time without a known leader before a failover starts: at the start the list of servers
-/// fills up within one heartbeat.
+/// Time without a known leader before a failover starts. After a start, the list of servers is
+/// complete within one heartbeat.
 const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// Delay after a host was found dead before its failover is taken over: the requests that it
-/// sent last have arrived by then.
+/// Delay after a host was found dead before its failover is taken over, so that the last requests
+/// of the dead host have arrived. Also the delay before a failover that is not taken over is
+/// checked again.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(500);
 
-/// Checks all groups, forever.
+/// Checks the leaders of all groups, in an endless loop; pauses while this host holds no lease or
+/// closes its sessions.
 pub async fn watch(host: Rc<Host>) {
     loop {
         monoio::time::sleep(CHECK_INTERVAL).await;
@@ -58,6 +60,7 @@
     }
 }
 
+/// Checks a group's leader and starts a probe, a failover or a takeover if needed.
 fn check(host: &Rc<Host>, group: &Rc<Group>) {
     if group.in_failover.get() || host.servers(&group.id).is_empty() {
         return;
@@ -93,9 +96,9 @@
         return;
     }
     let silent = pool.health.borrow().unanswered_for(now).max(pool.exchanges.borrow().lasts(now));
-    let probes = silent > suspicion::SILENCE_TIMEOUT
+    let needs_probe = silent > suspicion::SILENCE_TIMEOUT
         || group.suspicion.borrow().advice(now) == Advice::AskReplicas;
-    if probes && !group.probing.replace(true) {
+    if needs_probe && !group.probing.replace(true) {
         monoio::spawn(probe(host.clone(), group.clone(), pool, now));
     }
     let led_since = group.led_since();
@@ -121,7 +124,8 @@
     }
 }
 
-/// Returns the reason to replace a healthy leader, if there is one and another server may lead.
+/// Returns the reason to replace a healthy leader; `None` without one, or if no other server may
+/// lead.
 fn planned_failover_reason(host: &Host, group: &Group, leader: &Rc<Pool>) -> Option<&'static str> {
     let leaving = leader.listed.borrow().leaving;
     let evacuated = placement::of(host, leader) != evacuation::Placement::Allowed;
@@ -142,7 +146,8 @@
 }
 
 /// Requests the status of a silent leader and the positions that its replicas have received,
-/// unless the holder of its connections had contact with it lately.
+/// unless the holder of its connections had contact with it within [`suspicion::HOLDER_GRACE`].
+/// `since` is the time of the check that started the probe.
 async fn probe(host: Rc<Host>, group: Rc<Group>, leader: Rc<Pool>, since: Instant) {
     let server = leader.listed.borrow().id.clone();
     match holder_last_contact(&host, &leader).await {
@@ -176,14 +181,15 @@
             group.suspicion.borrow_mut().received(status.received, host.now());
         }
     };
-    // The second reading shows whether the positions stand still.
+    // Reads the positions twice, to detect whether they stand still.
     let readings = async {
         let second = monoio::time::Instant::now() + suspicion::REPLICA_STALL_TIMEOUT;
         read_positions().await;
         monoio::time::sleep_until(second).await;
         read_positions().await;
     };
-    // Concurrent: the time for which positions stand still counts from the first answer.
+    // Concurrent, because the time for which the positions stand still counts from the first
+    // answer.
     let (answer, ()) = monoio::join!(status(&host, &leader, suspicion::PROBE_TIMEOUT), readings);
     let now = host.now();
     match answer {
@@ -201,8 +207,8 @@
 /// Returns the time since a server last answered the host that holds its connections; `None`
 /// if this host is the holder, the holder does not reply, or the server never answered it.
 ///
-/// Guards against hosts that mistake a long queue for a silent server: each of their status
-/// requests takes a connection and a slot of a server that has none to spare.
+/// Without this check, hosts would probe a server that only has a long queue: each status
+/// request takes a connection and a slot of a server that has none to spare.
 async fn holder_last_contact(host: &Host, pool: &Pool) -> Option<Duration> {
     let link = host.holder(pool)?;
     let question = Question::LastContact(pool.listed.borrow().id.clone());
@@ -212,7 +218,8 @@
     }
 }
 
-/// Returns the delay after which this host acts on a group's leader, by its rank among all hosts.
+/// Returns the delay before this host probes or replaces a group's leader, by this host's rank
+/// among all hosts.
 fn probe_delay(host: &Host, group: &Group) -> Duration {
     let leased_view = host.leased_view.borrow();
     let hosts: Vec<_> = leased_view.view().members.keys().cloned().collect();
@@ -225,9 +232,9 @@
 pub enum StatusError {
     /// The server answered, but has no capacity for the request.
     Busy,
-    /// The server's process does not run.
+    /// The server's machine refused the connection: no process listens there.
     Refused,
-    /// No answer arrived in time.
+    /// No answer arrived in time, the session was rejected, or the connection broke.
     Silent,
 }
 
@@ -247,20 +254,23 @@
     monoio::time::timeout(timeout, request).await.unwrap_or(Err(StatusError::Silent))
 }
 
-/// Returns an account for this host's own queries, since servers require one.
+/// Returns an account for this host's own queries, since servers require one: any account of the
+/// active configuration, or `-` if there is none.
 pub fn any_account(host: &Host) -> AccountId {
     let plan = host.plan();
     let account = plan.as_ref().and_then(|plan| plan.accounts().next().map(|a| a.id.clone()));
     account.unwrap_or_else(|| "-".parse().expect("the name is allowed"))
 }
 
-/// Returns the time of the store's clock, or up to a few milliseconds more.
+/// Returns the time of the store's clock, or up to a few milliseconds more; zero before the first
+/// view was applied.
 pub fn store_now(host: &Host) -> Duration {
     let leased_view = host.leased_view.borrow();
     leased_view.view().clock + leased_view.age(host.now()).unwrap_or_default()
 }
 
-/// Takes over a failover if the host that runs it is dead or has exceeded its time limit, [`FAILOVER_TTL`].
+/// Takes over the failover that began at `since` if `holder`, the host that runs it, is dead, is
+/// this host itself (which no longer runs it), or has exceeded [`FAILOVER_TTL`].
 async fn take_over(
     host: Rc<Host>,
     group: Rc<Group>,
@@ -276,7 +286,7 @@
     }
     let late = store_now(&host) > since + FAILOVER_TTL + FAILOVER_MARGIN;
     let pending = host.leased_view.borrow().leadership(&group.id).is_some_and(
-        |row| matches!(&row.value, Leadership::Moving { since: now, .. } if *now == since),
+        |row| matches!(&row.value, Leadership::Moving { since: current, .. } if *current == since),
     );
     if pending && (late || dead) {
         info!(group = %group.id, %holder, late, dead, "leader: unfinished failover taken over");
@@ -287,13 +297,16 @@
     group.probing.set(false);
 }
 
-/// Whether no process of the host runs: its machine refuses connections.
+/// Returns whether a host's machine refuses connections, which shows that no process of the host
+/// runs; false for a host that is not in the view.
 pub async fn is_dead(host: &Host, id: &HostId) -> bool {
     let Some(peer_address) = host.peer_address(id) else { return false };
     let dial = monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer_address)).await;
     matches!(dial, Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused)
 }
 
+/// Starts a failover in a task of its own, unless the group's row changes before this host has
+/// written its intent.
 fn start_failover(
     host: &Rc<Host>,
     group: &Rc<Group>,
