--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -24,41 +24,45 @@
 };
 
 /// Interval between reads of the view while all links are up. Hosts propagate a change at
-/// once, so reads only renew the lease, which lasts three times as long. Every call of the
-/// platform is charged for.
+/// once, so reads only renew the lease, which lasts three times as long. More frequent reads
+/// would cost more, since the platform bills each call.
 const VIEW_INTERVAL: Duration = Duration::from_millis(2400);
 
 /// Interval between reads of the view while a link is down: the unreachable host may be
-/// the one that changes a leader.
+/// the one that runs a failover.
 const DEGRADED_VIEW_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Maximum age of the view before a host reads it although it does not read the store for
-/// its failure domain.
+/// Maximum age of the view. A host whose view is older reads the store even if another host
+/// reads it on behalf of the failure domain.
 const MAX_VIEW_AGE: Duration = Duration::from_millis(3200);
 
-/// Delay before this host joins again after another process of it has replaced its row.
+/// Delay before this host joins again if the view that it has just read does not list it as a
+/// member, for example after another process of the host has replaced the row.
 const JOIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Interval at which a host that does not read the view checks whether it has to.
+/// Interval between checks of [`needs_read`] on a host that needs no read at present.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Delay before the first read of the view when the whole system starts for the first time.
-/// All hosts start within 0.3 s, and the store accepts 200 hosts a second: with all of them
-/// in the first view only hubs read the store from then on.
+/// Minimum delay between joining and the first read of the view when the whole system starts
+/// for the first time; up to half of it is added at random. It lets all hosts join before the
+/// first read: they start within 0.3 s, and the store accepts 200 joins a second. If the first
+/// view lists all hosts, only hubs read the store after it.
 const FIRST_START_DELAY: Duration = Duration::from_millis(800);
 
 /// Delay after a failed call of the store.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Timeout for transactions to end at the old leader in a planned failover. Most
-/// transactions are shorter, and a leaving server serves for seconds.
+/// Time for transactions to end at the former leader in a planned failover, but no longer than
+/// the lease lasts. Most transactions are shorter, and a leaving server serves for seconds.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Timeout for the request of the host that performs a failover, after which the release of
-/// the old leader is published through the store.
+/// Time for the host that runs a failover to request this host's release of the former leader,
+/// counted from the release. Without a request by then, the release is published through the
+/// store.
 const RELEASE_REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Ping interval and silence limit of links between hosts. Heartbeats are more frequent.
+/// Ping interval and timeout of links between hosts. Heartbeats are more frequent than these
+/// pings.
 pub const LINK_KEEPALIVE: Keepalive =
     Keepalive { interval: Duration::from_millis(1000), timeout: Duration::from_millis(2200) };
 
@@ -70,7 +74,7 @@
 
 const SECRET_KEY: &str = "secret";
 
-/// Key of the row for the duty of calling for promotions.
+/// Key of the row for the duty, the lock on promotion calls.
 pub const DUTY_KEY: &str = "duty";
 
 /// Returns the key of a group's row.
@@ -128,13 +132,13 @@
     pub secret: Box<str>,
 }
 
-/// Reads the view, and joins the fleet if this host is not a member. Retries until it
+/// Reads the view, and joins the fleet if this host is not a member. Retries every step until it
 /// succeeds.
 ///
-/// The row of an earlier process of the host is valid, so hosts that crash together and
+/// The row of an earlier process with the same [`member_hash`] is valid, so hosts that crash together and
 /// restart only read. Writing a row for each would take seconds when hundreds start: the
 /// store applies changes to one table partition sequentially. At the first start of the
-/// whole system there are no rows, so hosts join before they read.
+/// whole system (`Settings::first_start`) there are no rows, so hosts join before they read.
 pub async fn ensure_member(settings: &Settings, clock: &dyn Clock, client: &Client) -> Membership {
     if settings.first_start {
         retry("joining", || join(settings, client)).await;
@@ -158,25 +162,27 @@
     }
 }
 
-/// Returns the hash of this host's peer address, failure domain and power.
+/// Returns the hash of this host's peer address, failure domain and power, which is stored in
+/// [`Member::place`].
 pub fn member_hash(settings: &Settings) -> u64 {
     view::place(settings.peer_address, &settings.domain, settings.cpu_millicores)
 }
 
-/// Returns whether the view has a row of this host with its current place.
+/// Returns whether the view has a row of this host with the current [`member_hash`] that is not
+/// marked as evicted.
 fn is_member(view: &View, settings: &Settings) -> bool {
     let row = view.members.get(&settings.host);
     row.is_some_and(|row| row.value.place == member_hash(settings) && row.value.left.is_none())
 }
 
 /// Retries a step until it succeeds; the store may be unreachable when a host starts.
-async fn retry<T, F>(step: &'static str, work: impl Fn() -> F) -> T
+async fn retry<T, F>(step: &'static str, attempt: impl Fn() -> F) -> T
 where
     F: Future<Output = anyhow::Result<T>>,
 {
     loop {
-        match work().await {
-            Ok(done) => return done,
+        match attempt().await {
+            Ok(value) => return value,
             Err(error) => {
                 info!(step, error = %format_args!("{error:#}"), "fleet: start step failed, retrying");
                 monoio::time::sleep(RETRY_DELAY).await;
@@ -185,7 +191,8 @@
     }
 }
 
-/// Writes a random secret unless there is one. The caller reads the view again in any case.
+/// Writes a random secret unless the store has one. The result is not used: [`ensure_member`] reads
+/// the view again in any case.
 async fn create_secret(client: &Client) -> anyhow::Result<TxOutcome> {
     let secret = format!("{:032x}", rand::random::<u128>());
     let change = Change {
@@ -196,13 +203,15 @@
     store::change(client, &change, STORE_TIMEOUT).await
 }
 
-/// Returns whether this host has to read the view from the store now.
+/// Returns whether this host has to read the view from the store now: on behalf of its failure
+/// domain, because its view is older than [`MAX_VIEW_AGE`], or because it is not a member.
 fn needs_read(host: &Host) -> bool {
-    let old = host.leased_view.borrow().age(host.now()).is_none_or(|age| age > MAX_VIEW_AGE);
-    host.reads_store() || old || !host.leased_view.borrow().is_member()
+    let outdated = host.leased_view.borrow().age(host.now()).is_none_or(|age| age > MAX_VIEW_AGE);
+    host.reads_store() || outdated || !host.leased_view.borrow().is_member()
 }
 
-/// Keeps the view current, in an endless loop.
+/// Reads the view whenever [`needs_read`] holds or this task is woken up, and joins the fleet
+/// again if this host is no longer a member, in an endless loop.
 pub async fn follow(host: Rc<Host>) {
     let client = Client::new(host.settings.store_address);
     let mut last_read_failed = false;
@@ -237,7 +246,8 @@
                     monoio::time::sleep(JOIN_RETRY_DELAY).await;
                     continue;
                 }
-                // The view is read after the pause as well as after a wake-up.
+                // A wake-up ends the pause early; the next read takes place only if `needs_read`
+                // holds then.
                 let _ = monoio::time::timeout(pause, host.view_wakeup.notified()).await;
             }
             Err(error) => {
@@ -253,7 +263,7 @@
     }
 }
 
-/// Writes this host's row into the view.
+/// Writes this host's row to the store.
 async fn join(settings: &Settings, client: &Client) -> anyhow::Result<()> {
     let member = Member {
         peer: settings.peer_address,
@@ -275,7 +285,7 @@
     Ok(())
 }
 
-/// Removes this host from the view. Requires that it no longer uses any leader.
+/// Removes this host's row from the store. Requires that this host no longer uses any leader.
 pub async fn leave(settings: &Settings) -> anyhow::Result<()> {
     let client = Client::new(settings.store_address);
     let remove = vec![member_key(&settings.host)];
@@ -283,7 +293,8 @@
     Ok(())
 }
 
-/// Applies a view that was the newest at the local time `requested_at` or later.
+/// Applies a view that was the newest at the local time `requested_at` or later; ignores it if
+/// this host has a newer one.
 pub fn apply_view(host: &Rc<Host>, view: View, requested_at: Instant) {
     let until = host.leased_view.borrow().until();
     let before = host.leased_view.borrow().view().groups.clone();
@@ -300,7 +311,8 @@
     }
 }
 
-/// Applies one group's row, received from the host that performs its failover.
+/// Applies one group's row, received from the host that runs its failover; ignores it unless it is
+/// newer than this host's row.
 pub fn apply_row(host: &Rc<Host>, id: &GroupId, row: Versioned<Leadership>) {
     let until = host.leased_view.borrow().until();
     if host.leased_view.borrow_mut().take(id, row.clone()) {
@@ -310,8 +322,11 @@
 }
 
 /// Handles a group's new row, received at the local time `received`: if a failover has
-/// begun, ends the work at the old leader and reports the release. `until` is the end of
-/// the lease on the old leader.
+/// begun, ends the work at the former leader and publishes the release unless the host that
+/// runs the failover has requested it.
+///
+/// In a planned failover the work may go on until `until`, the end of the lease on the former
+/// leader, at most; otherwise, or if `until` is `None`, it ends at once.
 fn handle_new_row(
     host: &Rc<Host>,
     id: &GroupId,
@@ -322,10 +337,10 @@
     let group = host.group(id);
     info!(group = %id, version = row.version, leadership = ?row.value, "leader: new row in the view");
     let Leadership::Moving { planned, holder, .. } = row.value else { return };
-    let end = until.filter(|_| planned).unwrap_or(received);
+    let deadline = until.filter(|_| planned).unwrap_or(received);
     let host = host.clone();
     monoio::spawn(async move {
-        release(&host, &group, row.version, end).await;
+        release(&host, &group, row.version, deadline).await;
         monoio::time::sleep(RELEASE_REQUEST_TIMEOUT).await;
         if group.release_requested.get() >= row.version {
             return;
@@ -337,11 +352,12 @@
     });
 }
 
-/// Waits for work at the former leader to end, until `end` at most, when the lease under
-/// which it began expires, and ends the epoch.
-async fn release(host: &Host, group: &Group, version: u64, end: Instant) {
-    let end = end.min(host.now() + DRAIN_TIMEOUT);
-    while host.now() < end && !group.is_idle() {
+/// Waits for work at the former leader to end, until `deadline` or for [`DRAIN_TIMEOUT`] at
+/// most, and then records the release of the intent of the given version. Ends the epoch unless
+/// the group has another row by then.
+async fn release(host: &Host, group: &Group, version: u64, deadline: Instant) {
+    let deadline = deadline.min(host.now() + DRAIN_TIMEOUT);
+    while host.now() < deadline && !group.is_idle() {
         monoio::time::sleep(Duration::from_millis(20)).await;
     }
     if host.leased_view.borrow().leadership(&group.id).is_some_and(|row| row.version == version) {
@@ -350,11 +366,12 @@
     group.released.set(group.released.get().max(version));
 }
 
-/// Publishes through the store that this host no longer uses the old leader, for a holder
-/// of the failover that has not requested the release.
+/// Publishes through the store that this host no longer uses the former leader. `holder` is the
+/// host that runs the failover. Does nothing if that is this host, or if this host is not a
+/// member of the fleet.
 ///
-/// Otherwise a failover takes a whole lease when some hosts are cut off from the others but
-/// not from the store.
+/// Without the publication, a failover takes a whole lease when some hosts are cut off from the
+/// others but not from the store.
 async fn publish_release(host: &Host, holder: &HostId, version: u64) -> anyhow::Result<()> {
     if *holder == host.settings.host || !host.leased_view.borrow().is_member() {
         return Ok(());
@@ -374,6 +391,8 @@
     Ok(())
 }
 
+/// Updates the links to other hosts and the parties that share the rates from the members of the
+/// view.
 fn update_members(host: &Host) {
     let leased_view = host.leased_view.borrow();
     let view = leased_view.view();
@@ -403,7 +422,8 @@
     *host.neighbours.borrow_mut() = neighbours;
 }
 
-/// Returns the party name under which a failure domain has its share of every rate.
+/// Returns the name under which a failure domain has its share of every account's rate. Used in
+/// fleets in which not all hosts are connected to each other.
 pub fn domain_party(domain: &FailureDomain) -> HostId {
     domain.as_str().parse().expect("failure domain names are valid host names")
 }
--- a/components/proxy/src/monitor.rs
+++ b/components/proxy/src/monitor.rs
@@ -124,8 +124,8 @@
     }
 }
 
-/// Returns the reason to replace a healthy leader; `None` without one, or if no other server may
-/// lead.
+/// Returns the reason to replace a healthy leader; `None` if there is no reason or no other server
+/// may lead.
 fn planned_failover_reason(host: &Host, group: &Group, leader: &Rc<Pool>) -> Option<&'static str> {
     let leaving = leader.listed.borrow().leaving;
     let evacuated = placement::of(host, leader) != evacuation::Placement::Allowed;
