--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -42,8 +42,8 @@
 /// Validity of the hub's last report that it has contact with a majority of the fleet.
 const HUB_MAJORITY_TTL: Duration = Duration::from_millis(2000);
 
-/// Silence with an answer outstanding after which a connection holder is passed over for
-/// the next one. Hosts with permanent links send a heartbeat every 400 ms, and a slow
+/// Time without a message from a connection holder, while an answer from it is outstanding,
+/// after which statements go to the next holder. Hosts with permanent links send a heartbeat every 400 ms, and a slow
 /// statement takes 200 ms.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(550);
 
@@ -51,14 +51,14 @@
 /// plus the processing time of a busy host.
 const LINK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Two reported ends of a server's cold phase that differ by less count as equal.
+/// Difference below which two reported ends of a server's cold phase count as equal.
 const COLD_TOLERANCE: Duration = Duration::from_millis(1000);
 
 /// Added to the reported end of a server's cold phase: [`COLD_TOLERANCE`] plus the
 /// uncertainty of the store's clock.
 const COLD_MARGIN: Duration = Duration::from_millis(1100);
 
-/// Shutdown phase of a host, in order.
+/// Shutdown phase of a host; the variants are in the order in which they occur.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
     /// No shutdown in progress.
@@ -101,7 +101,8 @@
     pub servers_clock: Cell<Duration>,
     /// Evacuated failure domains.
     pub evacuations: RefCell<evacuation::Set>,
-    /// Servers whose entry has disappeared, each with a random number for that occurrence.
+    /// Servers whose entry has disappeared from the list, each with a random number that identifies
+    /// this disappearance.
     pub missing: RefCell<HashMap<ServerId, u64>>,
     /// Hash of the server list.
     pub servers_stamp: Cell<u64>,
@@ -109,7 +110,7 @@
     pub neighbours: RefCell<Neighbours>,
     /// Local time of the hub's last report that it has contact with a majority.
     pub hub_majority: Cell<Option<Instant>>,
-    /// Hosts with an outstanding request for newer state, and its start.
+    /// Hosts to which a request for newer state is outstanding, with the time of the request.
     pub pending_requests: RefCell<HashMap<HostId, Instant>>,
     /// Time of the last contact from each host, and the version of its row at that time.
     pub last_contact: RefCell<HashMap<HostId, (Instant, Option<u64>)>>,
@@ -145,6 +146,7 @@
     pub sessions: Cell<usize>,
 }
 
+/// Groups the pools by database group, each group's sorted by server.
 fn pools_by_group(pools: &HashMap<ServerId, Rc<Pool>>) -> HashMap<GroupId, Vec<Rc<Pool>>> {
     let mut by_group: HashMap<GroupId, Vec<Rc<Pool>>> = HashMap::new();
     for pool in pools.values() {
@@ -156,6 +158,7 @@
     by_group
 }
 
+/// Returns the accounts by descending rate; accounts of equal rate by id.
 fn accounts_by_rate(plan: &Plan) -> Rc<[AccountId]> {
     let mut accounts: Vec<_> = plan.accounts().collect();
     accounts.sort_by(|a, b| b.rate.0.total_cmp(&a.rate.0).then_with(|| a.id.cmp(&b.id)));
@@ -176,10 +179,10 @@
     /// Activates a configuration, which must be newer than the active one. `compressed` is
     /// the document served to other hosts.
     pub fn set_plan(&self, plan: Plan, compressed: Bytes) {
-        let known = self.plan().map(|plan| plan.version);
+        let previous = self.plan().map(|plan| plan.version);
         info!(
             version = plan.version.0,
-            before = known.map(|version| version.0),
+            before = previous.map(|version| version.0),
             routes = plan.routes.len(),
             keys = plan.keys.len(),
             packed = compressed.len(),
@@ -190,7 +193,7 @@
         for account in plan.accounts() {
             let (id, rate, burst) = (&account.id, account.rate, account.burst);
             // Accounts of the first configuration may have been in use before this host started.
-            if known.is_some() {
+            if previous.is_some() {
                 demand.create(id, rate, burst, now);
             } else {
                 demand.set_contract(id, rate, burst, now);
@@ -209,29 +212,32 @@
         self.plan().map(|plan| plan.version).unwrap_or_default()
     }
 
-    /// Returns the time since the active configuration was last confirmed to be the newest.
+    /// Returns an upper bound of the time since the active configuration was last confirmed to be
+    /// the newest; `None` while the store's clock is unknown.
     pub fn plan_age(&self) -> Option<Duration> {
         self.store_age(self.documents.borrow().confirmed())
     }
 
-    /// Returns whether the active configuration is current enough to serve callers.
+    /// Returns whether the active configuration is current enough to serve callers, and the
+    /// evacuations are known.
     pub fn may_serve(&self) -> bool {
-        let standing = ConfigState {
+        let state = ConfigState {
             age: self.plan_age(),
             outdated: self.newest.get() > self.version(),
             majority: self.reaches_majority(),
         };
         let (apply, strict) = (self.settings.apply_bound, self.settings.revocation_bound);
-        self.evacuations.borrow().is_known() && standing.may_serve(Bounds { apply, strict })
+        self.evacuations.borrow().is_known() && state.may_serve(Bounds { apply, strict })
     }
 
     /// Returns whether this host has contact with a majority of the hosts, itself included.
     ///
-    /// A host that is not a hub relies on its hub's report.
+    /// A host that is not a hub uses its hub's report, which is valid for
+    /// [`HUB_MAJORITY_TTL`].
     pub fn reaches_majority(&self) -> bool {
         if !self.is_hub() {
-            let reported = self.hub_majority.get();
-            return reported
+            let reported_at = self.hub_majority.get();
+            return reported_at
                 .is_some_and(|at| self.now().saturating_duration_since(at) < HUB_MAJORITY_TTL);
         }
         let links = self.mesh.links();
@@ -239,7 +245,8 @@
         2 * up > links.len() + 1
     }
 
-    /// Returns the hub of this host's failure domain.
+    /// Returns the hub of this host's failure domain: the first candidate that is this host or is
+    /// reachable, or this host if there is none.
     pub fn hub(&self) -> HostId {
         let is_up = |id: &HostId| self.mesh.link(id).is_some_and(|link| link.is_up());
         self.neighbours.borrow().hub(&self.settings.host, is_up)
@@ -248,7 +255,7 @@
     /// Returns whether this host reads the store on behalf of its failure domain.
     ///
     /// A host that is no hub candidate and reaches no candidate is its own hub, but reads the
-    /// store only when its state has become old.
+    /// store only when its view has become old or does not list it as a member.
     pub fn reads_store(&self) -> bool {
         self.is_hub_candidate() && self.is_own_hub()
     }
@@ -269,7 +276,8 @@
         self.neighbours.borrow().mesh || self.is_own_hub()
     }
 
-    /// Returns the versions of the state that this host has, and when each was current.
+    /// Returns the versions of this host's state, each with the store time at which it was last
+    /// known to be current.
     pub fn versions(&self) -> KnownVersions {
         let leased_view = self.leased_view.borrow();
         KnownVersions {
@@ -345,7 +353,8 @@
         if self.leased() { group.begin() } else { None }
     }
 
-    /// Returns whether the leader in use is still certain to lead.
+    /// Returns whether a use of a leader may continue: its epoch has not ended, and this host's
+    /// lease is valid.
     pub fn holds(&self, usage: &LeaderUse) -> bool {
         usage.holds() && self.leased()
     }
@@ -385,9 +394,10 @@
         }
     }
 
-    /// Recomputes the connection holders of each server if they may have changed.
+    /// Recomputes the connection holders of each server after a change of the members, and of
+    /// servers without holders.
     ///
-    /// Recomputing them on every change of a leader would cost hosts times servers each time.
+    /// The cost is proportional to hosts times servers, too much for every change of a leader.
     fn update_holders(&self) {
         let leased_view = self.leased_view.borrow();
         let members = holders::stamp(leased_view.view());
@@ -398,15 +408,16 @@
                 continue;
             }
             let listed = pool.listed.borrow();
-            let strong = eligible
+            let candidates = eligible
                 .entry(listed.domain.clone())
                 .or_insert_with(|| holders::eligible(leased_view.view(), &listed.domain));
-            *pool.holders.borrow_mut() = holders::order(strong, listed.id.as_str());
+            *pool.holders.borrow_mut() = holders::order(candidates, listed.id.as_str());
         }
     }
 
     /// Returns the leader of a group by the view; for a group without a row in the view, the
-    /// server that lists itself as primary, if it is the only one.
+    /// server that lists itself as primary, if it is the only one. `None` during a failover and
+    /// before the first view.
     fn listed_leader(&self, group: &GroupId) -> Option<ServerId> {
         let leased_view = self.leased_view.borrow();
         leased_view.age(self.now())?;
@@ -428,20 +439,21 @@
         self.missing.borrow_mut().remove(&listed.id);
         let mut pools = self.pools.borrow_mut();
         let now = self.now();
-        let known = pools.get(&listed.id).map(|pool| pool.listed.borrow().clone());
-        let is_moved =
-            |known: &ListedServer| (&known.group, &known.domain) != (&listed.group, &listed.domain);
-        if known.as_ref().is_none_or(is_moved) {
+        let previous = pools.get(&listed.id).map(|pool| pool.listed.borrow().clone());
+        let is_moved = |previous: &ListedServer| {
+            (&previous.group, &previous.domain) != (&listed.group, &listed.domain)
+        };
+        if previous.as_ref().is_none_or(is_moved) {
             *self.by_group.borrow_mut() = None;
             self.holders_stamp.set(0);
         }
         match pools.get(&listed.id) {
             Some(pool) => {
-                let known = pool.listed.borrow().cold;
-                // Each report is relative to its own time, so small differences are no change:
-                // every change is propagated to all hosts.
-                if !known.is_zero() && listed.cold.abs_diff(known) < COLD_TOLERANCE {
-                    listed.cold = known;
+                let reported = pool.listed.borrow().cold;
+                // Ends are computed from the time of each report and vary slightly. Small
+                // differences are ignored, because every change is propagated to all hosts.
+                if !reported.is_zero() && listed.cold.abs_diff(reported) < COLD_TOLERANCE {
+                    listed.cold = reported;
                 }
                 let before = pool.listed.replace(listed.clone());
                 if before != listed {
@@ -485,8 +497,9 @@
         }
     }
 
-    /// Closes unused connections, opens others ahead of demand and sweeps transactions of
-    /// other hosts, in an endless loop.
+    /// Closes unused connections, opens others ahead of use and closes transactions of other hosts
+    /// that are idle for too long, whose host is gone or whose server is forbidden, in an endless
+    /// loop.
     pub async fn maintain_pools(self: Rc<Self>) {
         loop {
             monoio::time::sleep(pool::TRIM_INTERVAL).await;
@@ -505,8 +518,8 @@
         }
     }
 
-    /// Returns the link to the host that holds a server's connections; `None` if this host
-    /// is the holder or no other holder is reachable.
+    /// Returns the link to the first usable holder of a server's connections; `None` if this host
+    /// comes before it, no holder is usable, or shared connections are disabled.
     pub fn holder(&self, pool: &Pool) -> Option<Rc<Link>> {
         if !self.settings.is_enabled(Mechanism::SharedConnections) {
             return None;
@@ -525,7 +538,8 @@
         None
     }
 
-    /// Returns [`Host::holder`] after a first connection attempt to holders without a link.
+    /// Returns [`Host::holder`] after the first connection attempt of the links to the holders, for
+    /// which it waits [`LINK_TIMEOUT`] per holder at most.
     ///
     /// Without the attempt, the first statement to each server would open a connection of this
     /// host's own: in a large fleet most pairs of host and server see few statements.
@@ -549,7 +563,8 @@
         self.leased_view.borrow().view().members.get(host).map(|member| member.value.peer)
     }
 
-    /// Returns a link to any host of the fleet, starting it if needed.
+    /// Returns a link to any host of the fleet, starting it if needed; `None` if the view does not
+    /// list the host.
     pub fn reach(&self, id: &HostId) -> Option<Rc<Link>> {
         let leased_view = self.leased_view.borrow();
         let member = &leased_view.view().members.get(id)?.value;
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -22,8 +22,8 @@
 
 use crate::backend::{Backend, OpenError};
 
-/// Time after a server rejected a connection for which this host opens one fewer and keeps no
-/// idle ones.
+/// Time after a server rejected a connection for which a host that is not the holder lowers its
+/// maximum number of connections by one and keeps none of them when given back.
 const OBSERVED_LIMIT_TTL: Duration = Duration::from_secs(3);
 
 /// Time after a rejection for which the holder opens no more connections than the server
@@ -31,14 +31,14 @@
 /// within 3 s.
 const HOLDER_OBSERVED_LIMIT_TTL: Duration = Duration::from_millis(250);
 
-/// Statements that a holder keeps in flight beyond a server's slots, so that the next one is
-/// there when a slot becomes free and not a round trip later.
+/// Statements that a holder keeps in flight beyond a server's slots, so that the next one has
+/// arrived when a slot becomes free, instead of a round trip later.
 const EXTRA_IN_FLIGHT: usize = 1;
 
-/// Time for which connections are opened ahead of use before their accounts are selected anew.
+/// Maximum duration of one run of [`Pool::open_ahead`]; the next run uses the current accounts.
 const OPEN_AHEAD_PERIOD: Duration = Duration::from_secs(1);
 
-/// Delay after a connection failed before others are opened ahead of use.
+/// Delay after a failed connection before [`Pool::open_ahead`] runs again.
 const OPEN_AHEAD_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Interval between checks for unused connections.
@@ -51,7 +51,7 @@
 pub struct Pool {
     /// The server's entry in the list of servers.
     pub listed: RefCell<ListedServer>,
-    /// Health of the server, as its answers show it.
+    /// Health of the server, derived from its answers.
     pub health: RefCell<Health>,
     /// Outstanding answers on connections of this host, forwarded statements included.
     pub exchanges: RefCell<silence::AnswerTracker>,
@@ -63,23 +63,24 @@
     cold: Cell<(Option<cold::Limit>, cold::Tolerance)>,
     /// Limiter of the statements in flight, with their queue.
     gate: RefCell<Gate>,
-    /// Channels that admit queued statements, by their place in the queue.
+    /// Channels that admit queued statements, by the key of their place in the queue.
     waiters: RefCell<HashMap<QueueKey, oneshot::Sender<()>>>,
     /// Idle connections, each with the time of its last use.
     idle: RefCell<idle::Connections<(Backend, Instant)>>,
-    /// Connections open or being opened, idle ones included; at most the cap of `bounds`.
+    /// Connections open or being opened, idle ones included.
     open: Cell<usize>,
     bounds: Cell<Bounds>,
     /// Role of this host for the server's connections.
     role: Cell<Role>,
     /// Hosts eligible to hold the server's connections, in order of preference.
     pub holders: RefCell<Vec<HostId>>,
-    /// Connections that the server accepted when it last rejected one, and until when this
-    /// limits the pool.
+    /// End of the time for which the last rejection limits the pool, and the number of this host's
+    /// connections that the server had accepted then.
     observed_limit: Cell<Option<(Instant, usize)>>,
-    /// Notified when a connection is given back or closed.
+    /// Notified when connections are given back or closed.
     freed: Notify,
-    /// Earliest time of the next [`Pool::open_ahead`], while one runs or after one failed.
+    /// Earliest start of the next [`Pool::open_ahead`]; `None` unless a run is in progress or has
+    /// failed.
     next_open_ahead: Cell<Option<Instant>>,
 }
 
@@ -103,7 +104,7 @@
 /// A permit for one statement in flight; released on drop.
 pub struct Permit {
     pool: Rc<Pool>,
-    /// Time that the server took to answer; `None` without an answer.
+    /// Latency of the server's answer; `None` without an answer.
     pub latency: Cell<Option<Duration>>,
 }
 
@@ -148,18 +149,19 @@
         self.gate.borrow_mut().set_bounds(min_in_flight, bounds.cap);
     }
 
-    /// Sets the request limit for the time that the server is cold, and its tolerance.
+    /// Sets the request limit that applies while the server is cold, and its tolerance; `None` for
+    /// no limit.
     pub fn set_cold(&self, limit: Option<cold::Limit>, tolerance: cold::Tolerance) {
         self.cold.set((limit, tolerance));
     }
 
-    /// Whether the server is cold, or may be.
+    /// Returns whether the server is cold, or may be.
     pub fn is_cold(&self, now: StdInstant) -> bool {
         self.warmth.borrow().is_cold(now)
     }
 
-    /// Counts a request against this host's share of a cold server's limit; fails with the
-    /// delay after which the share may allow one.
+    /// Counts a request against this host's share of a cold server's limit; fails with the delay
+    /// after which the share may allow one. A server that is warm or has no limit is not counted.
     fn admit_cold(&self, now: StdInstant) -> Result<(), Duration> {
         let mut warmth = self.warmth.borrow_mut();
         let (Some(limit), tolerance) = self.cold.get() else { return Ok(()) };
@@ -169,13 +171,13 @@
         warmth.take(cold::max_requests(limit, tolerance, self.role.get()), now)
     }
 
-    /// Records that a connection in use broke.
+    /// Records that a connection in use broke: the server may have restarted and be cold.
     pub fn record_disconnect(&self) {
         let (limit, _) = self.cold.get();
         self.warmth.borrow_mut().lost(limit, StdInstant::now());
     }
 
-    /// Whether this host holds the server's connections for all hosts.
+    /// Returns whether this host holds the server's connections for all hosts.
     fn is_holder(&self) -> bool {
         self.role.get() == Role::Holder
     }
@@ -185,8 +187,9 @@
         self.gate.borrow().wait(priority, now + queue_timeout)
     }
 
-    /// Waits until a statement may be sent; fails with the delay before a retry if its turn
-    /// does not come within `queue_timeout`. Priority 0 is the most urgent.
+    /// Waits until a statement may be sent. Fails with the delay before a retry: at once if the
+    /// expected wait exceeds `queue_timeout` or the share of a cold server's limit is used up, and
+    /// otherwise if the turn does not come within `queue_timeout`. Priority 0 is the most urgent.
     pub async fn enter(
         self: &Rc<Self>,
         priority: u32,
@@ -195,21 +198,21 @@
     ) -> Result<Permit, Duration> {
         self.admit_cold(now)?;
         let entry = self.gate.borrow_mut().enter(priority, queue_timeout, now);
-        let place = match entry {
+        let key = match entry {
             Admission::Admitted => {
                 return Ok(Permit { pool: self.clone(), latency: Cell::default() });
             }
             Admission::Refused(wait) => return Err(wait),
-            Admission::Queued(place) => place,
+            Admission::Queued(key) => key,
         };
         let (sender, receiver) = oneshot::channel();
-        self.waiters.borrow_mut().insert(place, sender);
+        self.waiters.borrow_mut().insert(key, sender);
         if let Ok(Ok(())) = monoio::time::timeout(queue_timeout, receiver).await {
             return Ok(Permit { pool: self.clone(), latency: Cell::default() });
         }
-        self.gate.borrow_mut().leave(place);
-        // The turn came after the timeout: it passes to the next statement.
-        if self.waiters.borrow_mut().remove(&place).is_none() {
+        self.gate.borrow_mut().leave(key);
+        // The statement was admitted after its timeout: the next one is admitted in its place.
+        if self.waiters.borrow_mut().remove(&key).is_none() {
             self.gate.borrow_mut().end(None);
             self.wake(now + queue_timeout);
         }
@@ -218,11 +221,14 @@
 
     /// Admits a statement of an open transaction without queueing.
     ///
-    /// On a cold server it waits for this host's share of the request limit; fails with the
-    /// remaining delay if that ends after `until`.
-    pub async fn enter_in_transaction(self: &Rc<Self>, until: Instant) -> Result<Permit, Duration> {
+    /// On a cold server, waits until this host's share of the request limit allows the statement;
+    /// fails with the remaining delay if that is not before `deadline`.
+    pub async fn enter_in_transaction(
+        self: &Rc<Self>,
+        deadline: Instant,
+    ) -> Result<Permit, Duration> {
         while let Err(wait) = self.admit_cold(StdInstant::now()) {
-            if Instant::now() + wait >= until {
+            if Instant::now() + wait >= deadline {
                 return Err(wait);
             }
             monoio::time::sleep(wait).await;
@@ -234,23 +240,24 @@
     /// Admits queued statements as far as the limiter allows.
     fn wake(&self, now: StdInstant) {
         let next = || self.gate.borrow_mut().next(now);
-        while let Some(place) = next() {
-            let sender = self.waiters.borrow_mut().remove(&place);
+        while let Some(key) = next() {
+            let sender = self.waiters.borrow_mut().remove(&key);
             if sender.is_none_or(|sender| sender.send(()).is_err()) {
                 self.gate.borrow_mut().end(None);
             }
         }
     }
 
-    /// Whether the account has an idle connection.
+    /// Returns whether the account has an idle connection.
     pub fn has_idle(&self, account: &AccountId) -> bool {
         self.idle.borrow().has(account)
     }
 
     /// Closes all idle connections.
     ///
-    /// The connections to a server stop responding together, without a reset. Each one that is
-    /// tried then costs a request its time, and leaves the outcome of a write unknown.
+    /// Also used when a connection times out: the connections to a server stop responding together,
+    /// without a reset. Each use of another one would cost a request its timeout and leave the
+    /// outcome of a write unknown.
     pub fn drop_idle(&self) {
         let dropped = std::mem::take(&mut *self.idle.borrow_mut()).len();
         self.open.set(self.open.get() - dropped);
@@ -277,7 +284,7 @@
             }
             if self.open.get() < self.cap() {
                 match self.open_connection(account).await {
-                    // Waits for a connection that is given back or closed.
+                    // The holder waits until one of its connections is given back or closed.
                     Err(NoConnection::Open(OpenError::Rejected(Failure::TooMany)))
                         if self.is_holder() && self.open.get() > 0 => {}
                     opened => return opened,
@@ -305,7 +312,8 @@
         self.lease(account, &Values::new(), deadline).await
     }
 
-    /// Returns the maximum number of open connections.
+    /// Returns the maximum number of open connections; lower than the cap of `bounds` for a time
+    /// after the server rejected one, but at least 1.
     fn cap(&self) -> usize {
         let limit =
             self.observed_limit().map(|limit| if self.is_holder() { limit } else { usize::MAX });
@@ -315,14 +323,15 @@
         }
     }
 
-    /// Returns the number of connections that the server accepted, if it rejected one lately.
+    /// Returns the number of this host's connections that the server had accepted when it rejected
+    /// one; `None` without a recent rejection.
     fn observed_limit(&self) -> Option<usize> {
         let current = self.observed_limit.get().filter(|(until, _)| Instant::now() < *until);
         current.map(|(_, limit)| limit)
     }
 
-    /// Opens connections for accounts without one, one after the other, while the server is
-    /// not busy; `accounts` are in descending order of their rates.
+    /// Opens connections for accounts without one, sequentially, while the server is not busy;
+    /// `accounts` are in descending order of their rates.
     ///
     /// Does nothing unless this host is the holder, while a previous call still runs, or for
     /// [`OPEN_AHEAD_RETRY_DELAY`] after a connection failed.
@@ -334,9 +343,9 @@
         self.next_open_ahead.set(Some(Instant::now() + OPEN_AHEAD_PERIOD));
         let (pool, accounts) = (self.clone(), accounts.clone());
         monoio::spawn(async move {
-            let until = Instant::now() + OPEN_AHEAD_PERIOD;
+            let deadline = Instant::now() + OPEN_AHEAD_PERIOD;
             while let Some(account) =
-                pool.next_to_open(&accounts).filter(|_| Instant::now() < until)
+                pool.next_to_open(&accounts).filter(|_| Instant::now() < deadline)
             {
                 let opened = pool.open_connection(account).await;
                 let Ok(leased) = opened else {
@@ -349,6 +358,8 @@
         });
     }
 
+    /// Returns the account for which to open a connection ahead of use; `None` if the server is
+    /// busy or leaving, has rejected a connection lately, or has enough connections.
     fn next_to_open<'a>(&self, accounts: &'a [AccountId]) -> Option<&'a AccountId> {
         let listed = self.listed.borrow();
         if listed.leaving || self.observed_limit().is_some() {
@@ -392,7 +403,7 @@
     }
 
     async fn open_connection(self: &Rc<Self>, account: &AccountId) -> Result<Leased, NoConnection> {
-        // Counted before it is open; dropping `leased` takes the count back on failure.
+        // Counted before it is open; on failure the drop of `leased` decrements the count.
         self.open.set(self.open.get() + 1);
         let mut leased = Leased { backend: None, pool: self.clone(), returned: false };
         let listed = self.listed.borrow().clone();
@@ -436,11 +447,13 @@
         &self.pool
     }
 
-    /// Returns the connection to the pool, for the next statement.
+    /// Gives the connection back to the pool for the next statement; closes it instead on a host
+    /// that is not the holder while the server is at its connection limit.
     pub fn give_back(mut self) {
         if let Some(backend) = self.backend.take() {
-            // Closed while the server is at its limit: hosts with connections of their own
-            // need the room more. A holder has them for all hosts and keeps its own.
+            // While the server is at its limit, a host that is not the holder closes the
+            // connection to make room for others. The holder keeps its connections, since they
+            // serve all hosts.
             if self.pool.observed_limit().is_some() && !self.pool.is_holder() {
                 return;
             }
