--- a/components/proxy/src/conn.rs
+++ b/components/proxy/src/conn.rs
@@ -20,8 +20,8 @@
     pool::{Leased, NoConnection, Permit, Pool},
 };
 
-/// Time beyond a statement's timeout for the holder's answer to arrive: a round trip, and what
-/// a busy host needs to report the timeout.
+/// Time beyond a statement's timeout for the holder's answer to arrive: a round trip, and the
+/// delay with which a busy host reports the timeout.
 const FORWARD_MARGIN: Duration = Duration::from_millis(30);
 
 /// Timeout of a request to a holder to close the connection of a transaction.
@@ -30,15 +30,15 @@
 /// Priority and time limits of a request that waits for a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueParams {
-    /// Priority where not all requests can be served; 0 is the most urgent.
+    /// Priority if not all requests can be served; 0 is the most urgent.
     pub priority: u32,
-    /// Queue timeout.
+    /// Maximum time in the queue of the server.
     pub queue_timeout: Duration,
-    /// Time after which a connection is of no use.
+    /// Time until which the request may wait for a connection.
     pub deadline: Instant,
 }
 
-/// Reason why an exchange brought no answer of the server.
+/// Reason why an exchange ended without an answer of the server.
 #[derive(Clone, Copy, Debug)]
 pub enum ExchangeError {
     /// The server did not receive the statement.
@@ -52,7 +52,7 @@
 /// A connection of this host's own.
 pub struct Own {
     leased: Leased,
-    /// Permit for the first statement; each further one takes its own.
+    /// Permit for the first statement; `None` afterwards, when each statement acquires its own.
     permit: Option<Permit>,
 }
 
@@ -62,12 +62,13 @@
     link: Rc<Link>,
     account: AccountId,
     queue: QueueParams,
+    /// Lines to send with the next exchange.
     line: BytesMut,
     values: BTreeMap<Box<str>, Box<str>>,
     shape: Option<Shape>,
-    /// Whether the line is independent of the session's values.
+    /// Whether `line` is independent of the session's values.
     without_session: bool,
-    /// Number of the transaction that runs, or is to be opened, on the connection.
+    /// Id of the transaction that runs, or is to be opened, on the connection.
     transaction: Option<TransactionId>,
     /// Whether the holder keeps the connection for the transaction.
     pinned: bool,
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Whether the connection is one of this host's own.
+    /// Returns whether the connection is one of this host's own.
     pub fn is_own(&self) -> bool {
         matches!(self, Self::Own(_))
     }
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Marks the next line as the one that opens a transaction.
+    /// Marks the next line as one that opens a transaction, for the holder of the connection. Has no
+    /// effect on a connection of this host's own.
     pub fn begin_transaction(&mut self) {
         if let Self::Remote(remote) = self {
             remote.transaction = Some(rand::random());
@@ -171,7 +173,7 @@
     }
 
     /// Gives the connection back for other statements if no transaction is open on it after
-    /// that answer; otherwise closes it and returns false.
+    /// `answer`, the last one; otherwise closes it and returns false.
     pub fn give_back(self, answer: &ServerAnswer) -> bool {
         match self {
             Self::Own(own) => {
@@ -182,7 +184,7 @@
                 }
                 clean
             }
-            // The holder has evaluated the same answer.
+            // The holder has given the connection back or kept it by the same answer.
             Self::Remote(remote) => !remote.pinned,
         }
     }
@@ -236,7 +238,7 @@
             queue_timeout_ms: self.queue.queue_timeout.as_millis() as u32,
             timeout_ms: timeout.as_millis() as u32,
         };
-        // Until its answer arrives the holder may keep the connection.
+        // Until the answer arrives, the holder may keep the connection for the transaction.
         self.pinned = self.transaction.is_some();
         self.without_session = false;
         let answer = forward(&self.link, statement).await?;
@@ -250,7 +252,7 @@
         let Some(transaction) = self.transaction.filter(|_| self.pinned) else { return };
         let link = self.link.clone();
         monoio::spawn(async move {
-            // A holder out of reach closes the connection by itself.
+            // A holder that cannot be reached closes the connection by itself.
             let _ = link.query(Question::CancelTransaction(transaction), CLOSE_TIMEOUT).await;
         });
     }
@@ -292,12 +294,13 @@
     forward(link, statement).await
 }
 
-/// Returns the reason given while a server's queue is full; it may have room after `wait`.
+/// Returns the reason for a statement refused because a server's queue is full; the queue may
+/// have room after `wait`.
 pub fn queue_full(wait: Duration) -> NotSent {
     NotSent::QueueFull(wait.as_millis() as u32)
 }
 
-/// Returns the reason given when no connection was leased.
+/// Returns the reason for a statement not sent because no connection was leased.
 pub fn not_sent(error: NoConnection) -> NotSent {
     match error {
         NoConnection::Full => NotSent::Full,
