--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -29,24 +29,24 @@
     pool::{NoConnection, Pool},
 };
 
-/// Timeout of a status request to one replica. As long as a commit waits: an earlier timeout
-/// closes the request's connection, and opening a new one takes a slot of a server that has none
-/// to spare for longer than the request does.
+/// Timeout of a status request to one replica, equal to the maximum wait of a commit. A shorter
+/// timeout would close the request's connection sooner, and opening a new one occupies a slot of a
+/// server that has none to spare for longer than the request does.
 const STATUS_TIMEOUT: Duration = CONFIRM_TIMEOUT;
 
-/// Timeout of a status request forwarded to another host: half of the time that a commit has, so
-/// that this host can still send its own.
+/// Timeout of a status request forwarded to another host: half of [`CONFIRM_TIMEOUT`], so that
+/// this host can still send a request of its own.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Delay before a replica that lacks a commit is polled again: the time that a commit takes
 /// between two failure domains.
 const RETRY_DELAY: Duration = Duration::from_millis(3);
 
-/// Delay before a further replica is polled too: longer than a usual statement at the first one
-/// may delay its answer.
+/// Delay without a new reading before a further replica is polled as well: longer than a usual
+/// statement at the first replica may delay that replica's answer.
 const NEXT_REPLICA_DELAY: Duration = Duration::from_millis(40);
 
-/// Interval between polls of a replica while replicas receive nothing and no commit waits.
+/// Interval between polls of a replica while a commit is unconfirmed but none waits any more.
 const STALLED_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Received positions of a group's replicas, and the commits that wait for them.
@@ -54,7 +54,7 @@
 pub struct Receipts {
     /// Last readings of the replicas.
     pub state: RefCell<ReplicaProgress>,
-    /// Number of commits that wait.
+    /// Number of commits that wait for a confirmation.
     waiting: Cell<usize>,
     /// Replicas that are being polled.
     polling: RefCell<HashSet<ServerId>>,
@@ -63,7 +63,7 @@
 }
 
 impl Receipts {
-    /// Discards all readings, after another server became leader.
+    /// Discards all readings, for use after a change of the leader.
     pub fn reset(&self) {
         *self.state.borrow_mut() = ReplicaProgress::default();
         self.updated.notify_waiters();
@@ -71,7 +71,8 @@
 }
 
 /// Waits until a second server holds a commit of the group's leader; fails with the reason for the
-/// caller if that cannot be shown in time.
+/// caller if that is not shown within [`CONFIRM_TIMEOUT`]. Succeeds without a second server if no
+/// replica runs or has capacity for a status request.
 pub async fn wait(host: &Rc<Host>, group: &Rc<Group>, commit: Point) -> Result<(), &'static str> {
     let receipts = &group.receipts;
     let (began, deadline) = (host.now(), Instant::now() + CONFIRM_TIMEOUT);
@@ -79,8 +80,8 @@
     let mut polled = 1;
     let verdict = loop {
         let replicas = replicas(host, group);
-        let names: Vec<_> = replicas.iter().map(|(id, _)| id.clone()).collect();
-        let verdict = receipts.state.borrow_mut().verdict(commit, &names, began, host.now());
+        let ids: Vec<_> = replicas.iter().map(|(id, _)| id.clone()).collect();
+        let verdict = receipts.state.borrow_mut().verdict(commit, &ids, began, host.now());
         if verdict != Verdict::Pending {
             break verdict;
         }
@@ -110,7 +111,8 @@
     }
 }
 
-/// Returns the servers of a group other than its leader, in the order in which they are polled.
+/// Returns the servers of a group other than its leader whose placement is allowed, in the order in which they are polled: warm before cold, then by expected wait, then
+/// this host's failure domain first.
 fn replicas(host: &Host, group: &Group) -> Vec<(ServerId, Rc<Pool>)> {
     let leader = group.leader();
     let servers = host.servers(&group.id).into_iter();
@@ -125,14 +127,15 @@
     replicas
 }
 
-/// Polls a replica while commits wait or replicas receive nothing.
+/// Polls a replica while commits wait or a commit is unconfirmed. Ends when the server becomes the
+/// leader, the group has no leader, or the server is removed from the list.
 async fn poll_replica(host: Rc<Host>, group: Rc<Group>, id: ServerId, pool: Rc<Pool>) {
     let receipts = &group.receipts;
     loop {
         let waiting = receipts.waiting.get() > 0;
         let stalled = receipts.state.borrow().is_stalled();
-        let replica = group.leader().is_some_and(|leader| leader != id);
-        if !(waiting || stalled) || !replica || host.server(&id).is_none() {
+        let is_replica = group.leader().is_some_and(|leader| leader != id);
+        if !(waiting || stalled) || !is_replica || host.server(&id).is_none() {
             break;
         }
         let before = receipts.state.borrow().clone();
@@ -140,7 +143,7 @@
         receipts.state.borrow_mut().record(&id, reading, host.now());
         receipts.updated.notify_waiters();
         let advanced = matches!(reading, ProbeResult::Received(point) if !before.covers(point));
-        // Without a delay the sleep still lets confirmed commits finish before the next count.
+        // A sleep of zero still lets confirmed commits finish before `waiting` is read again.
         let delay = match (advanced, waiting) {
             (true, _) => Duration::ZERO,
             (false, true) => RETRY_DELAY,
@@ -151,7 +154,8 @@
     receipts.polling.borrow_mut().remove(&id);
 }
 
-/// Requests the position that a replica has received.
+/// Requests the position that a replica has received, through the holder of its connections if
+/// possible.
 async fn received_position(host: &Host, pool: &Rc<Pool>) -> ProbeResult {
     let deadline = Instant::now() + STATUS_TIMEOUT;
     let request = async {
@@ -160,7 +164,7 @@
             None => own_status(host, pool, deadline).await?,
         };
         let status = wire::decode_status(&answer).ok_or(ProbeResult::Busy)?;
-        // A server that reports itself as leader is the new or a former one, not a replica.
+        // A server that reports that it leads is the new or a former leader, not a replica.
         Ok(if status.role == Role::Replica {
             ProbeResult::Received(status.received)
         } else {
@@ -174,8 +178,8 @@
 /// Requests a replica's status through the host that holds its connections; `None` if that host
 /// is out of reach or returns neither a status nor a reason that counts as a reading.
 ///
-/// Guards against an own connection for every commit: opening it takes a slot of the replica for
-/// longer than the request.
+/// Avoids a connection of this host's own for every commit: opening one occupies a slot of the
+/// replica for longer than the request does.
 async fn forwarded_status(
     host: &Host,
     pool: &Rc<Pool>,
