--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -33,23 +33,24 @@
     pub suspicion: RefCell<Suspicion>,
     /// Whether a task of this host is probing the leader, or checking the holder of a failover.
     pub probing: Cell<bool>,
-    /// Whether this host is performing a failover.
+    /// Whether this host has scheduled or runs a failover of the group.
     pub in_failover: Cell<bool>,
-    /// Version of the newest failover intent for which no work of this host relies on the old
-    /// leader any more.
+    /// Version of the newest failover intent for which no work of this host relies on the
+    /// former leader any more.
     pub released: Cell<u64>,
-    /// Version of the newest failover intent whose author has requested the release from
-    /// this host directly.
+    /// Version of the newest row of the group that another host has sent to this host directly;
+    /// the row of an intent requests the release of the former leader.
     pub release_requested: Cell<u64>,
     /// Received positions of the replicas, and the commits that wait for them.
     pub receipts: Receipts,
     /// Leader that new work may use.
     leader: RefCell<Option<ServerId>>,
-    /// Incremented when earlier work must no longer rely on its leader.
+    /// Number of the epoch, incremented when earlier work must no longer rely on its leader.
     epoch: Cell<u64>,
     /// Number of statements and transactions that use the leader in this epoch.
     active_uses: Cell<usize>,
-    /// Time since which the leader leads, as far as this host knows.
+    /// Time at which this host began to use the leader, or [`INITIAL_LEADERSHIP`] earlier for the
+    /// first leader; `None` before the first leader.
     led_since: Cell<Option<Instant>>,
     /// Time since which the group has no leader; `None` while it has one.
     leaderless_since: Cell<Option<Instant>>,
@@ -57,7 +58,7 @@
     epoch_end: Notify,
 }
 
-/// Use of the leader by one statement or transaction; ends when dropped.
+/// Use of the leader by one statement or transaction; ends on drop or with its epoch.
 pub struct LeaderUse {
     group: Rc<Group>,
     epoch: u64,
@@ -65,7 +66,7 @@
     pub server: ServerId,
 }
 
-/// Requirement that a read has on its server.
+/// Requirement that the server of a read must meet.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Requirement {
     /// The server is the leader.
@@ -102,23 +103,24 @@
         self.leader.borrow().clone()
     }
 
-    /// Sets the leader. Returns whether it differs from the previous one.
+    /// Sets the leader and returns whether it differs from the previous one. A new leader ends the
+    /// epoch; the loss of the leader does not.
     pub fn set_leader(&self, leader: Option<ServerId>, now: Instant) -> bool {
         if *self.leader.borrow() == leader {
             return false;
         }
-        let leaderless_for = leader.is_none();
+        let leaderless = leader.is_none();
         *self.leader.borrow_mut() = leader;
-        self.leaderless_since.set(leaderless_for.then_some(now));
-        if !leaderless_for {
-            // Work at the former leader and the state of its log are void.
+        self.leaderless_since.set(leaderless.then_some(now));
+        if !leaderless {
+            // Work at the former leader is void, and so is the recorded state of its log.
             self.end_epoch();
             *self.ages.borrow_mut() = PositionHistory::default();
             self.seen.set(None);
             self.suspicion.borrow_mut().answered();
-            // The first leader that a host learns of was leading before.
-            let known = self.led_since.get().is_some();
-            self.led_since.set(Some(if known {
+            // The first leader after a host's start is assumed to have led before.
+            let had_leader = self.led_since.get().is_some();
+            self.led_since.set(Some(if had_leader {
                 now
             } else {
                 now.checked_sub(INITIAL_LEADERSHIP).unwrap_or(now)
@@ -129,7 +131,8 @@
         true
     }
 
-    /// Returns the time since which the leader leads, as far as this host knows.
+    /// Returns the time at which this host began to use the leader, or [`INITIAL_LEADERSHIP`] earlier
+    /// for the first leader; `None` before the first leader.
     pub fn led_since(&self) -> Option<Instant> {
         self.led_since.get()
     }
@@ -148,7 +151,7 @@
         self.epoch_end.notify_waiters();
     }
 
-    /// Returns whether no statement or transaction uses the leader.
+    /// Returns whether no statement or transaction uses the leader in the current epoch.
     pub fn is_idle(&self) -> bool {
         self.active_uses.get() == 0
     }
@@ -160,9 +163,9 @@
         Some(LeaderUse { group: self.clone(), epoch: self.epoch.get(), server })
     }
 
-    /// Waits until the group has a new leader, until the deadline at most.
+    /// Waits until the group gets another leader, until the deadline at most.
     pub async fn wait_leader(&self, deadline: monoio::time::Instant) {
-        // The calling function checks again in either case.
+        // The calling function checks the leader after a time-out too.
         let _ = monoio::time::timeout_at(deadline, self.leader_changed.notified()).await;
     }
 
@@ -203,8 +206,7 @@
         }
     }
 
-    /// Returns whether the epoch of this use lasts, so that its leader still leads as far as
-    /// the group knows.
+    /// Returns whether the epoch of this use has not ended.
     pub fn holds(&self) -> bool {
         self.group.epoch.get() == self.epoch
     }
