--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -12,12 +12,13 @@
 
 use crate::{fleet, follow::STORE_TIMEOUT, host::Host};
 
-/// Time without contact after which a host is evicted by the one that judges it. A host that was
-/// removed for good delays a failover by a whole lease, unless it was evicted that long before; one
-/// that is only cut off joins again.
+/// Time without contact after which a hub evicts a host. A host that was removed for good
+/// delays a failover by a whole lease unless it was evicted at least that long before. A host that
+/// was only cut off joins again.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Evicts silent hosts and removes the rows of hosts evicted earlier, forever.
+/// Evicts silent hosts and removes the rows of evicted hosts whose leases have expired, in an
+/// endless loop. Only a hub does so, while it holds a lease.
 pub async fn evict_silent(host: Rc<Host>) {
     let client = Client::new(host.settings.store_address);
     let mut isolated = false;
@@ -27,9 +28,9 @@
         record_row_versions(&host, now);
         let was_isolated = std::mem::replace(&mut isolated, !host.reaches_majority());
         if was_isolated && !isolated {
-            // This host was the one cut off. Without a reset, hosts that were well all the time
-            // would be evicted once the cut has healed.
-            host.last_contact.borrow_mut().values_mut().for_each(|(at, _)| *at = now);
+            // This host itself was cut off. Without a reset, it would evict healthy hosts as soon as
+            // it has contact with a majority again.
+            host.last_contact.borrow_mut().values_mut().for_each(|(contact, _)| *contact = now);
         }
         if !host.leased() {
             continue;
@@ -43,7 +44,8 @@
     }
 }
 
-/// Counts a new version of a host's row as contact: the host runs, though no message arrives.
+/// Counts a new version of a host's row as contact, since it shows that the host runs even if no
+/// message arrives; discards the records of hosts that have left the view.
 fn record_row_versions(host: &Host, now: Instant) {
     let leased_view = host.leased_view.borrow();
     let mut last_contact = host.last_contact.borrow_mut();
@@ -56,8 +58,9 @@
     }
 }
 
-/// Returns the change that evicts a silent member, or removes an evicted one whose leases are over;
-/// `None` on a host that is no hub. A host judges only the hosts that send heartbeats to it.
+/// Returns the change that evicts a silent member, or removes the row of an evicted member whose
+/// lease has expired; `None` if there is no such member or this host is not a hub. Evicts only
+/// hosts that send heartbeats to this host.
 fn next_removal(host: &Host, now: Instant) -> Option<Change> {
     if !host.is_hub() {
         return None;
@@ -69,7 +72,7 @@
     let silent = |id: &HostId| {
         last_contact
             .get(id)
-            .is_some_and(|(at, _)| now.saturating_duration_since(*at) > SILENCE_TIMEOUT)
+            .is_some_and(|(contact, _)| now.saturating_duration_since(*contact) > SILENCE_TIMEOUT)
     };
     for (id, row) in &view.members {
         let expect = vec![(fleet::member_key(id), row.version)];
@@ -80,8 +83,8 @@
                 ..Change::default()
             });
         }
-        let judged = neighbours.mesh || row.value.domain == host.settings.domain;
-        if judged && row.value.left.is_none() && *id != host.settings.host && silent(id) {
+        let sends_heartbeats = neighbours.mesh || row.value.domain == host.settings.domain;
+        if sends_heartbeats && row.value.left.is_none() && *id != host.settings.host && silent(id) {
             let member = Member { left: Some(view.clock), ..row.value.clone() };
             let value = serde_json::to_vec(&member).ok()?;
             let put = vec![(fleet::member_key(id), value)];
