--- a/components/proxy/src/backend.rs
+++ b/components/proxy/src/backend.rs
@@ -16,19 +16,20 @@
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Timeout of a connection attempt. Between machines of one region it takes 2 ms; a server that
-/// has not answered by then is silent or cut off.
+/// Timeout of a connection attempt. An attempt takes 2 ms between machines of one region, so a
+/// server that has not answered within the timeout is silent or cut off.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Timeout for a server to accept a session: this takes 12 ms of a slot, and the wait for a slot
-/// when all are taken.
+/// Timeout for a server to accept a session. Accepting it takes a slot for 12 ms, after a wait for
+/// the slot if all are in use.
 const SESSION_START_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Idle time before TCP keepalive probes, interval between them, and number of unanswered ones
-/// that close the connection. A server drops a silent connection after 3 s; this host does so at
+/// Idle time before TCP keepalive probes, interval between the probes, and number of unanswered
+/// probes after which the connection is closed. A server drops a silent connection after 3 s; this host does so at
 /// about the same time.
 const KEEP_ALIVE: (Duration, Duration, u32) = (Duration::from_secs(2), Duration::from_secs(1), 2);
 
+/// Buffer space reserved before each read, in bytes.
 const READ_CHUNK: usize = 4 * 1024;
 
 /// Reason why no connection was opened.
@@ -36,7 +37,7 @@
 pub enum OpenError {
     /// The server's machine refused the connection: no process listens there.
     Refused,
-    /// The server runs and rejected the session.
+    /// The server answered and rejected the session.
     Rejected(Failure),
     /// No answer arrived in time, or the connection broke.
     Silent(anyhow::Error),
@@ -50,7 +51,7 @@
     answers: AnswerReader,
     /// Bytes to write with the next exchange.
     pub out: BytesMut,
-    /// Session steps whose answers precede that of the statement.
+    /// Number of session steps whose answers precede the answer to the statement.
     pending_steps: usize,
     /// The account whose statements run on the connection.
     pub account: AccountId,
@@ -121,8 +122,8 @@
 
     /// Sends the bytes in `out` and reads the answer to the last statement in them.
     ///
-    /// Fails if a step before it failed: the statement may have run with other values than its
-    /// session's, and the connection must be closed.
+    /// Fails if a session step before the statement failed: the statement may have run with other
+    /// values than its session's, and the connection must be closed.
     pub async fn exchange(&mut self) -> anyhow::Result<ServerAnswer> {
         self.io
             .write_all(&self.out)
@@ -154,15 +155,15 @@
         }
     }
 
-    /// Whether nothing has arrived since the last answer, not even the end of the stream.
+    /// Returns whether nothing has arrived since the last answer, not even the end of the stream.
     ///
     /// Guards against a connection that the server closed while it was idle: a write sent on it
-    /// would be reported as uncertain though it cannot run.
+    /// would be reported as uncertain although it cannot run.
     pub fn is_quiet(&mut self) -> bool {
         self.buf.is_empty() && self.io.read_buf(&mut self.buf).now_or_never().is_none()
     }
 
-    /// Whether a transaction may begin on the connection after that answer.
+    /// Returns whether a transaction may begin on the connection after `answer`, the last one.
     pub fn is_clean(&self, answer: &ServerAnswer) -> bool {
         answer.state == State::Idle && self.buf.is_empty() && self.pending_steps == 0
     }
