--- a/components/proxy/src/clock.rs
+++ b/components/proxy/src/clock.rs
@@ -39,6 +39,7 @@
     }
 }
 
+/// Returns the time since the machine was booted, suspended time included.
 fn since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     let (secs, nanos) = (u64::try_from(time.tv_sec), u32::try_from(time.tv_nsec));
