--- a/components/proxy/src/compression.rs
+++ b/components/proxy/src/compression.rs
@@ -1,8 +1,8 @@
 //! Compression of configurations for transfer between hosts.
 //!
-//! Compression cuts the bytes that a host sends to all others of its failure domain to a
-//! tenth, so that a small host can do it, and callers of small hosts wait less for their
-//! links.
+//! Compression cuts the bytes that a host sends to all other hosts of its failure domain to a
+//! tenth. A small host then has the capacity for it, and its callers wait less for its network
+//! link.
 
 use std::io::{Read, Write};
 
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use flate2::{Compression, read::ZlibDecoder, write::ZlibEncoder};
 
-/// Maximum size of a decompressed configuration, in bytes; larger input counts as corrupt.
+/// Maximum size of a decompressed configuration, in bytes; a larger one counts as corrupt.
 const MAX_SIZE: u64 = 64 << 20;
 
 /// Compresses a configuration at the fastest level: the best level saves a fifth of the
