--- a/components/proxy/src/backend.rs
+++ b/components/proxy/src/backend.rs
@@ -25,8 +25,8 @@
 const SESSION_START_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Idle time before TCP keepalive probes, interval between the probes, and number of unanswered
-/// probes after which the connection is closed. A server drops a silent connection after 3 s; this host does so at
-/// about the same time.
+/// probes after which the connection is closed. A server drops a silent connection after 3 s; this
+/// host does so at about the same time.
 const KEEP_ALIVE: (Duration, Duration, u32) = (Duration::from_secs(2), Duration::from_secs(1), 2);
 
 /// Buffer space reserved before each read, in bytes.
--- a/components/proxy/src/confirm.rs
+++ b/components/proxy/src/confirm.rs
@@ -111,8 +111,9 @@
     }
 }
 
-/// Returns the servers of a group other than its leader whose placement is allowed, in the order in which they are polled: warm before cold, then by expected wait, then
-/// this host's failure domain first.
+/// Returns the servers of a group other than its leader whose placement is allowed, in the order
+/// in which they are polled: warm before cold, then by expected wait, then those of this host's
+/// failure domain before others.
 fn replicas(host: &Host, group: &Group) -> Vec<(ServerId, Rc<Pool>)> {
     let leader = group.leader();
     let servers = host.servers(&group.id).into_iter();
--- a/components/proxy/src/conn.rs
+++ b/components/proxy/src/conn.rs
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Marks the next line as one that opens a transaction, for the holder of the connection. Has no
-    /// effect on a connection of this host's own.
+    /// Marks the next line as one that opens a transaction, for the holder of the connection.
+    /// Has no effect on a connection of this host's own.
     pub fn begin_transaction(&mut self) {
         if let Self::Remote(remote) = self {
             remote.transaction = Some(rand::random());
--- a/components/proxy/src/eviction.rs
+++ b/components/proxy/src/eviction.rs
@@ -28,8 +28,8 @@
         record_row_versions(&host, now);
         let was_isolated = std::mem::replace(&mut isolated, !host.reaches_majority());
         if was_isolated && !isolated {
-            // This host itself was cut off. Without a reset, it would evict healthy hosts as soon as
-            // it has contact with a majority again.
+            // This host itself was cut off. Without a reset, it would evict healthy hosts as soon
+            // as it has contact with a majority again.
             host.last_contact.borrow_mut().values_mut().for_each(|(contact, _)| *contact = now);
         }
         if !host.leased() {
--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -135,10 +135,10 @@
 /// Reads the view, and joins the fleet if this host is not a member. Retries every step until it
 /// succeeds.
 ///
-/// The row of an earlier process with the same [`member_hash`] is valid, so hosts that crash together and
-/// restart only read. Writing a row for each would take seconds when hundreds start: the
-/// store applies changes to one table partition sequentially. At the first start of the
-/// whole system (`Settings::first_start`) there are no rows, so hosts join before they read.
+/// The row of an earlier process with the same [`member_hash`] is valid, so hosts that crash
+/// together and restart only read. Writing a row for each would take seconds when hundreds
+/// start: the store applies changes to one table partition sequentially. At the first start of
+/// the whole system (`Settings::first_start`) there are no rows, so hosts join before they read.
 pub async fn ensure_member(settings: &Settings, clock: &dyn Clock, client: &Client) -> Membership {
     if settings.first_start {
         retry("joining", || join(settings, client)).await;
@@ -210,8 +210,9 @@
     host.reads_store() || outdated || !host.leased_view.borrow().is_member()
 }
 
-/// Reads the view whenever [`needs_read`] holds or this task is woken up, and joins the fleet
-/// again if this host is no longer a member, in an endless loop.
+/// Reads the view, in an endless loop: repeatedly, with a pause after each read, while
+/// [`needs_read`] holds, and otherwise after a wake-up. Joins the fleet again if this host is
+/// serving and no longer a member.
 pub async fn follow(host: Rc<Host>) {
     let client = Client::new(host.settings.store_address);
     let mut last_read_failed = false;
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -131,8 +131,8 @@
         true
     }
 
-    /// Returns the time at which this host began to use the leader, or [`INITIAL_LEADERSHIP`] earlier
-    /// for the first leader; `None` before the first leader.
+    /// Returns the time at which this host began to use the leader, or [`INITIAL_LEADERSHIP`]
+    /// earlier for the first leader; `None` before the first leader.
     pub fn led_since(&self) -> Option<Instant> {
         self.led_since.get()
     }
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -43,8 +43,8 @@
 const HUB_MAJORITY_TTL: Duration = Duration::from_millis(2000);
 
 /// Time without a message from a connection holder, while an answer from it is outstanding,
-/// after which statements go to the next holder. Hosts with permanent links send a heartbeat every 400 ms, and a slow
-/// statement takes 200 ms.
+/// after which statements go to the next holder. Hosts with permanent links send a heartbeat
+/// every 400 ms, and a slow statement takes 200 ms.
 const HOLDER_TIMEOUT: Duration = Duration::from_millis(550);
 
 /// Timeout for the first connection attempt of a link to a holder: several round trips
@@ -440,9 +440,8 @@
         let mut pools = self.pools.borrow_mut();
         let now = self.now();
         let previous = pools.get(&listed.id).map(|pool| pool.listed.borrow().clone());
-        let is_moved = |previous: &ListedServer| {
-            (&previous.group, &previous.domain) != (&listed.group, &listed.domain)
-        };
+        let is_moved =
+            |old: &ListedServer| (&old.group, &old.domain) != (&listed.group, &listed.domain);
         if previous.as_ref().is_none_or(is_moved) {
             *self.by_group.borrow_mut() = None;
             self.holders_stamp.set(0);
