--- a/components/proxy/src/fleet.rs
+++ b/components/proxy/src/fleet.rs
@@ -211,7 +211,7 @@
 }
 
 /// Reads the view, in an endless loop: repeatedly, with a pause after each read, while
-/// [`needs_read`] holds, and otherwise after a wake-up. Joins the fleet again if this host is
+/// `needs_read` holds, and otherwise after a wake-up. Joins the fleet again if this host is
 /// serving and no longer a member.
 pub async fn follow(host: Rc<Host>) {
     let client = Client::new(host.settings.store_address);
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -49,7 +49,7 @@
     epoch: Cell<u64>,
     /// Number of statements and transactions that use the leader in this epoch.
     active_uses: Cell<usize>,
-    /// Time at which this host began to use the leader, or [`INITIAL_LEADERSHIP`] earlier for the
+    /// Time at which this host began to use the leader, or `INITIAL_LEADERSHIP` earlier for the
     /// first leader; `None` before the first leader.
     led_since: Cell<Option<Instant>>,
     /// Time since which the group has no leader; `None` while it has one.
@@ -131,7 +131,7 @@
         true
     }
 
-    /// Returns the time at which this host began to use the leader, or [`INITIAL_LEADERSHIP`]
+    /// Returns the time at which this host began to use the leader, or `INITIAL_LEADERSHIP`
     /// earlier for the first leader; `None` before the first leader.
     pub fn led_since(&self) -> Option<Instant> {
         self.led_since.get()
--- a/components/proxy/src/host.rs
+++ b/components/proxy/src/host.rs
@@ -233,7 +233,7 @@
     /// Returns whether this host has contact with a majority of the hosts, itself included.
     ///
     /// A host that is not a hub uses its hub's report, which is valid for
-    /// [`HUB_MAJORITY_TTL`].
+    /// `HUB_MAJORITY_TTL`.
     pub fn reaches_majority(&self) -> bool {
         if !self.is_hub() {
             let reported_at = self.hub_majority.get();
@@ -538,7 +538,7 @@
     }
 
     /// Returns [`Host::holder`] after the first connection attempt of the links to the holders, for
-    /// which it waits [`LINK_TIMEOUT`] per holder at most.
+    /// which it waits `LINK_TIMEOUT` per holder at most.
     ///
     /// Without the attempt, the first statement to each server would open a connection of this
     /// host's own: in a large fleet most pairs of host and server see few statements.
--- a/components/proxy/src/pool.rs
+++ b/components/proxy/src/pool.rs
@@ -161,7 +161,8 @@
     }
 
     /// Counts a request against this host's share of a cold server's limit; fails with the delay
-    /// after which the share may allow one. A server that is warm or has no limit is not counted.
+    /// after which the share may allow one. Requests to a server that is warm or has no limit are
+    /// not counted.
     fn admit_cold(&self, now: StdInstant) -> Result<(), Duration> {
         let mut warmth = self.warmth.borrow_mut();
         let (Some(limit), tolerance) = self.cold.get() else { return Ok(()) };
@@ -334,7 +335,7 @@
     /// `accounts` are in descending order of their rates.
     ///
     /// Does nothing unless this host is the holder, while a previous call still runs, or for
-    /// [`OPEN_AHEAD_RETRY_DELAY`] after a connection failed.
+    /// `OPEN_AHEAD_RETRY_DELAY` after a connection failed.
     pub fn open_ahead(self: &Rc<Self>, accounts: &Rc<[AccountId]>) {
         let paused = self.next_open_ahead.get().is_some_and(|until| Instant::now() < until);
         if paused || !self.is_holder() || self.next_to_open(accounts).is_none() {
