--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -121,7 +121,7 @@
 pub async fn configuration(host: Rc<Host>) {
     let apply = |rows: &Rows, whole| {
         let evacuated = configuration::evacuations(&rows.rows);
-        placement::read(&host, &evacuated, whole, rows.version, rows.clock);
+        placement::apply_rows(&host, &evacuated, whole, rows.version, rows.clock);
         let plans = rows.rows.iter().filter(|row| &*row.key == configuration::KEY && !row.removed);
         let mut readable = true;
         for row in plans {
--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -160,7 +160,11 @@
     let Some((clock, received)) = host.peer_clocks.borrow().get(&link.host).copied() else {
         return beat.clone();
     };
-    Heartbeat { positions: positions::since(own, received), echo: Some(clock), ..beat.clone() }
+    Heartbeat {
+        positions: positions::with_offsets(own, received),
+        echo: Some(clock),
+        ..beat.clone()
+    }
 }
 
 /// Applies another host's heartbeat and requests the state that is newer there.
@@ -230,7 +234,7 @@
         tokens::free_shares(&host);
         host.demand.borrow_mut().publish(host.now());
         let beat = own_heartbeat(&host);
-        let own = positions::own(&host);
+        let own = positions::take_observed(&host);
         let (hub, is_reporter) = (host.hub(), tokens::is_reporter(&host));
         let is_recipient = |link: &Rc<Link>| link.is_up() && (is_reporter || link.host == hub);
         for link in host.mesh.links().into_iter().filter(is_recipient) {
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -103,7 +103,7 @@
 
 /// Applies evacuations read from the store: all of them if `whole`, otherwise those that changed.
 /// `clock` is the store's clock at the read.
-pub fn read(
+pub fn apply_rows(
     host: &host::Host,
     rows: &[evacuation::Row],
     whole: bool,
--- a/components/proxy/src/positions.rs
+++ b/components/proxy/src/positions.rs
@@ -18,7 +18,7 @@
 
 /// Takes the positions that this host observed and has not sent yet, each with the time at which
 /// the statement that returned it was sent.
-pub fn own(host: &Host) -> Vec<(Instant, LeaderPosition)> {
+pub fn take_observed(host: &Host) -> Vec<(Instant, LeaderPosition)> {
     let groups = host.groups.borrow();
     let seen = groups.values().filter_map(|group| {
         let (at, point) = group.seen.take()?;
@@ -30,7 +30,7 @@
 
 /// Returns positions with their times as offsets from `base`, the time at which the receiver's
 /// clock reading arrived here.
-pub fn since(observed: &[(Instant, LeaderPosition)], base: Instant) -> Vec<LeaderPosition> {
+pub fn with_offsets(observed: &[(Instant, LeaderPosition)], base: Instant) -> Vec<LeaderPosition> {
     let seen = observed.iter().map(|(at, seen)| LeaderPosition {
         offset_ms: offsets::offset_ms(*at, base),
         ..seen.clone()
