--- a/components/proxy/src/operation.rs
+++ b/components/proxy/src/operation.rs
@@ -1,5 +1,5 @@
-//! Running an operation, which is a single statement or a transaction: selects targets, retries
-//! at other servers where that is safe, and turns failures into answers for the caller.
+//! Execution of operations. An operation is a single statement or a transaction. Selects targets,
+//! retries at other servers where that is safe, and turns failures into answers for the caller.
 
 use std::{rc::Rc, time::Duration};
 
@@ -20,24 +20,24 @@
     target::{self, ExchangeError, Execution, Target, TargetInfo},
 };
 
-/// How long an operation waits for the group to get a leader. A failover in which all hosts
-/// take part ends within this time; a caller that is refused sooner would only retry into the
-/// same gap.
+/// Maximum time that an operation waits for the group to get a leader. A failover in which all
+/// hosts take part ends within this time; a caller refused sooner would only retry while the group
+/// still has no leader.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Time without a leader after which new operations are refused at once: a failover that lasts
 /// this long is waiting for a silent host.
 const FAILOVER_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Timeout of opening a transaction, and of a read at one server while other targets remain.
+/// Timeout of opening a transaction at one server, and of a read at each target but the last.
 /// Longer than the slowest usual answer, so that slow reads do not run twice.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Timeout of a rollback, after which the connection is closed instead.
 const ROLLBACK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Delay before an operation that all targets refused is tried again, unless the group gets a
-/// new leader first.
+/// Delay before an operation that failed at all targets is retried, unless the group gets a new
+/// leader first.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Maximum number of attempts per operation.
@@ -49,21 +49,21 @@
 /// Requirements of a single statement or a transaction.
 #[derive(Clone)]
 pub struct Operation {
-    /// Request id that the caller gave to the current statement.
+    /// Caller's request id of the current statement.
     pub id: Box<str>,
-    /// Client account that it runs for.
+    /// Client account that the operation runs for.
     pub account: AccountId,
     /// Database group that holds the database.
     pub group: Rc<Group>,
-    /// How current the data of its reads must be.
+    /// Required consistency of reads.
     pub consistency: Consistency,
-    /// Whether it may write.
+    /// Whether the operation may write.
     pub access: Access,
-    /// Regions in which it may run.
+    /// Home regions of the database and the account, to which execution is restricted.
     pub homes: homes::Homes,
     /// Log position of the session's last write in the group.
     pub last_write: Option<Point>,
-    /// Time by which it must have been answered.
+    /// Deadline for the answer to the current statement.
     pub deadline: Instant,
     /// Queue priority under overload; 0 is the highest.
     pub priority: u32,
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Refusal of a statement that has not run because the server's queue is full for `wait`.
+    /// Refusal of a statement that has not run because the server's queue is full; `wait` is the
+    /// delay before a retry.
     pub fn overloaded(wait: Duration) -> Self {
         let reason = "too many statements wait for the server";
         Self { retry_after: Some(wait), overloaded: true, ..Self::busy(reason) }
@@ -120,13 +121,17 @@
 /// Result of trying a statement at one server.
 enum Attempt {
     Answered(ServerAnswer),
-    /// Nothing was kept; another server may be tried.
+    /// The statement changed no data; another server may be tried.
     Retryable(Refusal),
     /// The statement was sent and no valid answer was received.
     Lost(&'static str),
 }
 
-/// Waits until at least one server can run the operation and returns the targets, best first.
+/// Waits until at least one server can run the operation and returns the targets in order of
+/// preference.
+///
+/// Refuses the operation after [`LEADER_TIMEOUT`], and at once if waiting for a leader would not
+/// help.
 async fn wait_for_targets(host: &Host, operation: &Operation) -> Result<Vec<Target>, Refusal> {
     let until = operation.deadline.min(Instant::now() + LEADER_TIMEOUT);
     loop {
@@ -202,7 +207,7 @@
     }
     match retryable(host, operation, &pool, required_position, &answer) {
         Some(refusal) => Attempt::Retryable(refusal),
-        // The answer of a leader that was replaced in the meantime proves nothing.
+        // An answer of a leader that was replaced in the meantime is not valid.
         None if !still_leads => Attempt::Lost("the leader changed"),
         None if operation.access == Access::Write => {
             match wait_replicated(host, operation, &answer, usage.as_ref()).await {
@@ -214,10 +219,12 @@
     }
 }
 
-/// Waits until a second server holds the commit that an answer acknowledges.
+/// Waits until a second server holds the commit that an answer acknowledges, unless no replica that
+/// could replace the leader is running or able to answer. Returns at once for a failure or an answer
+/// without a log position.
 ///
 /// Guards against an acknowledged write that is lost by a failover: the successor is the replica
-/// that has received most, which may lack a commit that only the former leader holds.
+/// with the newest log position, which may lack a commit that only the former leader holds.
 async fn wait_replicated(
     host: &Rc<Host>,
     operation: &Operation,
@@ -230,8 +237,8 @@
     if still_leads { Ok(()) } else { Err("the leader changed") }
 }
 
-/// Returns a refusal if the server's failure means that nothing was kept and another server may
-/// be tried.
+/// Returns a refusal if the server's answer is a failure that changed no data, so that another
+/// server may be tried. Records how far behind a lagging replica is.
 fn retryable(
     host: &Host,
     operation: &Operation,
@@ -243,11 +250,11 @@
         Failure::Behind => {
             if let Some(required_position) = required_position {
                 let (ages, now) = (operation.group.ages.borrow(), host.now());
-                let lag = answer.point.and_then(|shown| ages.age(shown, now));
-                let missing = lag
+                let shown_age = answer.point.and_then(|shown| ages.age(shown, now));
+                let lag = shown_age
                     .zip(ages.age(required_position, now))
-                    .map(|(lag, due)| lag.saturating_sub(due));
-                pool.health.borrow_mut().mark_lagging(required_position, missing, now);
+                    .map(|(shown_age, required_age)| shown_age.saturating_sub(required_age));
+                pool.health.borrow_mut().mark_lagging(required_position, lag, now);
             }
             "the replica is behind"
         }
@@ -260,8 +267,8 @@
 
 /// Runs a single statement and returns the answer and the number of attempts.
 ///
-/// A read is tried at several servers. A write is tried again only if it was not sent or the
-/// server answered that nothing was kept.
+/// A read is tried at several servers, with at most `MAX_ATTEMPTS` attempts in all. A write is
+/// tried again only if it was not sent or the server answered that it changed no data.
 pub async fn run_statement(
     host: &Rc<Host>,
     operation: &Operation,
@@ -305,7 +312,7 @@
     }
 }
 
-/// Opens a transaction at one of the operation's targets.
+/// Opens a transaction at one of the operation's targets, with at most `MAX_ATTEMPTS` attempts.
 pub async fn open_transaction(
     host: &Rc<Host>,
     operation: &Operation,
@@ -357,7 +364,7 @@
     let answer = target::exchange(host, operation, &mut execution, left.min(ATTEMPT_TIMEOUT)).await;
     let answer = answer.map_err(|error| match error {
         ExchangeError::NotSent(refusal) => refusal,
-        // Only the opening statement was sent, so the transaction can be opened elsewhere.
+        // Only the opening statement was sent, so the transaction can be opened at another server.
         ExchangeError::Lost(reason) => Refusal::busy(reason),
     })?;
     if answer.state == State::Open && answer.failure().is_none() {
@@ -377,11 +384,12 @@
     Answered(ServerAnswer),
     /// The statement may have been sent and has no valid answer; the connection must be closed.
     Lost(&'static str),
-    /// The statement was not sent, and the transaction is over.
+    /// The statement was not sent, and the transaction has ended.
     NotSent(Refusal),
 }
 
-/// Runs a statement on the transaction's connection.
+/// Runs a statement on the transaction's connection. A commit of writes also waits for its
+/// replication.
 pub async fn run_step(
     host: &Rc<Host>,
     operation: &Operation,
@@ -417,7 +425,7 @@
 
 /// Rolls a transaction back in a separate task and returns its connection to the pool.
 ///
-/// If nothing may be sent to the server, the connection is closed, which rolls back too.
+/// If the server's failure domain is evacuated, the connection is closed, which rolls back too.
 pub fn roll_back(host: &Host, execution: Execution) {
     let Execution { mut conn, usage, .. } = execution;
     if placement::is_forbidden(host, conn.pool()) {
