--- a/components/proxy/src/target.rs
+++ b/components/proxy/src/target.rs
@@ -1,4 +1,4 @@
-//! Backend servers that may run an operation, and the connection on which it runs.
+//! Selection of backend servers for an operation, and exchanges on the chosen connection.
 
 use std::{
     rc::Rc,
@@ -25,16 +25,16 @@
     pool::Pool,
 };
 
-/// How long a statement waits for a free connection while all are in use.
+/// Maximum time that a statement waits for a free connection while all are in use.
 const CONNECTION_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A backend server that may run an operation.
 pub struct Target {
-    /// Connections to the server.
+    /// Connection pool of the server.
     pub pool: Rc<Pool>,
     /// Log position that the server must have reached; `None` at the leader.
     pub required_position: Option<Point>,
-    /// Permission to use the server as leader, if it is the leader.
+    /// Permission to use the server as leader; `None` at a replica.
     pub usage: Option<LeaderUse>,
 }
 
@@ -62,11 +62,11 @@
     }
 }
 
-/// Connection on which an operation runs.
+/// Connection on which an operation runs, with the operation's state there.
 pub struct Execution {
     /// The connection.
     pub conn: Conn,
-    /// Permission to use the leader, if the server is the leader.
+    /// Permission to use the server as leader; `None` at a replica.
     pub usage: Option<LeaderUse>,
     /// Log position that the server must have reached; `None` at the leader.
     pub required_position: Option<Point>,
@@ -74,7 +74,8 @@
     pub wrote: bool,
 }
 
-/// Selects the servers that may run the operation now, best first; may return none.
+/// Selects the servers that may run the operation now, in order of preference. The list is empty
+/// if there is none.
 pub fn select(host: &Host, operation: &Operation) -> Vec<Target> {
     let now = host.now();
     let requirement = match operation.access {
@@ -123,7 +124,7 @@
         })
         .collect();
     let mut order = choice::order(&candidates, Some(required_position), now);
-    // Servers known to lack the position are skipped while another one may have reached it.
+    // Replicas marked as lacking the position are skipped while another server may have reached it.
     let lacks =
         |i: &usize| !candidates[*i].leads && candidates[*i].health.lacks(required_position, now);
     if !order.iter().all(lacks) {
@@ -136,7 +137,7 @@
     for i in order {
         let pool = servers[i].clone();
         let listed = pool.listed.borrow().clone();
-        // A server that is leaving gets no new reads while the group has another one.
+        // A server that is leaving gets no new reads while the group has another permitted server.
         if listed.leaving && servers.len() > 1 {
             continue;
         }
@@ -144,7 +145,7 @@
         let required_position = if usage.is_some() { None } else { Some(required_position) };
         targets.push(Target { pool, required_position, usage });
     }
-    // A leader whose failure domain is being evacuated is the last resort.
+    // A leader that is leaving, or whose failure domain is being evacuated, is tried last.
     let fallback = leader.and_then(|usage| Some((host.server(&usage.server)?, usage)));
     targets.extend(fallback.map(|(pool, usage)| Target {
         pool,
@@ -154,8 +155,8 @@
     targets
 }
 
-/// Returns how long all targets would refuse the operation for congestion, or `None` if one of
-/// them may accept it.
+/// Returns the shortest time for which a target refuses the operation for congestion. `None` if
+/// one of the targets may accept it or there are no targets.
 pub fn congestion_wait(host: &Host, operation: &Operation, targets: &[Target]) -> Option<Duration> {
     let now = host.now();
     let wait = |target: &Target| {
@@ -165,7 +166,7 @@
     waits?.into_iter().min()
 }
 
-/// Returns whether the leader's location allows it to run the operation.
+/// Returns whether evacuations and home regions permit the leader to run the operation.
 fn leader_allowed(host: &Host, operation: &Operation, usage: &LeaderUse) -> bool {
     let pool = host.server(&usage.server);
     pool.is_some_and(|pool| {
@@ -173,7 +174,8 @@
     })
 }
 
-/// Acquires a connection to the target.
+/// Acquires a connection to the target: through the host that holds the server's connections, if
+/// statements may be forwarded to it, otherwise from this host's pool.
 pub async fn connect(
     host: &Host,
     operation: &Operation,
@@ -182,13 +184,13 @@
 ) -> Result<Execution, Refusal> {
     let Target { pool, required_position, usage } = target;
     let until = operation.deadline.min(Instant::now() + CONNECTION_TIMEOUT);
-    let turn =
+    let queue =
         QueueParams { priority: operation.priority, patience: operation.queue_timeout, until };
     let now = host.now();
     let conn =
         match placement::holder_link(host, &pool, &operation.homes).await {
-            Some(link) => Conn::remote(pool, link, operation.account.clone(), turn),
-            None => Conn::own(&pool, &operation.account, session, turn, now).await.map_err(
+            Some(link) => Conn::remote(pool, link, operation.account.clone(), queue),
+            None => Conn::own(&pool, &operation.account, session, queue, now).await.map_err(
                 |reason| record_not_sent(host, operation, &pool, usage.is_some(), reason, now),
             )?,
         };
@@ -225,7 +227,7 @@
         }
         NotSent::Silent => {
             health.fail(started);
-            // Includes servers that accept connections and close them.
+            // `Silent` includes servers that accept connections and close them.
             if leads {
                 operation.group.suspicion.borrow_mut().silent(started);
             }
@@ -258,7 +260,8 @@
     Lost(&'static str),
 }
 
-/// Sends the pending statement and reads the answer, for `timeout` at most.
+/// Sends the pending statement and reads the answer, for `timeout` at most. At a leader the
+/// exchange also ends with the leader's epoch.
 pub async fn exchange(
     host: &Host,
     operation: &Operation,
@@ -274,8 +277,8 @@
             None => std::future::pending().await,
         }
     };
-    // The answer of a former leader may not be passed on, so the exchange ends when the leader
-    // is given up instead of at the timeout.
+    // The answer of a former leader may not be passed on, so the exchange ends when this host stops
+    // using the leader, not only at the timeout.
     let answer = monoio::select! {
         answer = execution.conn.exchange(timeout) => answer,
         _ = revoked => {
@@ -299,11 +302,11 @@
                 host, operation, &pool, leads, reason, sent_at,
             )))
         }
-        Err(broken) => {
+        Err(error) => {
             let mut health = pool.health.borrow_mut();
             health.end(None, now);
             health.fail(now);
-            Err(ExchangeError::Lost(match broken {
+            Err(ExchangeError::Lost(match error {
                 conn::ExchangeError::Late => "the server did not answer in time",
                 _ => "the connection was lost",
             }))
@@ -311,7 +314,8 @@
     }
 }
 
-/// Records the log position that an answer shows and that the leader is alive.
+/// Records the log position in an answer and, if the current leader gave it, that the leader has
+/// answered.
 fn record_answer(
     host: &Host,
     operation: &Operation,
@@ -323,7 +327,7 @@
     if let Some(point) = answer.point
         && operation.group.leader().is_some_and(|id| id != pool.listed.borrow().id)
     {
-        // A replica has received every position that it shows.
+        // A replica that returns a log position has received the log up to there.
         operation.group.receipts.state.borrow_mut().note(point);
     }
     if let Some(usage) = &execution.usage
