--- a/components/proxy/src/session.rs
+++ b/components/proxy/src/session.rs
@@ -22,7 +22,8 @@
 /// limit one session could exhaust the host's memory.
 const MAX_NAMES: usize = 512;
 
-/// Account name sent to backend servers for a public database without a known key.
+/// Account name sent to backend servers for callers of a public database whose key belongs to no
+/// client account.
 const ANONYMOUS: &str = "-";
 
 /// An open transaction.
@@ -30,7 +31,7 @@
     operation: Operation,
     /// Timeout of each statement.
     timeout: Duration,
-    /// `None` until the first statement that needs a server.
+    /// Connection of the transaction; `None` until the first statement that needs a server.
     execution: Option<Execution>,
 }
 
@@ -44,7 +45,7 @@
     last_writes: HashMap<GroupId, Point>,
     transaction: Option<Transaction>,
     state: State,
-    /// Whether the transaction has exceeded the idle timeout and the caller has not been
+    /// Whether the transaction was rolled back for its idle timeout and the caller has not been
     /// notified yet.
     expired: bool,
 }
@@ -69,19 +70,21 @@
         self.state
     }
 
-    /// Returns how long the caller may stay idle now; limited only within a transaction.
+    /// Returns the idle timeout of the open transaction; `None` without a transaction or if the
+    /// configuration sets no timeout.
     pub fn idle_timeout(&self) -> Option<Duration> {
         self.transaction.as_ref()?;
         self.host.plan()?.idle_timeout
     }
 
-    /// Checks that the database exists and that the key permits its use.
+    /// Checks that this host may serve, that the database exists, and that it is public or the key
+    /// belongs to a client account.
     pub fn check_access(&self) -> Result<(), Refusal> {
         self.authorize().map(|_| ())
     }
 
-    /// Rolls back a transaction whose caller exceeded the idle timeout: it holds a connection, and
-    /// possibly locks, that other statements wait for.
+    /// Rolls back a transaction whose caller exceeded the idle timeout: the transaction holds a
+    /// connection, and possibly locks, that other statements wait for.
     pub fn expire_transaction(&mut self) {
         if let Some(transaction) = self.transaction.take() {
             info!(id = %transaction.operation.id, "transaction: rolled back, its caller exceeded the idle timeout");
@@ -93,7 +96,7 @@
         }
     }
 
-    /// Answers a statement that cannot be parsed.
+    /// Answers a statement that cannot be parsed; an open transaction fails.
     pub fn answer_malformed(&mut self, out: &mut BytesMut) {
         let refusal = Refusal::new(Failure::Malformed, "the statement cannot be read");
         self.fail(&refusal, out);
@@ -323,7 +326,8 @@
         }
     }
 
-    /// Returns the session's route and account under the current configuration.
+    /// Returns the session's route and account under the current configuration. The account is
+    /// `None` for a public database and a key that belongs to no account.
     fn authorize(&self) -> Result<(Rc<Route>, Option<Rc<Account>>), Refusal> {
         if !self.host.may_serve() {
             return Err(Refusal::busy("this host cannot show that its configuration is in force"));
@@ -338,7 +342,8 @@
         Ok((route, account))
     }
 
-    /// Admits one operation and takes a token of the account's rate limit for it.
+    /// Admits one operation and takes a token of the account's rate limit for it. Operations without
+    /// an account are not limited.
     async fn admit_operation(
         &self,
         request: &Request,
