--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -10,14 +10,14 @@
 
 use crate::{host, operation, pool};
 
-/// Returns what may run at a backend server now, given the evacuations in force.
+/// Returns which statements may run at a backend server now, given the evacuations in force.
 pub fn of(host: &host::Host, pool: &pool::Pool) -> evacuation::Placement {
     let domain = pool.listed.borrow().domain.clone();
     let (store, bound) = (host.store_clock.borrow(), host.settings.evacuation_bound);
     host.evacuations.borrow().placement(&domain, &store, bound, host.now())
 }
 
-/// Returns whether nothing may be sent to a backend server.
+/// Returns whether an evacuation forbids all statements to a backend server.
 pub fn is_forbidden(host: &host::Host, pool: &pool::Pool) -> bool {
     of(host, pool) == evacuation::Placement::Forbidden
 }
@@ -26,12 +26,13 @@
     host.settings.regions.get(domain)
 }
 
-/// Returns whether a backend server is in one of the home regions.
+/// Returns whether a backend server is in one of the home regions, or the homes are unrestricted.
 pub fn is_home(host: &host::Host, pool: &pool::Pool, homes: &homes::Homes) -> bool {
     homes.allow(region(host, &pool.listed.borrow().domain))
 }
 
-/// Returns whether statements with these homes may be forwarded to another host.
+/// Returns whether statements with these homes may be forwarded to the host `holder`: unless the
+/// homes are unrestricted, it must be a member of the view in a home region.
 pub fn may_forward(host: &host::Host, holder: &ids::HostId, homes: &homes::Homes) -> bool {
     if homes.is_unrestricted() {
         return true;
@@ -53,7 +54,7 @@
 }
 
 /// Returns the number of the group's databases whose homes include the server's region; 0 for
-/// all servers if no database or account has homes.
+/// all servers if no database or account has homes, or without a configuration.
 pub fn served(host: &host::Host, pool: &pool::Pool) -> usize {
     let Some(plan) = host.plan().filter(|_| host.has_homes.get()) else { return 0 };
     let listed = pool.listed.borrow();
@@ -61,7 +62,8 @@
     homes::served(routes.map(|route| &route.homes), region(host, &listed.domain))
 }
 
-/// Returns the servers of a group that may become its leader.
+/// Returns the servers of a group that may become its leader: those that are neither leaving nor
+/// in an evacuated failure domain.
 pub fn successors(host: &host::Host, group: &ids::GroupId) -> Vec<Rc<pool::Pool>> {
     let eligible = |pool: &Rc<pool::Pool>| {
         !pool.listed.borrow().leaving && of(host, pool) == evacuation::Placement::Allowed
@@ -69,8 +71,8 @@
     host.servers(group).into_iter().filter(eligible).collect()
 }
 
-/// Returns why no server may run the operation under the restrictions in force; `None` if one
-/// may, or if a server that may is about to become leader.
+/// Returns why the restrictions in force permit no server to run the operation. `None` if a server
+/// may run it, if a permitted server may become leader, or if the group has no server or no leader.
 pub fn rejection_reason(
     host: &host::Host,
     operation: &operation::Operation,
@@ -101,8 +103,8 @@
     (!in_homes(&leader)).then_some("the leader stands in no home, and no other server may lead")
 }
 
-/// Applies evacuations read from the store: all of them if `whole`, otherwise those that changed.
-/// `clock` is the store's clock at the read.
+/// Applies evacuations read from the store: all of them if `whole`, otherwise only changed rows.
+/// `version` is the table's version and `clock` the store's clock at the read.
 pub fn apply_rows(
     host: &host::Host,
     rows: &[evacuation::Row],
@@ -122,7 +124,8 @@
     apply_changes(host, &before, Some(from));
 }
 
-/// Logs evacuations that began or ended and closes idle connections to evacuated servers.
+/// Logs evacuations that began or ended and, after a change, closes idle connections to servers in
+/// evacuated failure domains.
 fn apply_changes(host: &host::Host, before: &evacuation::Set, from: Option<&ids::HostId>) {
     let after = host.evacuations.borrow();
     let versions = |set: &evacuation::Set| -> BTreeSet<(ids::FailureDomain, u64)> {
