--- a/components/proxy/src/positions.rs
+++ b/components/proxy/src/positions.rs
@@ -13,32 +13,33 @@
 
 use crate::host::Host;
 
-/// Age above which a position is no longer sent: reads allow ages that are only little longer.
+/// Age from which a position is no longer sent: the ages that reads allow are only little longer.
 const POSITION_TTL: Duration = Duration::from_millis(2500);
 
 /// Takes the positions that this host observed and has not sent yet, each with the time at which
-/// the statement that returned it was sent.
+/// the statement that returned it was sent. Omits groups without a leader.
 pub fn take_observed(host: &Host) -> Vec<(Instant, LeaderPosition)> {
     let groups = host.groups.borrow();
     let seen = groups.values().filter_map(|group| {
-        let (at, point) = group.seen.take()?;
+        let (sent_at, point) = group.seen.take()?;
         let leader = group.leader()?;
-        Some((at, LeaderPosition { group: group.id.clone(), leader, point, offset_ms: 0 }))
+        Some((sent_at, LeaderPosition { group: group.id.clone(), leader, point, offset_ms: 0 }))
     });
     seen.collect()
 }
 
 /// Returns positions with their times as offsets from `base`, the time at which the receiver's
-/// clock reading arrived here.
+/// clock reading arrived at this host.
 pub fn with_offsets(observed: &[(Instant, LeaderPosition)], base: Instant) -> Vec<LeaderPosition> {
-    let seen = observed.iter().map(|(at, seen)| LeaderPosition {
-        offset_ms: offsets::offset_ms(*at, base),
+    let seen = observed.iter().map(|(sent_at, seen)| LeaderPosition {
+        offset_ms: offsets::offset_ms(*sent_at, base),
         ..seen.clone()
     });
     seen.collect()
 }
 
-/// Returns the newest known position of each group, if it is recent enough to be sent.
+/// Returns the newest known position of each group that has a leader, if it is younger than
+/// `POSITION_TTL`.
 pub fn newest(host: &Host) -> Vec<LeaderPosition> {
     let now = host.now();
     let groups = host.groups.borrow();
@@ -74,7 +75,8 @@
     for LeaderPosition { group, leader, point, offset_ms } in seen {
         let at = offsets::instant(base, *offset_ms);
         let group = host.group(group);
-        // Positions of a former leader say nothing about the log of the current one.
+        // Positions of a former leader do not apply to the current leader's log, and times in the
+        // future are invalid.
         if let Some(at) = at.filter(|at| *at <= host.now())
             && group.leader().as_ref() == Some(leader)
         {
