--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -22,20 +22,20 @@
     pool::{Leased, Permit, Pool},
 };
 
-/// Idle timeout of other hosts' transactions if the configuration sets none. The host of the
-/// caller ends an idle transaction sooner; this one is for hosts that vanish.
+/// Idle timeout of other hosts' transactions if the configuration sets none. The caller's host ends
+/// an idle transaction sooner; this timeout applies when that host has disappeared.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How much longer than the configured idle timeout a transaction is kept, so that the caller's
-/// host ends it first.
+/// Time added to the configured idle timeout, so that the caller's host ends an idle transaction
+/// first.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
 /// A transaction of another host between two of its statements.
 struct IdleTransaction {
     leased: Leased,
     since: Instant,
-    /// Link by which its statements are forwarded.
-    watch: LinkMonitor,
+    /// Monitor of the link over which the transaction's statements are forwarded.
+    link: LinkMonitor,
 }
 
 /// Transactions of other hosts on connections held by this host.
@@ -54,7 +54,7 @@
     }
 
     /// Closes the connections of idle transactions that have exceeded the idle timeout, whose link
-    /// is closed, or whose server may not be sent anything any more.
+    /// is closed, or to whose server `is_forbidden` forbids all statements.
     ///
     /// Guards against a host that dies within a transaction: the transaction's locks would be held
     /// for as long as this host runs.
@@ -65,8 +65,8 @@
         is_forbidden: impl Fn(&Pool) -> bool,
     ) {
         let timeout = idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| timeout + IDLE_MARGIN);
-        self.idle.borrow_mut().retain(|(host, work), transaction| {
-            let why = if !transaction.watch.is_open()
+        self.idle.borrow_mut().retain(|(host, id), transaction| {
+            let why = if !transaction.link.is_open()
                 || now.duration_since(transaction.since) >= timeout
             {
                 "its host is gone or did not end it"
@@ -75,7 +75,7 @@
             } else {
                 return true;
             };
-            info!(%host, work, why, "relay: idle transaction closed");
+            info!(%host, work = id, why, "relay: idle transaction closed");
             false
         });
         let mut cancelled = self.cancelled.borrow_mut();
@@ -84,14 +84,15 @@
 
     /// Cancels a transaction by closing its connection, after the answer if one of its statements
     /// is running.
-    pub fn cancel(&self, host: &HostId, work: TransactionId, now: Instant) {
-        let key = (host.clone(), work);
+    pub fn cancel(&self, host: &HostId, id: TransactionId, now: Instant) {
+        let key = (host.clone(), id);
         if self.idle.borrow_mut().remove(&key).is_none() {
             self.cancelled.borrow_mut().insert(key, now);
         }
     }
 
-    /// Stores a transaction until its next statement, unless it has been cancelled meanwhile.
+    /// Stores a transaction until its next statement; closes its connection if it was cancelled
+    /// during the last one.
     fn store(&self, key: (HostId, TransactionId), transaction: IdleTransaction) {
         if self.cancelled.borrow_mut().remove(&key).is_none() {
             self.idle.borrow_mut().insert(key, transaction);
@@ -101,9 +102,9 @@
 
 /// Runs a forwarded statement and replies with the result.
 pub async fn serve(host: Rc<Host>, from: HostId, statement: ForwardedStatement, replier: Replier) {
-    let watch = replier.link_monitor();
+    let link = replier.link_monitor();
     let relayed = match acquire(&host, &from, &statement).await {
-        Ok((leased, permit)) => run(&host, from, statement, leased, permit, watch).await,
+        Ok((leased, permit)) => run(&host, from, statement, leased, permit, link).await,
         Err(reason) => {
             record_failure(&host, &statement, reason);
             ForwardResult::NotSent(reason)
@@ -114,8 +115,8 @@
 
 /// Records a failed connection to a leader with the group's failure detector.
 ///
-/// Guards against a leader that closes every connection: other hosts leave its detection to this
-/// one, the holder, which may send it no statements of its own.
+/// Guards against a leader that closes every connection and is not detected: other hosts leave its
+/// detection to its holder, which is this host and may send it no statements of its own.
 fn record_failure(host: &Host, statement: &ForwardedStatement, reason: NotSent) {
     let Some(pool) = host.server(&statement.server) else { return };
     let group = host.group(&pool.listed.borrow().group);
@@ -129,8 +130,8 @@
     }
 }
 
-/// Acquires the connection for a forwarded statement: that of its open transaction, or one from
-/// the pool. There is no permit for statements that are not bound to an account.
+/// Acquires the connection for a forwarded statement: the connection of its open transaction, or a
+/// connection from the pool. There is no permit for statements without an account.
 async fn acquire(
     host: &Host,
     from: &HostId,
@@ -140,8 +141,8 @@
     if placement::is_forbidden(host, &pool) {
         return Err(NotSent::Evacuated);
     }
-    if let Some(work) = statement.transaction.filter(|_| !statement.opens) {
-        let idle = host.remote_transactions.idle.borrow_mut().remove(&(from.clone(), work));
+    if let Some(id) = statement.transaction.filter(|_| !statement.opens) {
+        let idle = host.remote_transactions.idle.borrow_mut().remove(&(from.clone(), id));
         let idle = idle.ok_or(NotSent::Closed)?;
         let until = monoio::time::Instant::now() + statement.timeout();
         let permit = pool.enter_in_transaction(until).await.map_err(conn::queue_full)?;
@@ -172,7 +173,7 @@
     statement: ForwardedStatement,
     mut leased: Leased,
     permit: Option<Permit>,
-    watch: LinkMonitor,
+    link: LinkMonitor,
 ) -> ForwardResult {
     let backend = leased.backend();
     if statement.account.is_some() {
@@ -191,7 +192,7 @@
             if let Some(permit) = permit {
                 permit.latency.set(Some(sent_at.elapsed()));
             }
-            release(host, from, &statement, leased, &answer, watch);
+            release(host, from, &statement, leased, &answer, link);
             ForwardResult::Answered(answer)
         }
         Ok(Err(error)) => {
@@ -207,21 +208,21 @@
     }
 }
 
-/// Stores the connection if a transaction is open. Otherwise returns it to the pool, or closes it
-/// if it is not clean.
+/// Stores the connection if a transaction is open on it. Otherwise returns the connection to the
+/// pool, or closes it if it is not clean.
 fn release(
     host: &Host,
     from: HostId,
     statement: &ForwardedStatement,
     mut leased: Leased,
     answer: &ServerAnswer,
-    watch: LinkMonitor,
+    link: LinkMonitor,
 ) {
     let open = statement.transaction.filter(|_| answer.state != State::Idle);
     match open {
-        Some(work) => {
-            let transaction = IdleTransaction { leased, since: host.now(), watch };
-            host.remote_transactions.store((from, work), transaction);
+        Some(id) => {
+            let transaction = IdleTransaction { leased, since: host.now(), link };
+            host.remote_transactions.store((from, id), transaction);
         }
         None if leased.backend().is_clean(answer) => leased.give_back(),
         None => {}
