--- a/components/proxy/src/caller.rs
+++ b/components/proxy/src/caller.rs
@@ -26,14 +26,15 @@
 /// Timeout of a caller's start message.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Timeout of writing an answer. A caller that reads nothing for this long is taken to be gone;
-/// its unread answer holds memory.
+/// Timeout of writing an answer. A caller that has not read the answer by then is treated as
+/// disconnected, as the unread answer occupies memory.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// TCP keep-alive: idle time before the first probe, interval between probes and number of failed
-/// probes. Without it a session whose caller vanished would hold its memory forever.
+/// probes. Without keep-alive a session whose caller disappeared would occupy memory forever.
 const KEEP_ALIVE: (Duration, Duration, u32) = (Duration::from_secs(20), Duration::from_secs(5), 3);
 
+/// Minimum free space of the read buffer, in bytes.
 const READ_CHUNK: usize = 2 * 1024;
 
 /// Result of waiting for a caller's next line.
@@ -41,7 +42,7 @@
     Line(Bytes),
     Closed,
     TooLong,
-    /// The caller was idle for longer than the timeout.
+    /// Nothing arrived from the caller within the timeout.
     IdleTimeout,
     /// The host is shutting down and the session is between transactions.
     Shutdown,
@@ -131,8 +132,9 @@
         Ok(None)
     }
 
-    /// Waits for the next line until nothing has arrived for `timeout`. Between transactions
-    /// (`idle`) a shutdown of the host ends the wait too.
+    /// Waits for the next line until nothing has arrived for `timeout`, or without a limit if
+    /// `timeout` is `None`. Between transactions (`idle`) a shutdown of the host ends the wait too,
+    /// unless a part of a line has arrived.
     async fn next_event(&mut self, idle: bool, timeout: Option<Duration>) -> anyhow::Result<Event> {
         loop {
             match self.lines.take(&mut self.buf) {
