--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -1,4 +1,5 @@
-//! Tokens of the accounts' rate limits: which host grants them and which hosts report usage.
+//! Tokens of the accounts' rate limits: requests for tokens, admission of requests by this host, and
+//! the choice of hosts that report admitted requests.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,16 +13,16 @@
 /// Timeout of a token request to another host.
 const TOKEN_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a host keeps reporting after it last admitted a request, even if other hosts admit
-/// requests by then: time for three reports, some of which may be lost with a link.
+/// Duration for which a host reports after it last admitted a request, even if it is not a hub by
+/// then: time for three reports, some of which may be lost with a link.
 const REPORT_DURATION: Duration = Duration::from_millis(1500);
 
 /// Requests a token of the account's rate limit for the request `id`; returns `None` if no host
 /// that admits requests can be reached.
 ///
-/// In a large fleet the hub candidates of this host's failure domain are asked in turn, then the
-/// hubs of other failure domains. Every host reports what it has admitted, so the limit holds
-/// whichever host is asked.
+/// In a small fleet this host admits requests itself. In a large fleet the request goes to the hub
+/// candidates of this host's failure domain in turn, then to the hubs of other failure domains. Every
+/// host reports the requests that it admitted, so the limit holds whichever host decides.
 pub async fn acquire(host: &Host, id: &str, account: &Account) -> Option<Ruling> {
     if host.neighbours.borrow().mesh {
         return Some(admit(host, &account.id, account.rate, account.burst));
@@ -73,18 +74,18 @@
     }
 }
 
-/// Returns whether this host reports the requests that it admitted: always as hub, otherwise for
-/// `REPORT_DURATION` after it admitted a request in place of one.
+/// Returns whether this host reports the requests that it admitted: always as a hub, otherwise for
+/// `REPORT_DURATION` after it last admitted a request.
 pub fn is_reporter(host: &Host) -> bool {
     let recent = |at| host.now().saturating_duration_since(at) < REPORT_DURATION;
     host.is_hub() || host.last_admission.get().is_some_and(recent)
 }
 
-/// Frees the rate shares of hub candidates whose process is gone, so that this host can use the
+/// Frees the rate shares of hub candidates that refuse connections, so that this host can use the
 /// whole share of its failure domain at once.
 pub fn free_shares(host: &Host) {
     let candidates = host.neighbours.borrow().candidates.clone();
-    let gone = |id: &HostId| host.mesh.link(id).is_some_and(|link| link.is_refused());
+    let refuses = |id: &HostId| host.mesh.link(id).is_some_and(|link| link.is_refused());
     let mut demand = host.demand.borrow_mut();
-    candidates.iter().filter(|id| gone(id)).for_each(|id| demand.mark_idle(id));
+    candidates.iter().filter(|id| refuses(id)).for_each(|id| demand.mark_idle(id));
 }
