--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -33,15 +33,15 @@
     monitor,
 };
 
-/// Poll interval of signal flags and, during shutdown, of open sessions.
+/// Poll interval of signal flags and, during shutdown, of the number of open sessions.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long new callers still arrive after the readiness has changed: the platform polls it once
-/// a second and acts on the second answer.
+/// Time for which new callers still arrive after a host reports that it is not ready: the platform
+/// polls the readiness once a second and acts on the second such answer.
 const READINESS_DELAY: Duration = Duration::from_millis(2300);
 
-/// How long before the end of the grace period, when the process would be killed, it exits by
-/// itself.
+/// Part of the grace period that remains for leaving the view and exiting. At the end of the grace
+/// period the process would be killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(900);
 
 /// Maximum number of connections waiting to be accepted, per listener.
@@ -56,13 +56,13 @@
     pub reload: Arc<AtomicBool>,
 }
 
-/// Runs a host until a shutdown is requested. `reread` reads the settings again.
+/// Runs a host until a requested shutdown is complete. `reread` reads the settings again.
 pub async fn run(
     settings: Settings,
     signals: Signals,
     reread: impl Fn() -> anyhow::Result<Settings>,
 ) -> anyhow::Result<()> {
-    // The listeners come first: other hosts take a host that refuses connections for dead.
+    // The listeners are opened first: other hosts treat a host that refuses connections as dead.
     let peers = listen(settings.peer_address).context("listening for other hosts")?;
     let callers = listen(settings.caller_address).context("listening for callers")?;
     let state: Rc<RefCell<Option<Rc<Host>>>> = Rc::default();
@@ -72,7 +72,8 @@
     let (run, clock) = (rand::random(), Rc::new(BootClock::new()));
     let membership = monoio::select! {
         membership = fleet::ensure_member(&settings, &*clock, &client) => membership,
-        // The host may have joined the view already; it has not used any leader yet.
+        // The host may have joined the view already. It has used no leader, as leaving
+        // requires.
         _ = wait_raised(&signals.stop) => return fleet::leave(&settings).await,
     };
     let host = new_host(settings, run, clock, &membership.secret);
@@ -236,9 +237,9 @@
     stop(host).await;
 }
 
-/// Shuts the host down: serves on while new callers still arrive, then closes sessions between
-/// transactions, and returns when the last one has ended or shortly before the process would be
-/// killed.
+/// Shuts the host down: continues to serve while new callers still arrive, then closes sessions
+/// between transactions, and leaves the view when no session and no idle transaction of another host
+/// remains, but at the latest [`EXIT_MARGIN`] before the process would be killed.
 async fn stop(host: &Rc<Host>) {
     let started = Instant::now();
     let limit = host.settings.shutdown_grace.saturating_sub(EXIT_MARGIN);
