--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats between hosts, and the requests for newer state that follow from them.
+//! Heartbeats between hosts, and requests for state that is newer on another host.
 
 use std::{
     rc::Rc,
@@ -36,14 +36,14 @@
 /// servers occupies a 10 Mbit/s link for a second.
 const UPDATE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Delay after an unanswered request for newer state before another host is asked as well.
+/// Delay after an unanswered request for newer state before a request is sent to another host too.
 const NEXT_HOST_DELAY: Duration = Duration::from_millis(400);
 
 /// Maximum age of the view before other hosts are polled: slightly longer than the store
-/// usually takes to confirm it.
+/// usually takes to confirm the view.
 const MAX_VIEW_AGE: Duration = Duration::from_millis(3200);
 
-/// Interval at which the age of the state is checked and, if exceeded, a host is polled.
+/// Interval of checks of the state's age. A check that finds the state too old polls one host.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Handles a request from another host.
@@ -87,7 +87,7 @@
 }
 
 /// Applies a group's row and replies once no work on this host relies on a leader that the
-/// row no longer names.
+/// row no longer names: at once, unless the newest row announces a failover.
 async fn apply_leadership(
     host: Rc<Host>,
     id: GroupId,
@@ -107,7 +107,8 @@
     }
 }
 
-/// Returns the state that is newer here than the requester's versions.
+/// Returns the state of this host that is newer than the requester's versions, and all known
+/// evacuations.
 fn newer_than(host: &Host, requester: KnownVersions) -> Updates {
     let known = host.versions();
     let view = || host.leased_view.borrow().changes(requester.view_version);
@@ -140,8 +141,8 @@
     }
 }
 
-/// Returns the answer to a heartbeat, without a demand report: this host's own heartbeats
-/// report the requests admitted here.
+/// Returns the answer to a heartbeat. The answer has no demand report: this host's own heartbeats
+/// report the requests that it admitted.
 fn heartbeat_answer(host: &Host) -> Heartbeat {
     let clock = host.now().saturating_duration_since(host.started);
     let clock = Some(ClockReading { run: host.run, clock });
@@ -149,8 +150,8 @@
     Heartbeat { report: None, positions, clock, ..own_heartbeat(host) }
 }
 
-/// Returns the heartbeat for the host at the other end of the link, with the leader
-/// positions that this host has read itself.
+/// Returns the heartbeat for the host at the other end of the link, with the leader positions that
+/// this host observed itself. Omits the positions until a clock reading of that host is known.
 fn heartbeat_for(
     host: &Host,
     link: &Link,
@@ -171,8 +172,8 @@
 fn apply_heartbeat(host: &Rc<Host>, id: &HostId, domain: &FailureDomain, beat: Heartbeat) {
     if let Some(report) = beat.report {
         let mesh = host.neighbours.borrow().mesh;
-        let party = if mesh { id.clone() } else { fleet::domain_party(domain) };
-        host.demand.borrow_mut().receive_report(&party, id, &report, host.now());
+        let participant = if mesh { id.clone() } else { fleet::domain_party(domain) };
+        host.demand.borrow_mut().receive_report(&participant, id, &report, host.now());
     }
     if beat.majority && *id == host.hub() {
         host.hub_majority.set(Some(host.now()));
@@ -191,11 +192,11 @@
     }
 }
 
-/// Requests newer state from a host, unless a request to it is outstanding or a request to
-/// any host is recent.
+/// Requests newer state from a host, unless a request to that host is outstanding or an outstanding
+/// request to any host was sent less than [`NEXT_HOST_DELAY`] ago.
 ///
 /// Guards against several copies of one answer on a link that needs longer than the timeout
-/// to transfer it: each would arrive too late and block all other traffic.
+/// to transfer the answer: each copy would arrive too late and block all other traffic.
 fn request_updates(host: &Rc<Host>, link: Rc<Link>) {
     let now = host.now();
     let mut requested = host.requested.borrow_mut();
@@ -212,8 +213,8 @@
     });
 }
 
-/// Records the configuration version that another host reports, and confirms state of this
-/// host of which the other host has the same version.
+/// Records the configuration version that another host reports, and confirms the state of this
+/// host that has the same version on the other host.
 fn confirm_versions(host: &Host, known: KnownVersions) {
     host.newest.set(host.newest.get().max(known.plan.0));
     if known.plan.0 == host.version() {
@@ -222,13 +223,14 @@
     if known.servers.0 == host.servers_stamp.get() {
         host.servers_clock.set(host.servers_clock.get().max(known.servers.1));
     }
-    let shown = host.store_clock.borrow().local(known.view.1);
-    if let Some(shown) = shown {
-        host.leased_view.borrow_mut().renew(known.view.0, known.view.1, shown);
+    let confirmed_at = host.store_clock.borrow().local(known.view.1);
+    if let Some(confirmed_at) = confirmed_at {
+        host.leased_view.borrow_mut().renew(known.view.0, known.view.1, confirmed_at);
     }
 }
 
-/// Sends demand and state versions to other hosts, in an endless loop.
+/// Sends demand and state versions in an endless loop: to all connected hosts if this host reports
+/// the requests that it admitted, otherwise to its hub only.
 pub async fn send_heartbeats(host: Rc<Host>) {
     loop {
         tokens::free_shares(&host);
@@ -241,12 +243,12 @@
             let beat = Box::new(heartbeat_for(&host, &link, &beat, &own));
             let host = host.clone();
             monoio::spawn(async move {
-                let sent = host.now();
-                // A host that does not answer is detected by its silence.
+                let sent_at = host.now();
+                // A missing answer needs no action: silent hosts are evicted by their last contact.
                 if let Ok(Answer::Heartbeat(answer)) =
                     link.query(Question::Heartbeat(beat), HEARTBEAT_TIMEOUT).await
                 {
-                    record_clock(&host, &link, &answer, sent);
+                    record_clock(&host, &link, &answer, sent_at);
                     let member = host.leased_view.borrow().view().members.get(&link.host).cloned();
                     if let Some(member) = member {
                         apply_heartbeat(&host, &link.host, &member.value.domain, *answer);
@@ -260,18 +262,18 @@
     }
 }
 
-/// Records the clock and the leader positions in the answer to a heartbeat sent at `sent`.
-fn record_clock(host: &Host, link: &Link, answer: &Heartbeat, sent: Instant) {
+/// Records the clock and the leader positions in the answer to a heartbeat sent_at at `sent_at`.
+fn record_clock(host: &Host, link: &Link, answer: &Heartbeat, sent_at: Instant) {
     if let Some(clock) = answer.clock {
         host.peer_clocks.borrow_mut().insert(link.host.clone(), (clock, host.now()));
     }
-    positions::apply_reply(host, answer, sent);
+    positions::apply_reply(host, answer, sent_at);
 }
 
-/// Polls other hosts for the newest view and configuration while this host's are too old,
-/// in an endless loop.
+/// Polls other hosts in turn for newer state while this host's view or configuration is too old, in
+/// an endless loop.
 pub async fn poll_peers(host: Rc<Host>) {
-    let pace = freshness::PollIntervals::for_bound(
+    let intervals = freshness::PollIntervals::for_bound(
         host.settings.apply_bound.min(host.settings.evacuation_bound),
     );
     let mut turn = 0;
@@ -279,7 +281,7 @@
         monoio::time::sleep(POLL_INTERVAL).await;
         let is_old = |age: Option<Duration>, limit| age.is_none_or(|age| age > limit);
         let old_view = is_old(host.leased_view.borrow().age(host.now()), MAX_VIEW_AGE);
-        if !old_view && !is_old(host.plan_age(), pace.ask) {
+        if !old_view && !is_old(host.plan_age(), intervals.ask) {
             continue;
         }
         let links: Vec<Rc<Link>> =
@@ -292,12 +294,14 @@
     }
 }
 
+/// Fetches newer state over a link. If the view changes in the answer do not apply, requests the
+/// whole view.
 async fn fetch_updates(host: &Rc<Host>, link: &Rc<Link>) {
     let mut known = host.versions();
     loop {
-        let requested = host.now();
+        let requested_at = host.now();
         let answer = link.query(Question::Updates(known), UPDATE_TIMEOUT).await;
-        let ms = (host.now() - requested).as_millis() as u64;
+        let ms = (host.now() - requested_at).as_millis() as u64;
         let newest = match answer {
             Ok(Answer::Updates(newest)) => newest,
             Ok(_) => return,
@@ -321,15 +325,15 @@
     }
 }
 
-/// Applies newer state of another host. Returns false if its changes do not apply to this
-/// host's view.
+/// Applies newer state of another host. Returns false if that host's view changes do not apply to
+/// this host's view.
 fn apply_updates(host: &Rc<Host>, newest: Updates) -> bool {
     let changed = newest.view.map(|changes| changes.apply_to(host.leased_view.borrow().view()));
     let applied = !matches!(changed, Some(None));
     if let Some(view) = changed.flatten() {
-        let shown = host.store_clock.borrow().local(view.clock);
-        if let Some(shown) = shown {
-            fleet::apply_view(host, view, shown);
+        let confirmed_at = host.store_clock.borrow().local(view.clock);
+        if let Some(confirmed_at) = confirmed_at {
+            fleet::apply_view(host, view, confirmed_at);
         }
     }
     if let Some(servers) = newest.servers {
