--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -15,39 +15,40 @@
 use crate::{compression, host::Host, placement};
 
 /// Timeout of a call to the store until its answer begins, added to the wait of a long poll.
-/// On the store's slowest days an answer takes sixty times as long as usual, 250 ms.
+/// At worst the store takes 250 ms to answer, sixty times as long as usual.
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Wait of a long poll for changes of the list of servers: a server that leaves still serves for
-/// seconds.
+/// Maximum wait of a long poll for changes of the list of servers. A server that leaves continues to
+/// serve for seconds.
 const SERVERS_POLL_TIMEOUT: Duration = Duration::from_millis(4500);
 
-/// Delay after a change of the list of servers that gathers further changes. When all servers
-/// start they report within one heartbeat; without the delay each report would cost a call.
+/// Delay after a change of the list of servers before the next poll, so that one call returns
+/// several changes. When all servers start they report within one heartbeat; without the delay each
+/// report would cost a call.
 const SERVERS_BATCH_DELAY: Duration = Duration::from_millis(300);
 
-/// Delay after a failed call; the store's rate allows far more calls.
+/// Delay after a failed call before the next one; the store's rate limit allows far more calls.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Time for which a server is kept after its entry disappeared. Entries that expired in an outage
 /// of the store are back within 2 s of its return; the rest covers the delay between two reads of
-/// the list. A server that is really gone is detected by its refusals, and one that left still
-/// serves for longer.
+/// the list. A server that has stopped is detected by refused connections, and a server that is
+/// leaving serves for longer than this.
 const MISSING_ENTRY_TTL: Duration = Duration::from_millis(2500);
 
-/// Maximum age of the list of servers before a host that receives it from its hub reads it from
-/// the store: a little more than the hub usually takes.
+/// Maximum age of the list of servers before a host that receives the list from its hub reads it
+/// from the store: slightly longer than the hub usually takes to send or confirm it.
 const MAX_SERVERS_AGE: Duration = Duration::from_millis(5600);
 
-/// Time that a new host of a large fleet waits for its hub to send it the tables: several
-/// connection attempts and two heartbeats of a host that starts.
+/// Time that a new host of a large fleet waits for its hub to send the tables before it reads them
+/// from the store: several connection attempts and two heartbeats of a starting host.
 const HUB_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Interval at which a host that does not read the store checks whether it must.
+/// Interval at which a host that does not read the store checks whether it has to.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Follows a table, forever: passes its rows to `apply`, with true for the whole table and false
-/// for changes. Reads only while `needed` returns true.
+/// for changes. Reads only while `needed` returns true. `wait` is the maximum wait of a long poll.
 async fn follow(
     host: &Rc<Host>,
     table: Table,
@@ -131,15 +132,15 @@
             host.documents.borrow_mut().confirm(rows.clock);
         }
     };
-    let pace = freshness::PollIntervals::for_bound(
+    let intervals = freshness::PollIntervals::for_bound(
         host.settings.apply_bound.min(host.settings.evacuation_bound),
     );
-    let needed = || host.reads_store() || host.plan_age().is_none_or(|age| age > pace.read);
-    follow(&host, Table::Configuration, pace.wait, needed, apply).await
+    let needed = || host.reads_store() || host.plan_age().is_none_or(|age| age > intervals.read);
+    follow(&host, Table::Configuration, intervals.wait, needed, apply).await
 }
 
 /// Decodes a configuration and puts it in force if it is newer; returns false if it cannot be
-/// decoded. `compress` packs it for other hosts.
+/// decoded. `compress` compresses the encoded configuration for transfer to other hosts.
 pub fn adopt(host: &Host, raw: &[u8], compress: impl FnOnce(&[u8]) -> Bytes) -> bool {
     match configuration::decode(raw) {
         Ok(plan) if host.plan().is_some_and(|known| plan.version <= known.version) => true,
@@ -178,9 +179,9 @@
 
 /// Adopts the list of servers from another host.
 ///
-/// That host may have started just after an outage of the store, in which entries expired, and
-/// have none of them yet. Servers missing from its list are kept as long as servers missing from
-/// the store.
+/// That host may have started just after an outage of the store, in which entries expired, and lack
+/// these entries. Servers missing from its list are therefore kept for `MISSING_ENTRY_TTL`, like
+/// servers missing from the store.
 pub fn adopt_servers(host: &Rc<Host>, listed: Vec<ListedServer>) {
     let is_listed = |id: &ServerId| listed.iter().any(|listed| listed.id == *id);
     let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
@@ -190,9 +191,9 @@
     host.refresh();
 }
 
-/// Resolves rows of the list of servers into the entries that remain and the servers without one.
-/// `expected` servers that have no row are without an entry. `clock` is the time of the store's
-/// clock at which the rows were read.
+/// Resolves rows of the list of servers into the present entries and the servers without an entry.
+/// Servers in `expected` that have no row count as servers without an entry. `clock` is the store's
+/// clock when the rows were read.
 ///
 /// Rows are in the order of their changes, and the last one of a server counts: an entry that
 /// expired in an outage of the store and came back remains.
@@ -232,6 +233,7 @@
 }
 
 /// Removes a server without an entry after [`MISSING_ENTRY_TTL`], unless the entry is back by then.
+/// Does nothing for an unknown server or if the removal is scheduled already.
 fn schedule_removal(host: &Rc<Host>, id: ServerId) {
     if host.server(&id).is_none() || host.missing.borrow().contains_key(&id) {
         return;
