--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -12,8 +12,8 @@
 
 use crate::{compression, follow, host::Host};
 
-/// Starts to fetch a configuration over a link, or resumes an interrupted fetch. Does nothing
-/// while a fetch is running.
+/// Starts to fetch a configuration over a link, or resumes an interrupted fetch of a version that is
+/// newer than this host's. Does nothing while a fetch is running or if `revision` is not newer.
 ///
 /// A version that this host cannot decode is not fetched again: repeated fetches would
 /// occupy the link permanently.
@@ -31,12 +31,12 @@
     });
 }
 
-/// Fetches the remaining pieces over one link. Returns the unfinished fetch, for resuming, if
-/// a piece is not received.
+/// Fetches the remaining pieces over one link and activates the configuration. Returns the unfinished
+/// fetch, to be resumed later, if a piece is not received.
 async fn fetch_pieces(host: &Rc<Host>, link: &Link, mut fetch: Fetch) -> Option<Fetch> {
     let started = host.now();
     loop {
-        let requested = host.now();
+        let requested_at = host.now();
         let answer = link.query(Question::Piece(fetch.next_request()), pieces::PIECE_TIMEOUT).await;
         let piece = match answer {
             Ok(Answer::Piece(piece)) => piece,
@@ -44,15 +44,15 @@
             Err(error) => {
                 fetch.miss();
                 host.metrics.unanswered.inc();
-                log_miss(host, link, &fetch, requested, &error);
+                log_miss(host, link, &fetch, requested_at, &error);
                 return Some(fetch);
             }
         };
         let Some(piece) = piece else {
-            info!(version = fetch.revision.0, from = %link.host, "configuration: version not available there");
+            info!(version = fetch.revision.0, from = %link.host, "configuration: version not available at the other host");
             return None;
         };
-        match accept_piece(host, &mut fetch, piece, requested) {
+        match accept_piece(host, &mut fetch, piece, requested_at) {
             Progress::More => {}
             Progress::Complete(compressed) => {
                 let ms = (host.now() - started).as_millis() as u64;
@@ -88,23 +88,23 @@
     }
 }
 
-fn accept_piece(host: &Host, fetch: &mut Fetch, piece: Piece, requested: Instant) -> Progress {
+fn accept_piece(host: &Host, fetch: &mut Fetch, piece: Piece, requested_at: Instant) -> Progress {
     host.metrics.received_bytes.inc_by(piece.bytes.len() as u64);
-    fetch.take(piece, host.now() - requested)
+    fetch.take(piece, host.now() - requested_at)
 }
 
-fn log_miss(host: &Host, link: &Link, fetch: &Fetch, requested: Instant, error: &anyhow::Error) {
-    let (wanted, ms) = (fetch.next_request(), (host.now() - requested).as_millis() as u64);
+fn log_miss(host: &Host, link: &Link, fetch: &Fetch, requested_at: Instant, error: &anyhow::Error) {
+    let (request, ms) = (fetch.next_request(), (host.now() - requested_at).as_millis() as u64);
     let error = format_args!("{error:#}");
     info!(
-        version = wanted.revision.0, at = wanted.from.0, from = %link.host, ms, %error,
+        version = request.revision.0, at = request.from.0, from = %link.host, ms, %error,
         "configuration: piece not received"
     );
 }
 
 /// Returns the piece that another host requests; `None` if this host does not have it.
-pub fn piece(host: &Host, wanted: pieces::PieceRequest) -> Option<Piece> {
-    let piece = host.documents.borrow().piece(wanted);
+pub fn piece(host: &Host, request: pieces::PieceRequest) -> Option<Piece> {
+    let piece = host.documents.borrow().piece(request);
     let bytes = piece.as_ref().map_or(0, |piece| piece.bytes.len());
     host.metrics.sent_bytes.inc_by(bytes as u64);
     piece
