--- a/components/proxy/src/operation.rs
+++ b/components/proxy/src/operation.rs
@@ -130,8 +130,8 @@
 /// Waits until at least one server can run the operation and returns the targets in order of
 /// preference.
 ///
-/// Refuses the operation after [`LEADER_TIMEOUT`], and at once if waiting for a leader would not
-/// help.
+/// Refuses the operation after [`LEADER_TIMEOUT`] or at its deadline, and at once if waiting for a
+/// leader would not help.
 async fn wait_for_targets(host: &Host, operation: &Operation) -> Result<Vec<Target>, Refusal> {
     let until = operation.deadline.min(Instant::now() + LEADER_TIMEOUT);
     loop {
@@ -219,9 +219,9 @@
     }
 }
 
-/// Waits until a second server holds the commit that an answer acknowledges, unless no replica that
-/// could replace the leader is running or able to answer. Returns at once for a failure or an answer
-/// without a log position.
+/// Waits until a second server holds the commit that an answer acknowledges. The leader's answer
+/// suffices if no replica is running, or if the running replicas are too busy to answer in time.
+/// Returns at once for a failure or an answer without a log position.
 ///
 /// Guards against an acknowledged write that is lost by a failover: the successor is the replica
 /// with the newest log position, which may lack a commit that only the former leader holds.
