--- a/components/proxy/src/forward.rs
+++ b/components/proxy/src/forward.rs
@@ -69,7 +69,7 @@
             let why = if !transaction.link.is_open()
                 || now.duration_since(transaction.since) >= timeout
             {
-                "its host is gone or did not end it"
+                "its host disconnected or did not end it in time"
             } else if is_forbidden(transaction.leased.pool()) {
                 "its server's failure domain is evacuated"
             } else {
