--- a/components/proxy/src/gossip.rs
+++ b/components/proxy/src/gossip.rs
@@ -262,7 +262,7 @@
     }
 }
 
-/// Records the clock and the leader positions in the answer to a heartbeat sent_at at `sent_at`.
+/// Records the clock and the leader positions in the answer to a heartbeat sent at `sent_at`.
 fn record_clock(host: &Host, link: &Link, answer: &Heartbeat, sent_at: Instant) {
     if let Some(clock) = answer.clock {
         host.peer_clocks.borrow_mut().insert(link.host.clone(), (clock, host.now()));
