--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -15,7 +15,7 @@
 use crate::{compression, host::Host, placement};
 
 /// Timeout of a call to the store until its answer begins, added to the wait of a long poll.
-/// At worst the store takes 250 ms to answer, sixty times as long as usual.
+/// On days when the store is slowest, an answer takes 250 ms, sixty times as long as usual.
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Maximum wait of a long poll for changes of the list of servers. A server that leaves continues to
@@ -47,8 +47,9 @@
 /// Interval at which a host that does not read the store checks whether it has to.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows a table, forever: passes its rows to `apply`, with true for the whole table and false
-/// for changes. Reads only while `needed` returns true. `wait` is the maximum wait of a long poll.
+/// Follows a table in an endless loop: passes its rows to `apply`, with true for the whole table and
+/// false for changes. Reads only while `needed` returns true. `wait` is the maximum wait of a long
+/// poll.
 async fn follow(
     host: &Rc<Host>,
     table: Table,
@@ -118,7 +119,7 @@
     }
 }
 
-/// Follows the configuration and the evacuations, forever.
+/// Follows the configuration and the evacuations, in an endless loop.
 pub async fn configuration(host: Rc<Host>) {
     let apply = |rows: &Rows, whole| {
         let evacuated = configuration::evacuations(&rows.rows);
@@ -158,7 +159,7 @@
     }
 }
 
-/// Follows the list of servers, forever.
+/// Follows the list of servers, in an endless loop.
 pub async fn servers(host: Rc<Host>) {
     let apply = |rows: &Rows, whole: bool| {
         let known: Vec<_> = host.pools.borrow().keys().cloned().collect();
