--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -12,8 +12,8 @@
 
 use crate::{compression, follow, host::Host};
 
-/// Starts to fetch a configuration over a link, or resumes an interrupted fetch of a version that is
-/// newer than this host's. Does nothing while a fetch is running or if `revision` is not newer.
+/// Starts to fetch a configuration over a link, or resumes an interrupted fetch of a version that
+/// is newer than this host's. Does nothing while a fetch is running or if `revision` is not newer.
 ///
 /// A version that this host cannot decode is not fetched again: repeated fetches would
 /// occupy the link permanently.
@@ -31,8 +31,8 @@
     });
 }
 
-/// Fetches the remaining pieces over one link and activates the configuration. Returns the unfinished
-/// fetch, to be resumed later, if a piece is not received.
+/// Fetches the remaining pieces over one link and activates the configuration. Returns the
+/// unfinished fetch, to be resumed later, if a piece is not received.
 async fn fetch_pieces(host: &Rc<Host>, link: &Link, mut fetch: Fetch) -> Option<Fetch> {
     let started = host.now();
     loop {
--- a/components/proxy/src/follow.rs
+++ b/components/proxy/src/follow.rs
@@ -18,8 +18,8 @@
 /// On days when the store is slowest, an answer takes 250 ms, sixty times as long as usual.
 pub const STORE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Maximum wait of a long poll for changes of the list of servers. A server that leaves continues to
-/// serve for seconds.
+/// Maximum wait of a long poll for changes of the list of servers. A server that leaves continues
+/// to serve for seconds.
 const SERVERS_POLL_TIMEOUT: Duration = Duration::from_millis(4500);
 
 /// Delay after a change of the list of servers before the next poll, so that one call returns
@@ -47,9 +47,9 @@
 /// Interval at which a host that does not read the store checks whether it has to.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Follows a table in an endless loop: passes its rows to `apply`, with true for the whole table and
-/// false for changes. Reads only while `needed` returns true. `wait` is the maximum wait of a long
-/// poll.
+/// Follows a table in an endless loop: passes its rows to `apply`, with true for the whole table
+/// and false for changes. Reads only while `needed` returns true. `wait` is the maximum wait of a
+/// long poll.
 async fn follow(
     host: &Rc<Host>,
     table: Table,
--- a/components/proxy/src/serve.rs
+++ b/components/proxy/src/serve.rs
@@ -72,8 +72,7 @@
     let (run, clock) = (rand::random(), Rc::new(BootClock::new()));
     let membership = monoio::select! {
         membership = fleet::ensure_member(&settings, &*clock, &client) => membership,
-        // The host may have joined the view already. It has used no leader, as leaving
-        // requires.
+        // The host may have joined the view already. It has used no leader, as leaving requires.
         _ = wait_raised(&signals.stop) => return fleet::leave(&settings).await,
     };
     let host = new_host(settings, run, clock, &membership.secret);
@@ -238,8 +237,8 @@
 }
 
 /// Shuts the host down: continues to serve while new callers still arrive, then closes sessions
-/// between transactions, and leaves the view when no session and no idle transaction of another host
-/// remains, but at the latest [`EXIT_MARGIN`] before the process would be killed.
+/// between transactions, and leaves the view when no session and no idle transaction of another
+/// host remains, but at the latest [`EXIT_MARGIN`] before the process would be killed.
 async fn stop(host: &Rc<Host>) {
     let started = Instant::now();
     let limit = host.settings.shutdown_grace.saturating_sub(EXIT_MARGIN);
--- a/components/proxy/src/session.rs
+++ b/components/proxy/src/session.rs
@@ -342,8 +342,8 @@
         Ok((route, account))
     }
 
-    /// Admits one operation and takes a token of the account's rate limit for it. Operations without
-    /// an account are not limited.
+    /// Admits one operation and takes a token of the account's rate limit for it. Operations
+    /// without an account are not limited.
     async fn admit_operation(
         &self,
         request: &Request,
--- a/components/proxy/src/tokens.rs
+++ b/components/proxy/src/tokens.rs
@@ -1,5 +1,5 @@
-//! Tokens of the accounts' rate limits: requests for tokens, admission of requests by this host, and
-//! the choice of hosts that report admitted requests.
+//! Tokens of the accounts' rate limits: requests for tokens, admission of requests by this host,
+//! and the choice of hosts that report admitted requests.
 
 use std::{rc::Rc, time::Duration};
 
@@ -21,8 +21,8 @@
 /// that admits requests can be reached.
 ///
 /// In a small fleet this host admits requests itself. In a large fleet the request goes to the hub
-/// candidates of this host's failure domain in turn, then to the hubs of other failure domains. Every
-/// host reports the requests that it admitted, so the limit holds whichever host decides.
+/// candidates of this host's failure domain in turn, then to the hubs of other failure domains.
+/// Every host reports the requests that it admitted, so the limit holds whichever host decides.
 pub async fn acquire(host: &Host, id: &str, account: &Account) -> Option<Ruling> {
     if host.neighbours.borrow().mesh {
         return Some(admit(host, &account.id, account.rate, account.burst));
