--- a/components/fleet/src/rounds.rs
+++ b/components/fleet/src/rounds.rs
@@ -3,11 +3,11 @@
 //! Each host polls each other host once per second: a request of 17 bytes and an answer of 58,
 //! before framing. This is designed for some tens of hosts; with 1,800 it would be 135 KB per
 //! second and host. At that size the roster would name a panel of about 20 hosts over all failure
-//! domains, whose majority votes and receives revisions. The others would form a tree below the
-//! panel and adopt the proof of their parent with its age (the time of the request minus the
-//! parent's age). With a fan-out of 16 a host then sends one request and 16 answers per second,
-//! about 1 KB. The proof and its validity would stay the same; only the hosts that are polled
-//! would change.
+//! domains, whose majority votes and receives revisions. The other hosts would form a tree below
+//! the panel. Each would adopt the freshness proof of its parent, dated to the time of the request
+//! minus the age of the proof at the parent. With a fan-out of 16 a host would send one request
+//! and 16 answers per second, about 1 KB. The proof and its validity would stay the same; only the
+//! polled hosts would change.
 
 use std::{rc::Rc, time::Duration};
 
@@ -31,13 +31,14 @@
 /// Timeout of a request to another host.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Timeout of the propagation of a revision to the majorities.
+/// Time after which an unsuccessful round ends the propagation of a revision.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without contact after which a host is removed from the roster.
+/// Time without contact after which this host reports another one as unreachable. A host that a
+/// majority of the roster reports may be removed from it.
 ///
 /// Far longer than a restart or a stall: the removal of a host moves its share of the rates to
-/// others, and after its return it must wait for its share.
+/// others, and after its return the host must wait for its share.
 const REMOVAL_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Fleet {
@@ -45,8 +46,8 @@
     pub(crate) async fn run_rounds(self: Rc<Self>) {
         loop {
             let tally = self.run_round().await;
-            let settled = tally.is_some_and(|tally| tally.newest && tally.propagated);
-            monoio::time::sleep(if settled { ROUND_INTERVAL } else { ROUND_RETRY_DELAY }).await;
+            let complete = tally.is_some_and(|tally| tally.newest && tally.propagated);
+            monoio::time::sleep(if complete { ROUND_INTERVAL } else { ROUND_RETRY_DELAY }).await;
         }
     }
 
@@ -81,7 +82,9 @@
         Some(tally)
     }
 
-    /// Requests the vote of one host, and sends the revision to a host with an older one.
+    /// Requests the vote of one host, and sends `doc` to the host if its revision is older.
+    ///
+    /// Returns `None` if the host cannot be reached or does not answer within [`ANSWER_TIMEOUT`].
     async fn request_vote(
         &self,
         host: HostId,
@@ -124,7 +127,7 @@
     fn raise_propagated(&self, propagated: Revision) {
         if propagated > self.propagated.get() {
             self.propagated.set(propagated);
-            info!("fleet: revision {propagated} was propagated to a majority.");
+            info!("fleet: revision {propagated} was propagated to majorities of both rosters.");
         }
         self.limits.propagated(self.propagated.get());
     }
@@ -160,7 +163,7 @@
     }
 
     /// Returns the hosts of both rosters with which this host had no contact for
-    /// [`REMOVAL_TIMEOUT`].
+    /// [`REMOVAL_TIMEOUT`] or longer.
     pub(crate) fn silent_hosts(&self) -> Vec<HostId> {
         let now = self.clock.now();
         let last_contact = self.last_contact.borrow();
@@ -168,8 +171,8 @@
         silent.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Determines the hosts without recent contact to a majority of the roster. A broken link
-    /// between only two hosts removes neither of them.
+    /// Determines the hosts of the roster that a majority of its hosts reports as unreachable,
+    /// not counting dead hosts. A broken link between only two hosts thus removes neither of them.
     fn update_unreachable(&self, doc: &RevisionDoc, answers: &[(HostId, FreshnessVote)]) {
         let dead = self.dead.borrow();
         let roster = host_ids(&doc.roster);
@@ -183,10 +186,11 @@
         *self.unreachable.borrow_mut() = unreachable.cloned().collect();
     }
 
-    /// Sends the revision in force on this host to all hosts until majorities have it, for at most
+    /// Sends the revision in force on this host to all hosts until a majority of its roster and one
+    /// of the previous roster have it, or until a round fails after
     /// [`PROPAGATION_TIMEOUT`].
     ///
-    /// Returns the tally of the last round, with `propagated` set if majorities have it.
+    /// Returns the tally of the last round, with `propagated` set if both majorities have it.
     pub(crate) async fn propagate(&self) -> Tally {
         let deadline = self.clock.now() + PROPAGATION_TIMEOUT;
         loop {
@@ -196,7 +200,9 @@
                 return Tally { propagated: true, ..tally };
             }
             if self.clock.now() >= deadline {
-                warn!("fleet: revision {number} could not be propagated to a majority.");
+                warn!(
+                    "fleet: revision {number} could not be propagated to majorities of both rosters."
+                );
                 return tally;
             }
             monoio::time::sleep(ROUND_RETRY_DELAY).await;
@@ -204,7 +210,8 @@
     }
 }
 
-/// Returns the hosts whose votes count for a revision: those of its roster and of the previous one.
+/// Returns the hosts whose votes count for a revision: the members of its roster and of the
+/// previous one, without duplicates.
 fn voters(doc: &RevisionDoc) -> Vec<HostId> {
     let mut ids = host_ids(&doc.roster);
     let before = doc.before.iter().filter(|host| doc.host(&host.id).is_none());
@@ -212,7 +219,6 @@
     ids
 }
 
-/// Returns the ids of the hosts.
 pub(crate) fn host_ids(hosts: &[bergamottrack_contract::Host]) -> Vec<HostId> {
     hosts.iter().map(|host| host.id.clone()).collect()
 }
