--- a/components/fleet/src/fleet.rs
+++ b/components/fleet/src/fleet.rs
@@ -183,7 +183,7 @@
             known: self.current.number(),
             confirmed: self.current.may_vote(),
             propagated: self.propagated.get(),
-            unreachable: self.silent_hosts(),
+            unreachable: self.hosts_without_contact(),
         }
     }
 
--- a/components/fleet/src/roster.rs
+++ b/components/fleet/src/roster.rs
@@ -47,7 +47,7 @@
     /// A list without this host is ignored, since an empty or partial list proves nothing. The
     /// list lags behind, so a host that is missing from it stopped some time ago.
     pub(crate) async fn update_dead(&self) -> anyhow::Result<()> {
-        let mut dead = self.silent_hosts();
+        let mut dead = self.hosts_without_contact();
         if !dead.is_empty() {
             let list = self.chain.listed().await?;
             let is_listed =
--- a/components/fleet/src/rounds.rs
+++ b/components/fleet/src/rounds.rs
@@ -164,7 +164,7 @@
 
     /// Returns the hosts of both rosters with which this host had no contact for
     /// [`REMOVAL_TIMEOUT`] or longer.
-    pub(crate) fn silent_hosts(&self) -> Vec<HostId> {
+    pub(crate) fn hosts_without_contact(&self) -> Vec<HostId> {
         let now = self.clock.now();
         let last_contact = self.last_contact.borrow();
         let silent = last_contact.iter().filter(|(_, at)| now >= **at + REMOVAL_TIMEOUT);
