--- a/components/contract/src/revision.rs
+++ b/components/contract/src/revision.rs
@@ -51,8 +51,8 @@
         self.roster.iter().find(|h| h.id == *id)
     }
 
-    /// Returns the time for which a host may act on the revision without proving that it is the
-    /// newest.
+    /// Returns the maximum age of the last freshness proof with which a host may act on the
+    /// revision: `fresh_ms` of its policy, or the default before the first configuration.
     pub fn fresh_limit(&self) -> Duration {
         let policy = self.config.as_ref().map(|config| config.policy.fresh_ms);
         Duration::from_millis(policy.unwrap_or(Policy::default().fresh_ms))
@@ -80,8 +80,9 @@
 
     /// Puts a revision into force unless it or a newer one already is; returns whether it did.
     ///
-    /// Guards against an old object or a delayed message, by which a withdrawn key would work
-    /// again. Only the number decides, whatever the source.
+    /// Guards against a withdrawn key that becomes valid again because an older revision is read
+    /// from the store or arrives in a delayed message. Only the number is compared, regardless of
+    /// the source.
     pub fn advance(&self, doc: RevisionDoc) -> bool {
         if doc.number <= self.number() {
             return false;
@@ -92,28 +93,32 @@
         true
     }
 
-    /// Records a proof that no revision newer than `newest` had been accepted at `sent_at`.
+    /// Records a proof that no revision newer than `newest` had been accepted at `sent_at`. Has no
+    /// effect while `newest` is newer than the revision in force on this host.
     pub fn confirm(&self, newest: Revision, sent_at: Instant) {
         self.freshness.borrow_mut().confirm(newest, sent_at);
     }
 
-    /// Returns whether this host's vote counts in freshness rounds of other hosts.
+    /// Returns whether this host's vote counts in freshness rounds, which requires a proof recorded
+    /// since the start of the process.
     pub fn may_vote(&self) -> bool {
         self.freshness.borrow().may_vote()
     }
 
-    /// Returns the time since the revision in force was last proven to be the newest.
+    /// Returns the time since the revision in force was last proven to be the newest; `None`
+    /// before the first proof since the start of the process.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.freshness.borrow().age(now)
     }
 
-    /// Returns whether this host may act on its revision.
+    /// Returns whether this host may act on its revision: the last proof is more recent than
+    /// [`RevisionDoc::fresh_limit`]. False before the first revision or proof.
     pub fn is_fresh(&self, now: Instant) -> bool {
         let limit = self.get().map(|doc| doc.fresh_limit());
         limit.is_some_and(|limit| self.freshness.borrow().is_fresh(now, limit))
     }
 
-    /// Waits for the next revision.
+    /// Waits until the next revision is in force. Changes before the first poll are missed.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
