--- a/components/contract/src/check.rs
+++ b/components/contract/src/check.rs
@@ -61,14 +61,15 @@
         self.faults.0.push(Fault { origin, path: path.into(), found, expected });
     }
 
-    /// Checks a table; returns its values in the form in which [`Config`] reads them.
+    /// Checks a table; returns its valid values, normalized for the deserialization of [`Config`]
+    /// (durations as integers in milliseconds, for instance).
     fn table(&mut self, path: &str, node: &Node, shape: &Shape) -> toml::Value {
-        let mut out = toml::Table::new();
+        let mut values = toml::Table::new();
         if !matches!(node.data, Data::Table(_)) {
             self.fault(&node.origin, path, describe(node, None), "a table");
         }
         for (name, value) in node.entries() {
-            let child_path = join(path, name);
+            let child_path = join_path(path, name);
             let field = shape.fields.iter().find(|field| field.name == *name);
             let list = shape.lists.iter().find(|list| list.name == &**name);
             let table = shape.tables.iter().find(|table| table.name == &**name);
@@ -81,15 +82,15 @@
                     None
                 }
             };
-            out.extend(read.map(|read| (name.to_string(), read)));
+            values.extend(read.map(|read| (name.to_string(), read)));
         }
         for field in shape.fields.iter().filter(|field| field.required) {
             if node.get(&field.name).is_none() {
-                let path = join(path, &field.name);
+                let path = join_path(path, &field.name);
                 self.fault(&node.origin, &path, "nothing", field.kind.expected());
             }
         }
-        toml::Value::Table(out)
+        toml::Value::Table(values)
     }
 
     fn field(&mut self, path: &str, node: &Node, field: &Field) -> Option<toml::Value> {
@@ -107,27 +108,32 @@
     fn list(&mut self, path: &str, node: &Node, shape: &Shape) -> toml::Value {
         let Data::List(items) = &node.data else {
             let expected = format!("tables [[{}]]", shape.name);
-            self.fault(&node.origin, &join(path, shape.name), describe(node, None), expected);
+            self.fault(&node.origin, &join_path(path, shape.name), describe(node, None), expected);
             return toml::Value::Array(Vec::new());
         };
-        let mut out = Vec::new();
+        let mut tables = Vec::new();
         for item in items {
             let name = format!("{} {}", shape.name, item.id().unwrap_or("without an id"));
-            out.push(self.table(&join(path, &name), item, shape));
+            tables.push(self.table(&join_path(path, &name), item, shape));
         }
-        toml::Value::Array(out)
+        toml::Value::Array(tables)
     }
 
-    /// Guards against a policy that would stop the whole fleet, or void a guarantee, as soon as it
-    /// is in force.
+    /// Checks that policy fields are within [`POLICY_BOUNDS`]. Guards against a policy that stops
+    /// the whole fleet, or voids a guarantee, as soon as the configuration is in force.
     fn check_policy(&mut self, node: &Node, value: &toml::Value) {
         let Some(policy) = node.get("policy") else { return };
         for (name, min, max, reason) in POLICY_BOUNDS {
             let millis = value.get("policy").and_then(|p| p.get(name)?.as_integer());
-            let (Some(millis), Some(at)) = (millis, policy.get(name)) else { continue };
+            let (Some(millis), Some(setting)) = (millis, policy.get(name)) else { continue };
             if !(min..=max).contains(&millis) {
                 let expected = format!("from {min}ms to {max}ms: {reason}");
-                self.fault(&at.origin, &format!("policy, {name}"), format!("{millis}ms"), expected);
+                self.fault(
+                    &setting.origin,
+                    &format!("policy, {name}"),
+                    format!("{millis}ms"),
+                    expected,
+                );
             }
         }
     }
@@ -153,7 +159,8 @@
         }
     }
 
-    /// Checks that a server has a connection for each slot, as other slots could never be used.
+    /// Checks that a server has at least as many connections as slots, because a slot without a
+    /// connection can never be used.
     fn check_slots(&mut self, server: &Node) {
         let number = |name| match server.get(name).map(|node| &node.data) {
             Some(Data::Value(value)) => value.as_integer(),
@@ -163,10 +170,10 @@
             number("connections").unwrap_or(crate::config::DEFAULT_CONNECTIONS.into());
         let slots = number("slots").unwrap_or(crate::config::DEFAULT_SLOTS.into());
         if slots > connections {
-            let at = server.get("slots").or(server.get("connections")).unwrap_or(server);
+            let setting = server.get("slots").or(server.get("connections")).unwrap_or(server);
             let path = format!("server {}, slots", server.id().unwrap_or_default());
             let expected = format!("no more than its {connections} connections");
-            self.fault(&at.origin, &path, slots.to_string(), expected);
+            self.fault(&setting.origin, &path, slots.to_string(), expected);
         }
     }
 
@@ -174,7 +181,8 @@
         self.check_unique(path, "id", items);
     }
 
-    /// Checks that no two items have the same value in a text field.
+    /// Checks that no two items have the same value in a text field. Items without the field are
+    /// ignored.
     fn check_unique<'a>(
         &mut self,
         path: &str,
@@ -196,7 +204,7 @@
     }
 }
 
-fn join(path: &str, name: &str) -> String {
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}, {name}") }
 }
 
