--- a/components/home/src/backend.rs
+++ b/components/home/src/backend.rs
@@ -129,7 +129,7 @@
     }
 
     /// Returns whether the connection is open and has no unread message.
-    pub fn is_quiet(&mut self) -> bool {
+    pub fn is_idle(&mut self) -> bool {
         self.reader.next().now_or_never().is_none()
     }
 
--- a/components/home/src/pool.rs
+++ b/components/home/src/pool.rs
@@ -68,7 +68,7 @@
     fn pop(&self) -> Option<Conn> {
         loop {
             let mut conn = self.idle.borrow_mut().pop()?;
-            if conn.is_quiet() {
+            if conn.is_idle() {
                 return Some(conn);
             }
         }
