--- a/components/home/src/backend.rs
+++ b/components/home/src/backend.rs
@@ -35,10 +35,11 @@
 
 impl std::error::Error for Closed {}
 
-/// Returns whether an error is the one that a machine reports for a process that has ended.
+/// Returns whether an error indicates that the server process has ended: the connection was
+/// refused, reset, aborted or closed.
 ///
-/// Neither a running server that accepts no more connections, which sends an error message, nor
-/// a server that hangs, which sends nothing, causes such an error.
+/// A running server that accepts no more connections sends an error message instead, and a server
+/// that hangs sends nothing.
 pub fn is_process_gone(error: &anyhow::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset};
     let kinds = [BrokenPipe, ConnectionAborted, ConnectionRefused, ConnectionReset];
@@ -55,15 +56,16 @@
     server: BackendServer,
     /// Key for cancel requests, if the server has sent one.
     cancel_key: Option<BackendKeyData>,
-    /// Whether a cancel request was sent for this connection.
+    /// Whether a cancel request was attempted for this connection.
     cancelled: Cell<bool>,
-    /// Last point that the server reported on this connection: the one that its answers show or
-    /// have reached. The server reports it only when it changes.
+    /// Last point that the server reported on this connection; `None` before the first report. For
+    /// a read it is the point that the rows reflect, for a write the point of the commit. The
+    /// server reports the point only when it changes.
     pub point: Option<Point>,
 }
 
 impl Conn {
-    /// Connects and waits until the server accepts statements.
+    /// Connects and waits until the server accepts statements, for at most `timeout` in all.
     pub async fn connect(
         server: &BackendServer,
         group: &GroupId,
@@ -128,7 +130,8 @@
             .with_context(|| format!("reading from {}", self.server.id))
     }
 
-    /// Returns whether the connection is open and has no unread message.
+    /// Returns whether the connection is open and has no unread message. Otherwise the connection
+    /// must be closed, because the check has discarded the unread message.
     pub fn is_idle(&mut self) -> bool {
         self.reader.next().now_or_never().is_none()
     }
@@ -138,7 +141,8 @@
         self.send(&query(sql)).await
     }
 
-    /// Runs a statement and returns the first column of its first row.
+    /// Runs a statement and returns the first column of its first row; `None` if there is no row or
+    /// the value is null. Fails if the server answers with an error.
     pub async fn query_text(&mut self, sql: &str) -> anyhow::Result<Option<Box<str>>> {
         let reply = self.run(sql).await?;
         match reply.error {
@@ -147,7 +151,8 @@
         }
     }
 
-    /// Runs a statement that returns one text, within `timeout`.
+    /// Runs a statement that returns one text. Fails if there is none, or no complete answer within
+    /// `timeout`.
     pub async fn query_text_timeout(
         &mut self,
         sql: &str,
@@ -166,12 +171,14 @@
         Ok(reply)
     }
 
-    /// Returns whether a cancel request was sent for this connection; it may still be in transit.
+    /// Returns whether a cancel request was attempted for this connection. The request may have
+    /// failed, or may still be in transit.
     pub fn is_cancelled(&self) -> bool {
         self.cancelled.get()
     }
 
-    /// Requests cancellation of the running statement, on a separate connection.
+    /// Requests cancellation of the running statement, on a separate connection. Does nothing if
+    /// the server has sent no key for cancel requests.
     pub async fn cancel(&self, timeout: Duration) -> anyhow::Result<()> {
         let Some(key) = &self.cancel_key else { return Ok(()) };
         self.cancelled.set(true);
@@ -193,20 +200,20 @@
 pub struct ServerError {
     /// SQLSTATE code.
     pub code: Box<str>,
-    /// Message for people.
+    /// Human-readable message.
     pub text: Box<str>,
 }
 
 /// Complete answer to a statement issued by this program.
 #[derive(Clone, Debug, Default)]
 pub struct Reply {
-    /// First column of the first row.
+    /// First column of the first row; `None` without a row or for a null value.
     pub first: Option<Box<str>>,
     /// Command tag, such as `INSERT 0 1`.
     pub tag: Box<str>,
-    /// First error.
+    /// First error, if the statement failed.
     pub error: Option<ServerError>,
-    /// Point that the server reports to have reached.
+    /// Last point reported within the answer; `None` if the point has not changed.
     pub point: Option<Point>,
     /// Whether a transaction is open after the answer, failed or not.
     pub in_transaction: bool,
@@ -227,7 +234,7 @@
     }
 }
 
-/// Returns the point that a message reports as shown or reached by the answer; `None` for other
+/// Returns the point that a server reports in a `ParameterStatus` message; `None` for other
 /// messages.
 pub fn reported_point(frame: &Frame) -> Option<Point> {
     match frame.backend().ok()? {
@@ -258,7 +265,7 @@
     frame::bytes(&Query::new(sql.to_owned()))
 }
 
-/// Returns the first column of a row; `None` if it is null or not valid UTF-8.
+/// Returns the first column of a row; `None` if it is missing, null or not valid UTF-8.
 pub fn first_column(frame: &Frame) -> Option<Box<str>> {
     let mut body = frame.body();
     if body.remaining() < 6 || body.get_i16() < 1 {
@@ -269,7 +276,7 @@
     std::str::from_utf8(bytes).ok().map(Into::into)
 }
 
-/// Returns the message of an error, for people.
+/// Returns the human-readable message of an error.
 pub fn error_text(frame: &Frame) -> String {
     match frame.backend() {
         Ok(PgWireBackendMessage::ErrorResponse(error)) => error_message(&error.fields),
@@ -277,7 +284,7 @@
     }
 }
 
-/// Returns the SQLSTATE code of an error.
+/// Returns the SQLSTATE code of an error; `None` for other messages and errors without a code.
 pub fn error_code(frame: &Frame) -> Option<String> {
     match frame.backend() {
         Ok(PgWireBackendMessage::ErrorResponse(error)) => {
