--- a/components/peer/src/accept.rs
+++ b/components/peer/src/accept.rs
@@ -19,53 +19,54 @@
     socket,
 };
 
-/// Minimum number of exchanges of a link at which ended ones are removed. Entries send no
-/// [`ToHome::Close`] for an exchange that the home has ended.
+/// Minimum size of the exchange table of a link at which ended exchanges are removed from it.
+/// They remain in the table until then, because entries send no [`ToHome::Close`] for an exchange
+/// that the home has ended.
 const MIN_SWEEP_SIZE: usize = 64;
 
 /// Delay before accepting is retried after a failure.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Handler for questions of peers, which may reply at once or later.
+/// Handler for questions of peers. The answer may be sent after the handler has returned.
 pub type Responder = dyn Fn(&Hello, Question, Replier);
 
 /// Sends the answer to one question of a peer.
 #[derive(Debug)]
 pub struct Replier {
     number: RequestNo,
-    out: UnboundedSender<Message>,
+    outgoing: UnboundedSender<Message>,
 }
 
 impl Replier {
     /// Sends the answer to the peer. The answer is dropped if the link has closed meanwhile.
     pub fn reply(self, answer: Answer) {
-        let _ = self.out.send(Message::Answer(self.number, answer));
+        let _ = self.outgoing.send(Message::Answer(self.number, answer));
     }
 
     /// Returns a monitor of the link on which the question was received.
     pub fn link_monitor(&self) -> LinkMonitor {
-        LinkMonitor { out: self.out.clone() }
+        LinkMonitor { outgoing: self.outgoing.clone() }
     }
 }
 
-/// Shows whether a peer's link is still open.
+/// Handle for checking whether a peer's link is still open.
 #[derive(Clone, Debug)]
 pub struct LinkMonitor {
-    out: UnboundedSender<Message>,
+    outgoing: UnboundedSender<Message>,
 }
 
 impl LinkMonitor {
     /// Returns whether the link is open.
     pub fn is_open(&self) -> bool {
-        !self.out.is_closed()
+        !self.outgoing.is_closed()
     }
 }
 
-/// Handlers that a host provides to its peers.
+/// Handlers for requests of peers, and the secret for authentication with them.
 pub struct Service {
     /// Secret shared by all hosts.
     pub secret: Secret,
-    /// Serves an exchange in a separate task.
+    /// Starts a separate task that serves an exchange.
     pub serve: Box<dyn Fn(Open, HomeSide)>,
     /// Handler for questions.
     pub answer: Box<Responder>,
@@ -89,10 +90,10 @@
     let (mut writer, mut reader) = ws.split();
     let authenticate = authenticate(&hello, &service.secret, &mut reader, &mut writer);
     let peer = monoio::time::timeout(socket::HELLO_TIMEOUT, authenticate).await??;
-    let (out, mut rx) = mpsc::unbounded_channel();
+    let (outgoing, mut rx) = mpsc::unbounded_channel();
     monoio::select! {
         result = socket::write_messages(&mut writer, &mut rx) => result,
-        result = dispatch(&mut reader, &peer, out, service) => result,
+        result = dispatch(&mut reader, &peer, outgoing, service) => result,
     }
 }
 
@@ -121,7 +122,7 @@
 async fn dispatch(
     reader: &mut socket::Reader,
     peer: &Hello,
-    out: UnboundedSender<Message>,
+    outgoing: UnboundedSender<Message>,
     service: &Service,
 ) -> anyhow::Result<()> {
     // When the link closes, dropping the senders makes each home side receive `None`.
@@ -136,20 +137,20 @@
                 }
                 let (tx, rx) = mpsc::unbounded_channel();
                 exchanges.insert(number, tx);
-                (service.serve)(*open, HomeSide::on_link(number, out.clone(), rx));
+                (service.serve)(*open, HomeSide::on_link(number, outgoing.clone(), rx));
             }
-            Message::ToHome(number, item) => {
-                let last = matches!(item, ToHome::Close);
+            Message::ToHome(number, message) => {
+                let is_close = matches!(message, ToHome::Close);
                 if let Some(tx) = exchanges.get(&number) {
                     // Fails if the home has ended the exchange already.
-                    let _ = tx.send(item);
+                    let _ = tx.send(message);
                 }
-                if last {
+                if is_close {
                     exchanges.remove(&number);
                 }
             }
             Message::Question(number, question) => {
-                (service.answer)(peer, question, Replier { number, out: out.clone() });
+                (service.answer)(peer, question, Replier { number, outgoing: outgoing.clone() });
             }
             other => bail!("the peer sent a message of the accepting end: {other:?}"),
         }
