--- a/components/entry/src/sql.rs
+++ b/components/entry/src/sql.rs
@@ -1,4 +1,4 @@
-//! Classification of SQL statements, as far as the proxy needs it.
+//! Classification of SQL statements for routing and session settings.
 
 use crate::tokens::{self, Token};
 
@@ -7,11 +7,11 @@
 pub enum Command {
     /// Known to be read-only; may run on a replica.
     Read,
-    /// May change data.
+    /// May change data, or is not recognized.
     Write,
     /// Begins a transaction.
     Begin,
-    /// Ends a transaction; with the command tag of the answer.
+    /// Ends a transaction; contains the command tag of the answer.
     End(&'static str),
     /// Empty query string.
     Empty,
@@ -35,12 +35,12 @@
     Deallocate(Option<Box<str>>),
     /// `UNLISTEN`, which has no effect since `LISTEN` is not supported.
     Unlisten,
-    /// Needs a dedicated server connection; with the name of the unsupported feature.
+    /// Uses an unsupported feature; contains the name of the feature.
     Unsupported(&'static str),
 }
 
-/// Classifies each statement of a query string. One that cannot be tokenized counts as a single
-/// write.
+/// Classifies each statement of a query string. A query string that cannot be tokenized counts as
+/// a single write.
 pub fn parse(sql: &str) -> Vec<Command> {
     match tokens::split_statements(sql) {
         Some(all) if all.is_empty() => vec![Command::Empty],
@@ -49,8 +49,8 @@
     }
 }
 
-/// Classifies a query string of one statement, as in a prepared statement. One with several
-/// statements counts as a write.
+/// Classifies a query string of one statement, as in a prepared statement. A query string with
+/// several statements counts as a write.
 pub fn parse_single(sql: &str) -> Command {
     let mut all = parse(sql);
     if all.len() == 1 { all.remove(0) } else { Command::Write }
@@ -58,8 +58,8 @@
 
 fn parse_tokens(tokens: &[Token]) -> Command {
     let word = |i: usize| tokens.get(i).and_then(Token::word).unwrap_or_default();
-    if let Some(what) = session_state(tokens) {
-        return Command::Unsupported(what);
+    if let Some(feature) = unsupported_feature(tokens) {
+        return Command::Unsupported(feature);
     }
     match (word(0), word(1)) {
         ("SELECT" | "VALUES" | "TABLE" | "WITH", _) if is_read_only(tokens) => Command::Read,
@@ -79,12 +79,12 @@
     }
 }
 
-/// Returns the feature through which a statement leaves state on its server connection beyond
-/// the transaction, if any.
+/// Returns the name of the unsupported feature that a statement uses, if any.
 ///
+/// Features that leave state on the server connection beyond the transaction are not supported.
 /// Another caller gets the connection after the transaction, so the state would be lost for the
-/// caller that created it and visible to one that did not.
-fn session_state(tokens: &[Token]) -> Option<&'static str> {
+/// caller that created it and visible to others.
+fn unsupported_feature(tokens: &[Token]) -> Option<&'static str> {
     let word = |i: usize| tokens.get(i).and_then(Token::word).unwrap_or_default();
     let is_temporary = |t: &Token| matches!(t.word(), Some("TEMP" | "TEMPORARY"));
     let into_temporary =
@@ -96,7 +96,7 @@
         ("PREPARE", _) => return Some("PREPARE"),
         ("EXECUTE", _) => return Some("EXECUTE"),
         ("LOAD", _) => return Some("LOAD"),
-        ("DISCARD", what) if what != "ALL" => return Some("DISCARD of a part"),
+        ("DISCARD", kind) if kind != "ALL" => return Some("DISCARD of a part"),
         ("COMMIT" | "ROLLBACK", "PREPARED") => return Some("two-phase commit"),
         ("COMMIT" | "END" | "ROLLBACK" | "ABORT", _) if has_chain(tokens) => {
             return Some("AND CHAIN");
@@ -114,8 +114,9 @@
         _ => {}
     }
     let calls = called_functions(tokens);
-    let locks = |f: &str| f.starts_with("PG_ADVISORY_") || f.starts_with("PG_TRY_ADVISORY_");
-    if calls.iter().any(|f| locks(f) && !f.contains("_XACT_")) {
+    let is_advisory_lock =
+        |f: &str| f.starts_with("PG_ADVISORY_") || f.starts_with("PG_TRY_ADVISORY_");
+    if calls.iter().any(|f| is_advisory_lock(f) && !f.contains("_XACT_")) {
         return Some("an advisory lock of a session");
     }
     calls.contains(&"SET_CONFIG").then_some("set_config")
@@ -126,7 +127,8 @@
     words.contains(&"CHAIN") && !words.contains(&"NO")
 }
 
-/// Returns all names that are followed by an opening parenthesis.
+/// Returns all unquoted words that are followed by an opening parenthesis, and `"` for each such
+/// quoted name.
 fn called_functions(tokens: &[Token]) -> Vec<&str> {
     let pairs = tokens.windows(2).filter(|pair| pair[1] == Token::Symbol('('));
     pairs
@@ -143,7 +145,7 @@
 const WRITE_KEYWORDS: [&str; 8] =
     ["INSERT", "UPDATE", "DELETE", "MERGE", "INTO", "SHARE", "CALL", "LOCK"];
 
-/// Keywords that may be followed by a parenthesis without being a function.
+/// Keywords after which a parenthesis is no function call, and types with a length or precision.
 const NON_FUNCTION_KEYWORDS: [&str; 46] = [
     "ALL",
     "AND",
@@ -194,7 +196,7 @@
 ];
 
 /// Functions that are known to change nothing.
-const PURE_FUNCTIONS: [&str; 50] = [
+const READ_ONLY_FUNCTIONS: [&str; 50] = [
     "ABS",
     "ARRAY_AGG",
     "AVG",
@@ -249,19 +251,21 @@
 
 /// Returns whether a statement is known to change nothing.
 ///
-/// A statement that calls a function outside [`PURE_FUNCTIONS`] counts as a write. If it were
-/// sent as a read and the answer got lost, it would be reported as "not run" and retried.
+/// A statement that calls a function outside [`READ_ONLY_FUNCTIONS`], or one with a qualified name,
+/// counts as a write. If it were sent as a read and the answer got lost, it would be reported as
+/// "not run" and retried.
 fn is_read_only(tokens: &[Token]) -> bool {
     let words = || tokens.iter().filter_map(Token::word);
-    let changes = words().any(|word| WRITE_KEYWORDS.contains(&word));
-    let qualified = tokens
+    let has_write_keyword = words().any(|word| WRITE_KEYWORDS.contains(&word));
+    let calls_qualified = tokens
         .windows(3)
-        .any(|part| part[0] == Token::Symbol('.') && part[2] == Token::Symbol('('));
-    let known = |f: &&str| NON_FUNCTION_KEYWORDS.contains(f) || PURE_FUNCTIONS.contains(f);
-    !changes && !qualified && called_functions(tokens).iter().all(known)
+        .any(|window| window[0] == Token::Symbol('.') && window[2] == Token::Symbol('('));
+    let is_allowed =
+        |f: &&str| NON_FUNCTION_KEYWORDS.contains(f) || READ_ONLY_FUNCTIONS.contains(f);
+    !has_write_keyword && !calls_qualified && called_functions(tokens).iter().all(is_allowed)
 }
 
-/// Parses a name of several parts into lower case.
+/// Joins the tokens of a name, which may be qualified or of several words, in lower case.
 fn parse_name(tokens: &[Token]) -> Box<str> {
     let parts: Vec<String> = tokens.iter().map(token_text).collect();
     parts.join(" ").replace(" . ", ".").to_ascii_lowercase().into()
@@ -269,7 +273,8 @@
 
 fn token_text(token: &Token) -> String {
     match token {
-        // Unquoted words are case-insensitive and are stored in lower case.
+        // The tokenizer converts unquoted words to upper case; names and values have
+        // them in lower case.
         Token::Word(text) => text.to_lowercase(),
         Token::Name(text) | Token::Text(text) => text.to_string(),
         Token::Symbol(c) => c.to_string(),
@@ -281,19 +286,21 @@
         Some("SESSION") => &tokens[1..],
         _ => tokens,
     };
-    let two_words = [("TIME", "ZONE", "timezone"), ("NAMES", "", "client_encoding")];
+    // Forms without `=` or `TO`: one or two keywords, and the name of the setting.
+    let keyword_forms = [("TIME", "ZONE", "timezone"), ("NAMES", "", "client_encoding")];
     let word = |i: usize| tokens.get(i).and_then(Token::word).unwrap_or_default();
-    for (first, second, setting) in two_words {
+    for (first, second, setting) in keyword_forms {
         if word(0) == first && (second.is_empty() || word(1) == second) {
             let skip = if second.is_empty() { 1 } else { 2 };
             return Command::Set { name: setting.into(), value: parse_value(&tokens[skip..]) };
         }
     }
-    let is_end = |t: &Token| *t == Token::Symbol('=') || t.word() == Some("TO");
-    match tokens.iter().position(is_end) {
-        Some(at) => {
-            Command::Set { name: parse_name(&tokens[..at]), value: parse_value(&tokens[at + 1..]) }
-        }
+    let is_assignment = |t: &Token| *t == Token::Symbol('=') || t.word() == Some("TO");
+    match tokens.iter().position(is_assignment) {
+        Some(index) => Command::Set {
+            name: parse_name(&tokens[..index]),
+            value: parse_value(&tokens[index + 1..]),
+        },
         None => Command::Write,
     }
 }
