--- a/components/entry/src/login.rs
+++ b/components/entry/src/login.rs
@@ -27,20 +27,20 @@
 /// Number of random bytes in the server's nonce of the SCRAM exchange.
 const NONCE_LEN: usize = 18;
 
-/// Identity of a caller and its start-up settings.
+/// Identity claimed by a caller, and its start-up parameters.
 #[derive(Clone, Debug)]
 pub struct Caller {
     /// Client account.
     pub account: AccountId,
     /// Key with which the caller authenticates.
     pub key: KeyId,
-    /// Database group named as the database.
+    /// Database group, given as the `database` parameter.
     pub group: GroupId,
-    /// All settings of the start-up message.
-    pub settings: BTreeMap<String, String>,
+    /// All parameters of the start-up message, including `user` and `database`.
+    pub parameters: BTreeMap<String, String>,
 }
 
-/// Error for a caller that did not prove its key, or that named an unknown account or key.
+/// Error: the caller did not prove possession of its key, or its account or key is unknown.
 #[derive(Clone, Copy, Debug)]
 struct InvalidKey;
 
@@ -52,7 +52,7 @@
 
 /// First message of a new connection.
 pub enum FirstMessage {
-    /// Start-up message of a caller, with its settings.
+    /// Start-up message of a caller, with its parameters.
     Startup(BTreeMap<String, String>),
     /// Request to cancel the running request of another connection.
     Cancel(CancelRequest),
@@ -93,24 +93,25 @@
     }
 }
 
-/// Parses the identity that a caller claims: the user is `account.key`, the database the group.
-pub fn identify(settings: BTreeMap<String, String>) -> anyhow::Result<Caller> {
-    let user = settings.get("user").context("the start-up names no user")?;
+/// Parses the identity that a caller claims: the `user` parameter is `ACCOUNT.KEY`, the `database`
+/// parameter the database group.
+pub fn identify(parameters: BTreeMap<String, String>) -> anyhow::Result<Caller> {
+    let user = parameters.get("user").context("the start-up names no user")?;
     let (account, key) =
         user.split_once('.').context("the user must be an account and a key: ACCOUNT.KEY")?;
-    let group = settings.get("database").context("the start-up names no database")?;
+    let group = parameters.get("database").context("the start-up names no database")?;
     Ok(Caller {
         account: account.parse().context("the account's name")?,
         key: key.parse().context("the key's name")?,
         group: group.parse().context("the group's name")?,
-        settings,
+        parameters,
     })
 }
 
 /// Authenticates a caller by SCRAM, in which the key itself is never transmitted.
 ///
-/// Unknown accounts and keys go through the same steps, so that clients without a key cannot
-/// find out which names exist.
+/// The exchange has the same steps for unknown accounts and keys, so that clients without a key
+/// cannot find out which names exist.
 pub async fn authenticate<R, W>(
     entry: &Entry,
     caller: &Caller,
@@ -141,6 +142,8 @@
     writer.send(&frame::bytes(&Authentication::SASLFinal(Bytes::from(proof)))).await
 }
 
+/// Returns the verifier of the caller's key; for an unknown key a verifier of random bytes, with a
+/// salt derived from the user name.
 fn verifier(entry: &Entry, caller: &Caller) -> Verifier {
     let doc = entry.check_key(&caller.account, &caller.key).ok();
     let config = doc.as_ref().and_then(|doc| doc.config.as_ref());
--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -223,7 +223,7 @@
 
     /// Applies the settings of the start-up message and returns the notices for the caller.
     fn apply_startup(&mut self) -> Result<BytesMut, Fault> {
-        let given = std::mem::take(&mut self.caller.settings);
+        let given = std::mem::take(&mut self.caller.parameters);
         let mut notices = BytesMut::new();
         for (name, value) in &given {
             match &*name.to_ascii_lowercase() {
