--- a/components/peer/tests/message.rs
+++ b/components/peer/tests/message.rs
@@ -6,17 +6,18 @@
     message::{Heartbeat, KnownVersions, Message},
 };
 
-/// Maximum number of bytes that an account with a name of eight letters may add to a heartbeat.
+/// Maximum number of bytes that an account with an id of eight characters may add to a heartbeat.
 const MAX_ACCOUNT_SIZE: usize = 24;
 
+/// Returns a heartbeat that reports the given number of accounts.
 fn heartbeat(accounts: usize) -> Message {
-    let figures = |n: usize| AccountReport {
+    let account_report = |n: usize| AccountReport {
         account: format!("acct{n:04}").parse().unwrap(),
         rate: 0.1 + n as f32 / 7.0,
         admitted: 1000 + n as u64,
         level: Some(33.3 + n as f32 / 3.0),
     };
-    let report = Report { run: 7, no: 9, figures: (0..accounts).map(figures).collect() };
+    let report = Report { run: 7, no: 9, figures: (0..accounts).map(account_report).collect() };
     let heartbeat = Heartbeat {
         report: Some(report),
         known: KnownVersions::default(),
@@ -29,16 +30,17 @@
     Message::Question(1, Question::Heartbeat(Box::new(heartbeat)))
 }
 
-/// Guards against heartbeats that fill the links between failure domains: each hub sends one with
-/// all accounts to every other hub several times a second.
+/// Guards against heartbeats that use up the bandwidth between failure domains: each hub sends a
+/// heartbeat with all accounts to every other hub several times a second.
 #[test]
 fn heartbeat_needs_few_bytes_per_account() {
     let (empty, full) = (heartbeat(0).encode().len(), heartbeat(200).encode().len());
-    let size = (full - empty) / 200;
-    assert!(size <= MAX_ACCOUNT_SIZE, "{size} bytes per account");
+    let account_size = (full - empty) / 200;
+    assert!(account_size <= MAX_ACCOUNT_SIZE, "{account_size} bytes per account");
 }
 
-/// Guards against figures that are rounded up or lost by encoding and decoding.
+/// Guards against rates and levels that are rounded up, and figures that are lost, by encoding and
+/// decoding.
 #[test]
 fn decoded_figures_are_at_most_slightly_lower() {
     let Message::Question(_, Question::Heartbeat(sent)) = heartbeat(200) else { unreachable!() };
