--- a/lab/src/server/session.rs
+++ b/lab/src/server/session.rs
@@ -78,7 +78,8 @@
     }
 }
 
-/// Reads the start-up message; then starts a session or cancels a statement.
+/// Reads the first message of a connection; then runs a session, or cancels a statement of
+/// another session that is waiting for a slot or the write lock.
 async fn accept(engine: &Rc<Engine>, stream: TcpStream) -> anyhow::Result<()> {
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = stream::split(stream.into_poll_io()?, MAX_MESSAGE);
@@ -138,7 +139,7 @@
     session.run().await
 }
 
-/// Session of a caller.
+/// Session of one client connection.
 pub struct Session<'e> {
     engine: &'e Engine,
     pid: i32,
@@ -151,15 +152,15 @@
     in_transaction: bool,
     /// Whether the open transaction has failed.
     failed: bool,
-    /// Changes of the current transaction.
+    /// Uncommitted changes of the current transaction.
     changes: Vec<Change>,
     /// Permit held from the first write of a transaction to its end.
     write_lock: Option<SemaphorePermit<'e>>,
-    /// Point last sent to the caller.
+    /// Point last sent to the client.
     last_point: Point,
     /// Whether the session receives status notifications.
     listening: bool,
-    /// Whether rows are kept in `out` until their statement has ended.
+    /// Whether rows are kept in `out` until their statement has ended, whatever their size.
     pub(super) buffering: bool,
     pub(super) statements: HashMap<Box<str>, Prepared>,
     pub(super) portals: HashMap<Box<str>, Portal>,
@@ -187,8 +188,8 @@
         }
     }
 
-    /// Fails if the log was truncated after the session started: the session could read or
-    /// report records that are no longer in the log.
+    /// Fails if the log was truncated after the session started, because the session could then
+    /// read or report records that are no longer in the log.
     fn check_generation(&self) -> anyhow::Result<()> {
         anyhow::ensure!(self.generation == self.engine.generation.get(), "the log was truncated");
         Ok(())
@@ -264,7 +265,7 @@
         self.ready().await
     }
 
-    /// Removes the command tag of the implicit `COMMIT`, which the caller did not send.
+    /// Removes the command tag of the implicit `COMMIT`, which the client did not send.
     fn drop_commit_tag(&mut self, from: usize) {
         let mut tail = self.out.split_off(from);
         while let Ok(Some(frame)) = Frame::split_from(&mut tail, usize::MAX) {
@@ -274,13 +275,13 @@
         }
     }
 
-    /// Runs a statement; with `described` a row description precedes its rows.
+    /// Runs a statement; if `describe_rows` is set, a row description precedes its rows.
     pub(super) async fn execute(
         &mut self,
         sql: &str,
         params: &[Value],
         formats: &[i16],
-        described: bool,
+        describe_rows: bool,
     ) -> Result<(), SqlError> {
         let command = sql::command(sql);
         if self.failed && !matches!(command, Command::Commit | Command::Rollback) {
@@ -292,7 +293,7 @@
             Command::Commit => self.commit()?,
             Command::Rollback => self.rollback()?,
             Command::Set { name, value } => self.set(&name, &value)?,
-            Command::Show(name) => self.show(&name, formats, described),
+            Command::Show(name) => self.show(&name, formats, describe_rows),
             Command::Listen => {
                 self.listening = true;
                 "LISTEN".into()
@@ -300,14 +301,14 @@
             Command::Promise { term, holder } => {
                 let status = self.engine.promise(Term(term), &holder);
                 let status = status.map_err(|e| SqlError::new("55000", format!("{e:#}")))?;
-                self.text_row("status", &status.to_string(), formats, described)
+                self.text_row("status", &status.to_string(), formats, describe_rows)
             }
             Command::Promote { term, holder } => {
                 let status = self.engine.promote(Term(term), &holder);
                 let status = status.map_err(|e| SqlError::new("55000", format!("{e:#}")))?;
-                self.text_row("status", &status.to_string(), formats, described)
+                self.text_row("status", &status.to_string(), formats, describe_rows)
             }
-            Command::Sql => self.run_sql(sql, params, formats, described).await?,
+            Command::Sql => self.run_sql(sql, params, formats, describe_rows).await?,
         };
         self.out.extend_from_slice(&answer::complete(&tag));
         Ok(())
@@ -338,13 +339,14 @@
                 self.write_lock = None;
                 return Err(error.into());
             }
-            self.log(changes)?;
+            self.append_to_log(changes)?;
         }
         Ok("COMMIT".into())
     }
 
-    /// Appends the committed changes to the log and reports the point reached.
-    fn log(&mut self, changes: Vec<Change>) -> Result<(), SqlError> {
+    /// Appends the committed changes to the log, reports the point reached, and then releases
+    /// the write lock.
+    fn append_to_log(&mut self, changes: Vec<Change>) -> Result<(), SqlError> {
         if !changes.is_empty() {
             let point = self.engine.append(changes)?;
             self.report_point(point);
@@ -384,7 +386,7 @@
         Ok("SET".into())
     }
 
-    fn show(&mut self, name: &str, formats: &[i16], described: bool) -> String {
+    fn show(&mut self, name: &str, formats: &[i16], describe_rows: bool) -> String {
         self.report_point(self.engine.applied_point());
         let value = match name {
             "group_status" => self.engine.status().to_string(),
@@ -393,12 +395,18 @@
             "standin.counters" => self.engine.stats.line(),
             _ => String::new(),
         };
-        self.text_row(name, &value, formats, described);
+        self.text_row(name, &value, formats, describe_rows);
         "SHOW".into()
     }
 
-    fn text_row(&mut self, name: &str, value: &str, _formats: &[i16], described: bool) -> String {
-        if described {
+    fn text_row(
+        &mut self,
+        name: &str,
+        value: &str,
+        _formats: &[i16],
+        describe_rows: bool,
+    ) -> String {
+        if describe_rows {
             frame::put(&mut self.out, &RowDescription::new(vec![field(name, oid::TEXT, 0)]));
         }
         let mut row = BytesMut::new();
@@ -409,7 +417,7 @@
         "SELECT 1".into()
     }
 
-    /// Reports a point to the caller unless it was the last one reported.
+    /// Reports a point to the client unless the point was the last one reported.
     fn report_point(&mut self, point: Point) {
         if self.last_point != point {
             self.last_point = point;
@@ -423,36 +431,36 @@
         sql: &str,
         params: &[Value],
         formats: &[i16],
-        described: bool,
+        describe_rows: bool,
     ) -> Result<String, SqlError> {
-        let reads = self.db.prepare_cached(sql)?.readonly();
-        self.engine.count(reads);
+        let read_only = self.db.prepare_cached(sql)?.readonly();
+        self.engine.count(read_only);
         let cancel = Rc::new(Notify::new());
         self.engine.cancel_signals.borrow_mut().insert(self.pid, cancel.clone());
-        let write = !reads && self.write_lock.is_none();
+        let write = !read_only && self.write_lock.is_none();
         let permits = monoio::select! {
             permits = acquire_permits(self.engine, write) => permits,
             _ = cancel.notified() => Err(SqlError::new("57014", "cancelled on request")),
         };
         self.engine.cancel_signals.borrow_mut().remove(&self.pid);
         let (_slot, write_lock) = permits?;
-        if !reads {
+        if !read_only {
             self.write_lock = self.write_lock.take().or(write_lock);
             if !self.engine.leads() {
                 self.write_lock = None;
                 return Err(SqlError::new("25006", "this server does not lead"));
             }
         } else if !self.in_transaction || self.changes.is_empty() {
-            // The point precedes the rows, so that a reader can reject a stale answer as a whole.
+            // The point precedes the rows, so that the client can reject a stale answer as a whole.
             self.report_point(self.engine.applied_point());
         }
-        let result = self.execute_sql(sql, params, formats, described).await;
-        if !reads && result.is_ok() {
+        let result = self.execute_sql(sql, params, formats, describe_rows).await;
+        if !read_only && result.is_ok() {
             self.changes.push(Change { sql: sql.into(), params: params.to_vec() });
         }
         if !self.in_transaction {
             let changes = std::mem::take(&mut self.changes);
-            self.log(changes)?;
+            self.append_to_log(changes)?;
         }
         result
     }
@@ -462,12 +470,12 @@
         sql: &str,
         params: &[Value],
         formats: &[i16],
-        described: bool,
+        describe_rows: bool,
     ) -> Result<String, SqlError> {
         let mut statement = self.db.prepare_cached(sql)?;
         let fields = fields(&statement, formats);
         values::bind(&mut statement, params)?;
-        if described && !fields.is_empty() {
+        if describe_rows && !fields.is_empty() {
             frame::put(&mut self.out, &RowDescription::new(copy_fields(&fields)));
         }
         let mut count = 0;
@@ -495,8 +503,8 @@
     }
 }
 
-/// Waits until a statement may run; returns its slot, or the write lock for the first write
-/// of a transaction.
+/// Waits until a statement may run; returns its slot or, if `write` is set (for the first write of
+/// a transaction), the write lock.
 async fn acquire_permits(
     engine: &Engine,
     write: bool,
