--- a/tests/transactions.rs
+++ b/tests/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions whose statements lose their connection or wait for a slot.
+//! Transactions that lose their server connection, or whose slots are held by waiting statements.
 
 use lab::system::{self, Plan, System};
 use tokio_postgres::{Client, error::SqlState};
@@ -14,9 +14,9 @@
     error.code().map_or("none", SqlState::code)
 }
 
-/// A driver sends the statements of a transaction without waiting for answers, and the link to the
-/// server is lost in between. Guards against a session that is idle again at once, so that the
-/// remaining statements run one by one and half of the transaction is stored.
+/// Guards against a transaction that is stored in part: a driver sends its statements without
+/// waiting for answers, the connection to the server is lost, and the session, idle again at once,
+/// runs the remaining statements outside of a transaction.
 #[tokio::test]
 async fn statements_after_a_lost_connection_in_a_transaction_do_not_run() {
     let (system, client) = start().await;
@@ -41,9 +41,9 @@
     system::until_runs(&client, "INSERT INTO visit VALUES (5)").await.unwrap();
 }
 
-/// A caller pauses after a write within a transaction while eight others wait for its lock and
-/// hold all slots of the primary. Guards against the owner's next statement getting no slot: all
-/// waited for each other until their deadlines, and under load again after that.
+/// Guards against a deadlock between slots and locks: eight callers that wait for the lock of an
+/// open transaction hold all slots of the primary, so that the next statement of the transaction
+/// gets none. All waited until their deadlines, and under load again after that.
 #[tokio::test]
 async fn a_transaction_continues_while_all_slots_wait_for_its_lock() {
     let system = System::start(Plan::default()).await.unwrap();
@@ -57,7 +57,8 @@
         let sql = format!("INSERT INTO hold VALUES ('w{i}')");
         blocked.push(tokio::spawn(async move { client.batch_execute(&sql).await }));
     }
-    // Longer than an open transaction keeps its slot, and enough for the others to start waiting.
+    // Longer than an open transaction keeps its slot, so that the other callers take all slots and
+    // wait for the lock.
     tokio::time::sleep(std::time::Duration::from_millis(500)).await;
     owner.batch_execute("INSERT INTO hold VALUES ('second')").await.unwrap();
     owner.batch_execute("COMMIT").await.unwrap();
