--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,5 @@
-//! Output of the commands: help, faults, merged configuration and tables.
+//! Output of the commands: help, invalid settings, configuration faults, merged configuration and
+//! keys.
 
 use std::process::{Command, Output};
 
@@ -66,8 +67,8 @@
     assert_snapshot!(transcript(&["key", "list", "--base=base.toml", "--overlay=dakar.toml"]));
 }
 
-/// Guards against secrets in logs or on screens: an operator pastes a key where its
-/// verifier belongs, or gives a secret twice, and the fault quotes the given value.
+/// Guards against secrets in logs or on screens: an operator gives a key in place of its verifier,
+/// or a secret twice, and the error message quotes the given value.
 #[test]
 fn faults_never_quote_keys_or_secrets() {
     let config = transcript(&["check", "--base=faulty.toml"]);
