--- a/components/peer/src/link.rs
+++ b/components/peer/src/link.rs
@@ -1,5 +1,5 @@
 //! Dialling end of a link to another host: one task that connects, sends messages and delivers
-//! answers to their waiters.
+//! answers to the open exchanges and questions.
 
 use std::{
     cell::{Cell, RefCell},
@@ -67,7 +67,7 @@
     pub host: HostId,
     clock: Rc<dyn Clock>,
     /// Queue of messages to be sent; `None` while the link is down.
-    out: RefCell<Option<UnboundedSender<Message>>>,
+    outgoing: RefCell<Option<UnboundedSender<Message>>>,
     /// Open exchanges and questions by number; cleared when the link goes down.
     waiters: RefCell<HashMap<RequestNo, Waiter>>,
     next_number: Cell<RequestNo>,
@@ -101,7 +101,7 @@
         let link = Rc::new(Self {
             host,
             clock,
-            out: RefCell::default(),
+            outgoing: RefCell::default(),
             waiters: RefCell::default(),
             next_number: Cell::default(),
             last_contact: Rc::default(),
@@ -118,14 +118,14 @@
         link
     }
 
-    /// Closes the link permanently.
+    /// Closes the link permanently, at its next ping or before its next attempt to connect.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
     /// Returns whether the link is connected and data was received within the keepalive timeout.
     pub fn is_up(&self) -> bool {
-        self.out.borrow().is_some() && self.has_recent_contact()
+        self.outgoing.borrow().is_some() && self.has_recent_contact()
     }
 
     fn has_recent_contact(&self) -> bool {
@@ -142,12 +142,13 @@
             && self.pending_since.get().is_none_or(|since| self.clock.now() < since + timeout)
     }
 
-    /// Returns whether the peer is shutting down: it finishes running work and accepts no more.
+    /// Returns whether the peer is shutting down: it finishes running work and accepts no new work.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// Returns whether the peer's process is gone, as its address refused the last connection.
+    /// Returns whether the last attempt to connect was refused, which indicates that the peer's
+    /// process has ended.
     pub fn is_refused(&self) -> bool {
         self.refused.get()
     }
@@ -165,24 +166,24 @@
         self.first_attempt_ended.notify_waiters();
     }
 
-    /// Opens an exchange with the peer as home; `None` if the link is down.
+    /// Opens an exchange in which the peer is the home; returns `None` if the link is down.
     pub fn open(&self, open: Open) -> Option<Exchange> {
-        let out = self.out.borrow().clone()?;
+        let outgoing = self.outgoing.borrow().clone()?;
         let (tx, rx) = mpsc::unbounded_channel();
         let number = self.register(Waiter::Exchange(tx));
-        out.send(Message::Open(number, Box::new(open))).ok()?;
-        Some(Exchange::on_link(number, out, rx))
+        outgoing.send(Message::Open(number, Box::new(open))).ok()?;
+        Some(Exchange::on_link(number, outgoing, rx))
     }
 
-    /// Sends a question to the peer and returns its answer; an error if the link is down or goes
-    /// down, or after `timeout`.
+    /// Sends a question to the peer and returns its answer. Fails if the link is down or goes down,
+    /// or after `timeout`.
     pub async fn query(&self, question: Question, timeout: Duration) -> anyhow::Result<Answer> {
-        let out = self.out.borrow().clone();
-        let out = out.with_context(|| format!("the link to {} is down", self.host))?;
+        let outgoing = self.outgoing.borrow().clone();
+        let outgoing = outgoing.with_context(|| format!("the link to {} is down", self.host))?;
         let (tx, rx) = oneshot::channel();
         let number = self.register(Waiter::Question(tx));
         self.pending_since.set(self.pending_since.get().or_else(|| Some(self.clock.now())));
-        let sent = out.send(Message::Question(number, question));
+        let sent = outgoing.send(Message::Question(number, question));
         let answer = monoio::time::timeout(timeout, rx).await;
         self.waiters.borrow_mut().remove(&number);
         sent.ok().with_context(|| format!("the link to {} is down", self.host))?;
@@ -216,7 +217,7 @@
         let authenticate = dialler.authenticate(&self.host, &mut reader, &mut writer);
         monoio::time::timeout(socket::HELLO_TIMEOUT, authenticate).await??;
         let (tx, mut rx) = mpsc::unbounded_channel();
-        *self.out.borrow_mut() = Some(tx);
+        *self.outgoing.borrow_mut() = Some(tx);
         self.draining.set(false);
         self.refused.set(false);
         self.record_attempt();
@@ -234,7 +235,7 @@
             let message = socket::receive(reader).await?;
             self.pending_since.set((self.waiters.borrow().len() > 1).then(|| self.clock.now()));
             match message {
-                Message::ToEntry(number, item) => self.deliver(number, item),
+                Message::ToEntry(number, message) => self.deliver(number, message),
                 Message::Answer(number, answer) => {
                     // An answer to a question that has timed out is dropped.
                     if let Some(Waiter::Question(tx)) = self.waiters.borrow_mut().remove(&number) {
@@ -246,14 +247,14 @@
         }
     }
 
-    fn deliver(&self, number: RequestNo, item: ToEntry) {
-        let last = item.is_last();
+    fn deliver(&self, number: RequestNo, message: ToEntry) {
+        let is_last = message.is_last();
         let mut waiters = self.waiters.borrow_mut();
-        let gone = match waiters.get(&number) {
-            Some(Waiter::Exchange(tx)) => tx.send(item).is_err(),
+        let abandoned = match waiters.get(&number) {
+            Some(Waiter::Exchange(tx)) => tx.send(message).is_err(),
             _ => false,
         };
-        if last || gone {
+        if is_last || abandoned {
             waiters.remove(&number);
         }
     }
@@ -263,7 +264,7 @@
     ///
     /// A late answer to a ping is tolerated while data is being received: it is queued behind a
     /// message that is large for the link's bandwidth. If the link were closed, all pending answers
-    /// would be lost, and the large message would fail in the same way when requested again.
+    /// would be lost, and the large message would fail in the same way at the next request.
     async fn ping(&self) -> anyhow::Result<()> {
         while !self.closed.get() {
             match self.query(Question::Ping, self.keepalive.timeout).await {
@@ -320,7 +321,7 @@
             link.record_attempt();
             debug!("link: connection to {} failed: {error:#}.", link.host);
         }
-        let was_up = link.out.borrow_mut().take().is_some();
+        let was_up = link.outgoing.borrow_mut().take().is_some();
         link.waiters.borrow_mut().clear();
         link.pending_since.set(None);
         if was_up {
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -69,7 +69,7 @@
         /// Time left until the deadline when the message was sent.
         budget: Duration,
     },
-    /// The entry has sent this many bytes of the answer to the caller.
+    /// Number of bytes of the answer that the entry has sent to the caller since the last credit.
     Credit(u64),
     /// Cancels the running statement at the caller's request.
     Cancel,
@@ -91,8 +91,9 @@
 /// Message of the home to the entry within an exchange.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum ToEntry {
-    /// Part of an answer: complete PostgreSQL messages. An entry that has not given up sends it to
-    /// the caller and confirms that by [`ToHome::Credit`], even if the part is empty.
+    /// Part of an answer: complete PostgreSQL messages. An entry that still waits for the answer
+    /// forwards the part to the caller and confirms this by [`ToHome::Credit`], even if the part is
+    /// empty.
     Part(Bytes),
     /// End of an answer, without its `ReadyForQuery`.
     #[serde(rename = "Turn")]
@@ -235,7 +236,8 @@
         /// Number of tokens that the host could still lend.
         spare: f64,
     },
-    /// Version of the group's leadership row that the host has applied: the sent one or a newer.
+    /// Version of the group's leadership row that the host has applied: the sent version or a newer
+    /// one.
     #[serde(rename = "Acting")]
     LeadershipApplied(u64),
     /// Heartbeat of the host.
@@ -357,7 +359,7 @@
     Accepting,
 }
 
-/// Proof that one end of a link has the secret shared by all hosts.
+/// Proof that one end of a link possesses the secret shared by all hosts.
 ///
 /// Guards against an attacker on the network that impersonates a host: it could run statements,
 /// distribute old revisions or vote for them. The hash covers both nonces, so that a proof cannot
@@ -368,16 +370,16 @@
 impl Proof {
     /// Creates the proof of `end`.
     pub fn new(secret: &Secret, end: End, dialling: &Hello, accepting: &Hello) -> Self {
-        Self(secret.sign(&parts(end, dialling, accepting)))
+        Self(secret.sign(&signed_fields(end, dialling, accepting)))
     }
 
     /// Returns whether this is the valid proof of `end`.
     pub fn is_valid(&self, secret: &Secret, end: End, dialling: &Hello, accepting: &Hello) -> bool {
-        secret.verify(&parts(end, dialling, accepting), &self.0)
+        secret.verify(&signed_fields(end, dialling, accepting), &self.0)
     }
 }
 
-fn parts<'a>(end: End, dialling: &'a Hello, accepting: &'a Hello) -> [&'a [u8]; 7] {
+fn signed_fields<'a>(end: End, dialling: &'a Hello, accepting: &'a Hello) -> [&'a [u8]; 7] {
     let end: &[u8] = match end {
         End::Dialling => b"peer link, dialling",
         End::Accepting => b"peer link, accepting",
@@ -417,9 +419,9 @@
 impl Message {
     /// Encodes the message as CBOR.
     pub fn encode(&self) -> Bytes {
-        let mut out = Vec::with_capacity(128);
-        ciborium::into_writer(self, &mut out).expect("writing to memory cannot fail");
-        out.into()
+        let mut buffer = Vec::with_capacity(128);
+        ciborium::into_writer(self, &mut buffer).expect("writing to memory cannot fail");
+        buffer.into()
     }
 
     /// Decodes a message from CBOR.
