--- a/components/home/src/outcome.rs
+++ b/components/home/src/outcome.rs
@@ -54,7 +54,7 @@
 }
 
 impl<'a> AttemptGuard<'a> {
-    /// Registers an attempt; refused while another one with the same key runs at this home.
+    /// Registers an attempt; refused while another attempt with the same key runs at this home.
     pub fn begin(home: &'a GroupHome, key: RequestKey) -> Result<Self, Refusal> {
         if !home.running_requests.borrow_mut().insert(key.clone()) {
             return Err(busy(&key));
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Checks that the entry still waits for the request. To be called after [`Self::plan`].
+    /// Checks that the entry still waits for the answer. To be called after [`Self::plan`].
     ///
     /// Guards against a request that was delayed on its way to the home. Its caller may have got
-    /// an unknown fate, queried the outcome and got "not run". The request would then plan from
-    /// the row that was written for this answer, and run. An entry that no longer waits does not
-    /// pass on the empty part sent here, so no credit arrives for it.
+    /// an unknown fate, queried the outcome and got "not run". The request would then
+    /// be planned from the row that was written for this answer, and would run. An entry that no
+    /// longer waits does not forward the empty part sent here, so no credit arrives for the part.
     pub async fn check_entry_waits(
         &self,
         exec: &Execution<'_>,
@@ -110,7 +110,7 @@
         answer.await.map_err(not_started)
     }
 
-    /// Begins the transaction around a statement that has none, and writes the row.
+    /// Begins a transaction for a statement outside of a transaction, and writes the row.
     pub async fn begin_transaction(
         &self,
         exec: &Execution<'_>,
@@ -128,8 +128,8 @@
 
     /// Writes the row in the open transaction.
     ///
-    /// After a failure this attempt does not run. The cause may be another attempt with the same
-    /// id, so the fate of the request is unknown.
+    /// After a failure this attempt must not run the request. The failure may be due to another
+    /// attempt with the same id, so the fate of the request is unknown.
     pub async fn write_row(
         &self,
         exec: &Execution<'_>,
@@ -145,23 +145,23 @@
         }
     }
 
-    /// Ends the transaction around a statement that has none, and adds the result to the answer.
+    /// Ends the transaction begun by [`Self::begin_transaction`], and adds its point or error to the
+    /// answer.
     pub async fn end_transaction(
         &self,
         exec: &Execution<'_>,
         conn: &mut Conn,
-        standing: TransactionState,
+        state: TransactionState,
         answer: &mut Answer,
     ) -> Result<TransactionState, Failure> {
-        let sql = match standing {
+        let sql = match state {
             // The statement itself has ended the transaction.
             TransactionState::Idle => return Ok(TransactionState::Idle),
             TransactionState::Failed => "ROLLBACK",
             TransactionState::Open => "COMMIT",
         };
         let reply = bounded(exec, conn.run(sql)).await.map_err(|error| {
-            let fate =
-                if standing == TransactionState::Open { Fate::Unknown } else { Fate::NotRun };
+            let fate = if state == TransactionState::Open { Fate::Unknown } else { Fate::NotRun };
             let message = format!("{error:#}").into();
             Refusal { reason: Reason::Lost, fate, retry: Some(RETRY_DELAY), message }
         })?;
@@ -170,7 +170,7 @@
             let bytes = answer::error(Severity::Error, &error.code, &error.text, None, None);
             answer.pending.extend_from_slice(&bytes);
         }
-        if standing == TransactionState::Open && reply.error.is_none() && reply.point.is_none() {
+        if state == TransactionState::Open && reply.error.is_none() && reply.point.is_none() {
             return Err(execution::unconfirmed().into());
         }
         Ok(TransactionState::Idle)
@@ -254,12 +254,13 @@
     conn.run(&sql).await
 }
 
-/// Returns whether the row was unchanged since the plan, and was written.
+/// Returns whether the row was written, which requires that it has not changed since the plan.
 fn is_written(reply: &Reply) -> bool {
     reply.error.is_none() && matches!(&*reply.tag, "INSERT 0 1" | "UPDATE 1")
 }
 
-/// Returns the last record in the log of the server, which must be the primary.
+/// Returns the point of the last record in the log of the server. Fails if the server is not the
+/// primary.
 async fn primary_held(conn: &mut Conn) -> anyhow::Result<Point> {
     let text = conn.query_text(protocol::SHOW_STATUS).await?.unwrap_or_default();
     let status = protocol::parse_status(&text)?;
--- a/components/home/src/promotion.rs
+++ b/components/home/src/promotion.rs
@@ -2,7 +2,7 @@
 //!
 //! The home decides on a promotion by itself. First a majority of the servers promises the new
 //! term to this attempt alone. From then on they accept no log of an earlier term, so the old
-//! primary gets no further write confirmed, whether or not it has noticed. Of the servers that
+//! primary gets no further write confirmed, even if it has not detected the promotion. Of the servers that
 //! promised, the one with the greatest log holds every acknowledged write and is promoted. Two
 //! homes that promote at the same time get different terms or refusals. Safety does not depend
 //! on clocks.
@@ -107,8 +107,8 @@
     status: Status,
 }
 
-/// Attempts one promotion; `detect` is the time from the fault to this attempt, for metrics and
-/// logs.
+/// Attempts one promotion, in a new term. `detect` is the time from the fault to this attempt, for
+/// metrics and logs.
 pub async fn promote(home: &GroupHome, cause: Cause, detect: Duration) -> anyhow::Result<()> {
     let statuses: Vec<Status> = home.servers.iter().filter_map(|s| s.last_status.get()).collect();
     let term = leadership::next_term(&statuses);
@@ -145,7 +145,7 @@
     Ok(())
 }
 
-/// Returns the sort key of a server among those with equal logs: a server that is not leaving
+/// Returns the sort key that decides between servers with equal logs: a server that is not leaving
 /// is preferred.
 fn rank(server: &Server) -> (bool, ServerId) {
     (!server.leaving.get(), server.contract.id.clone())
@@ -167,8 +167,9 @@
     home.servers.iter().filter(|s| Some(&s.contract.id) != excluded.as_ref()).cloned().collect()
 }
 
-/// Requests promises from all candidates concurrently; fails unless a majority of the group
-/// promises.
+/// Requests promises from all candidates concurrently. Fails unless a majority of the group
+/// promises within twice [`PROMISE_TIMEOUT`]; waits for further promises only for
+/// [`EXTRA_PROMISE_TIMEOUT`] more.
 async fn collect_promises(
     home: &GroupHome,
     candidates: Vec<Rc<Server>>,
@@ -213,7 +214,7 @@
     Ok(Promise { server, conn, status })
 }
 
-/// Demotes a server that still reports to lead an earlier term.
+/// Demotes a server that still reports itself as the primary of an earlier term.
 ///
 /// A primary that was partitioned or frozen does not query whether it was replaced: it would
 /// remain separate, and the group would run on two servers. Its promise of the current term,
