--- a/components/entry/src/local.rs
+++ b/components/entry/src/local.rs
@@ -78,8 +78,8 @@
     /// Runs one statement without a server. Returns the answer without the column description.
     pub(crate) fn execute_locally(&mut self, command: &Command) -> Result<Bytes, Fault> {
         // The key is also checked for local statements: a revoked key gets no answer.
-        let standing = self.entry.check(&self.caller.account, &self.caller.key);
-        standing.map_err(|refusal| Fault::new(answer::code(&refusal), refusal.message))?;
+        let admission = self.entry.check(&self.caller.account, &self.caller.key);
+        admission.map_err(|refusal| Fault::new(answer::code(&refusal), refusal.message))?;
         let tag = match command {
             Command::Set { name, value } => {
                 self.set(name, value.as_deref())?;
@@ -123,8 +123,8 @@
     /// Answers a `COMMIT` or `ROLLBACK` when no transaction is open, or when the transaction is
     /// already rolled back.
     fn end_locally(&mut self, tag: &str) -> Bytes {
-        if self.standing == TransactionState::Failed {
-            self.standing = TransactionState::Idle;
+        if self.transaction_state == TransactionState::Failed {
+            self.transaction_state = TransactionState::Idle;
             return answer::complete("ROLLBACK");
         }
         let notice = answer::notice("25P01", "there is no transaction in progress");
--- a/components/entry/src/relay.rs
+++ b/components/entry/src/relay.rs
@@ -29,7 +29,7 @@
     /// Final messages of the answer, without `ReadyForQuery`.
     pub frames: Bytes,
     /// Transaction status after the request.
-    pub standing: TransactionState,
+    pub transaction_state: TransactionState,
     /// Position of a confirmed write.
     pub point: Option<Point>,
     /// Whether a replica served the request.
@@ -89,10 +89,10 @@
             };
             match item {
                 Some(ToEntry::Part(bytes)) => self.send_part(bytes).await?,
-                Some(ToEntry::AnswerEnd { frames, state: standing, point, replica }) => {
+                Some(ToEntry::AnswerEnd { frames, state: transaction_state, point, replica }) => {
                     let frames =
                         self.replies.filter(frames, self.statements, self.track_failure)?;
-                    return Ok(Ok(Completion { frames, standing, point, replica }));
+                    return Ok(Ok(Completion { frames, transaction_state, point, replica }));
                 }
                 Some(ToEntry::Refused(refusal)) => return Ok(Err(refusal)),
                 None => return Ok(Err(self.failure(Reason::Lost, "the group's home was lost"))),
--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -102,7 +102,7 @@
     pub(crate) exchange: Option<Exchange>,
     /// Transaction status. `Failed` without an exchange means that the transaction is already
     /// rolled back but the caller has not sent its `COMMIT` or `ROLLBACK` yet.
-    pub(crate) standing: TransactionState,
+    pub(crate) transaction_state: TransactionState,
     cancel: Rc<CancelHandle>,
     pub(crate) statements: Statements,
     /// Statements by portal name; portals are kept until their transaction ends.
@@ -133,7 +133,7 @@
             permit,
             grace_used: false,
             exchange: None,
-            standing: TransactionState::Idle,
+            transaction_state: TransactionState::Idle,
             cancel,
             statements: Statements::default(),
             portals: HashMap::new(),
@@ -269,7 +269,7 @@
     }
 
     pub(crate) fn ready(&self) -> Bytes {
-        answer::ready(match self.standing {
+        answer::ready(match self.transaction_state {
             TransactionState::Idle => TransactionStatus::Idle,
             TransactionState::Open => TransactionStatus::Transaction,
             TransactionState::Failed => TransactionStatus::Error,
@@ -278,7 +278,7 @@
 
     /// Returns whether the transaction has failed and is already rolled back.
     pub(crate) fn is_aborted(&self) -> bool {
-        self.standing == TransactionState::Failed && self.exchange.is_none()
+        self.transaction_state == TransactionState::Failed && self.exchange.is_none()
     }
 
     /// Rolls back the transaction of a refused request and releases its server connection.
@@ -288,10 +288,10 @@
     /// outside the transaction they belong to, so the transaction counts as failed until the
     /// caller ends it, as in PostgreSQL itself.
     pub(crate) fn abort(&mut self, ends: bool) {
-        let was_open = self.standing != TransactionState::Idle;
+        let was_open = self.transaction_state != TransactionState::Idle;
         self.exchange = None;
         self.portals.clear();
-        self.standing =
+        self.transaction_state =
             if was_open && !ends { TransactionState::Failed } else { TransactionState::Idle };
     }
 
@@ -344,7 +344,7 @@
                 // Statements sent after a refused BEGIN belong to its transaction. Run without
                 // it, they would apply only a part of the transaction.
                 if begins && !ends && !self.reader.is_empty() {
-                    self.standing = TransactionState::Failed;
+                    self.transaction_state = TransactionState::Failed;
                 }
                 self.skipping = flushed;
                 let mut out = BytesMut::from(&answer::refusal(Severity::Error, &refusal)[..]);
@@ -451,8 +451,8 @@
     }
 
     fn complete(&mut self, completion: Completion) -> BytesMut {
-        self.standing = completion.standing;
-        if completion.standing == TransactionState::Idle {
+        self.transaction_state = completion.transaction_state;
+        if completion.transaction_state == TransactionState::Idle {
             self.exchange = None;
             self.portals.clear();
         }
