--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -71,14 +71,15 @@
     }
 }
 
-/// Messages sent to the group's home together, and how its answer is processed.
+/// Messages sent together to the group's home, and the properties that determine the processing of
+/// the answer.
 #[derive(Debug, Default)]
 pub struct Request {
     /// Complete messages, the last of which is `Query` or `Sync`.
     pub frames: Bytes,
     /// Expected replies, in the order of the messages.
     pub replies: ExpectedReplies,
-    /// Access mode of its statements.
+    /// Strongest access mode of the request's statements.
     pub access: Access,
     /// Whether the request begins a transaction.
     pub begins: bool,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Serves the caller until it disconnects.
+    /// Serves the caller until it disconnects, a fatal error occurs, or the host drains.
     pub async fn run(&mut self, pid: i32) -> anyhow::Result<()> {
         let notices = match self.apply_startup() {
             Ok(notices) => notices,
@@ -204,7 +205,8 @@
             frame = self.reader.next_timeout(MESSAGE_TIMEOUT) => return frame,
             _ = self.permit.drain_started() => {}
         }
-        // Granted once: a caller that sends requests without a pause would never be refused.
+        // Granted once, because otherwise a caller that sends requests without a pause would never
+        // be refused.
         let wait = if self.grace_used { Duration::ZERO } else { DRAIN_GRACE };
         self.grace_used = true;
         let frame = monoio::time::timeout(wait, self.reader.next_timeout(MESSAGE_TIMEOUT)).await;
@@ -221,11 +223,12 @@
         (self.reader, self.writer)
     }
 
-    /// Applies the settings of the start-up message and returns the notices for the caller.
+    /// Applies the parameters of the start-up message as settings, and returns the notices for the
+    /// caller.
     fn apply_startup(&mut self) -> Result<BytesMut, Fault> {
-        let given = std::mem::take(&mut self.caller.parameters);
+        let parameters = std::mem::take(&mut self.caller.parameters);
         let mut notices = BytesMut::new();
-        for (name, value) in &given {
+        for (name, value) in &parameters {
             match &*name.to_ascii_lowercase() {
                 "user" | "database" => {}
                 "replication" => return Err(Fault::unsupported("replication")),
@@ -282,7 +285,7 @@
     }
 
     /// Rolls back the transaction of a refused request and releases its server connection.
-    /// `ends` tells whether the request would have ended the transaction.
+    /// `ends` is set if the request would have ended the transaction.
     ///
     /// The caller may already have sent its next statements. In an idle session they would run
     /// outside the transaction they belong to, so the transaction counts as failed until the
@@ -329,20 +332,20 @@
     pub(crate) async fn run_request(&mut self, request: Request) -> anyhow::Result<()> {
         let flushed = request.flushed;
         let (begins, ends) = (request.begins, request.ends);
-        let began = self.entry.clock.now();
+        let started_at = self.entry.clock.now();
         let result = self.relay_request(request).await?;
-        self.record_metrics(began, &result);
+        self.record_metrics(started_at, &result);
         match result {
-            Ok(mut out) => {
+            Ok(mut answer_end) => {
                 if !flushed {
-                    out.extend_from_slice(&self.ready());
+                    answer_end.extend_from_slice(&self.ready());
                 }
-                self.send(&out).await
+                self.send(&answer_end).await
             }
             Err(refusal) => {
                 self.abort(ends);
-                // Statements sent after a refused BEGIN belong to its transaction. Run without
-                // it, they would apply only a part of the transaction.
+                // Statements sent after a refused BEGIN belong to its transaction. If they ran
+                // outside of it, only a part of the transaction would be applied.
                 if begins && !ends && !self.reader.is_empty() {
                     self.transaction_state = TransactionState::Failed;
                 }
@@ -356,17 +359,17 @@
         }
     }
 
-    fn record_metrics(&self, began: Instant, result: &Result<BytesMut, Refusal>) {
+    fn record_metrics(&self, started_at: Instant, result: &Result<BytesMut, Refusal>) {
         let Caller { account, group, .. } = &self.caller;
-        let total = self.entry.clock.now().saturating_duration_since(began);
+        let total = self.entry.clock.now().saturating_duration_since(started_at);
         match result {
             Ok(_) => self.entry.metrics.answered(account, group, total),
             Err(refusal) => self.entry.metrics.refused(account, refusal.reason),
         }
     }
 
-    /// Sends a request to the group's home, passes the answer on to the caller and returns its
-    /// last part.
+    /// Sends a request to the group's home, forwards the answer to the caller and returns the last
+    /// part of the answer.
     async fn relay_request(
         &mut self,
         request: Request,
@@ -439,13 +442,11 @@
     }
 
     fn intent(&self, access: Access) -> Intent {
-        let floor = self.settings.token.floor(&self.caller.group);
+        let required_position = self.settings.token.floor(&self.caller.group);
         match access {
             _ if self.exchange.is_some() => Intent::Write,
-            Access::Describe => Intent::Read { required_position: floor, max_age: None },
-            Access::Read => {
-                Intent::Read { required_position: floor, max_age: self.settings.max_age }
-            }
+            Access::Describe => Intent::Read { required_position, max_age: None },
+            Access::Read => Intent::Read { required_position, max_age: self.settings.max_age },
             Access::Write => Intent::Write,
         }
     }
