--- a/components/home/src/outcome.rs
+++ b/components/home/src/outcome.rs
@@ -110,7 +110,7 @@
         answer.await.map_err(not_started)
     }
 
-    /// Begins a transaction for a statement outside of a transaction, and writes the row.
+    /// Begins a transaction for the first batch of a request, and writes the row.
     pub async fn begin_transaction(
         &self,
         exec: &Execution<'_>,
--- a/components/peer/src/message.rs
+++ b/components/peer/src/message.rs
@@ -69,7 +69,7 @@
         /// Time left until the deadline when the message was sent.
         budget: Duration,
     },
-    /// Number of bytes of the answer that the entry has sent to the caller since the last credit.
+    /// Length in bytes of a part of the answer that the entry has sent to the caller.
     Credit(u64),
     /// Cancels the running statement at the caller's request.
     Cancel,
