--- a/components/proxy/src/fetch.rs
+++ b/components/proxy/src/fetch.rs
@@ -32,7 +32,9 @@
 }
 
 /// Fetches the remaining pieces over one link and activates the configuration. Returns the
-/// unfinished fetch, to be resumed later, if a piece is not received.
+/// unfinished fetch, to be resumed later, if a request fails; an answer without a piece discards
+/// the fetch. If the fetched version is then this host's version, records the latest store time
+/// at which a sender confirmed that it was the newest.
 async fn fetch_pieces(host: &Rc<Host>, link: &Link, mut fetch: Fetch) -> Option<Fetch> {
     let started = host.now();
     loop {
@@ -77,7 +79,8 @@
     }
 }
 
-/// Activates a fetched configuration. Returns false if it cannot be decoded.
+/// Activates a fetched configuration if it is newer than this host's. Returns false if it cannot
+/// be decompressed or decoded.
 fn adopt(host: &Host, compressed: Bytes) -> bool {
     match compression::decompress(&compressed) {
         Ok(raw) => follow::adopt(host, &raw, |_| compressed),
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -15,7 +15,7 @@
 use crate::confirm::Receipts;
 
 /// Subtracted from the age that a read allows, for the read's transit to the server and
-/// its wait for a slot there.
+/// its wait there until the server has capacity for it.
 const AGE_MARGIN: Duration = Duration::from_millis(250);
 
 /// Assumed duration of leadership for the first leader that a host finds after its start.
@@ -25,9 +25,11 @@
 pub struct Group {
     /// Id of the group.
     pub id: GroupId,
-    /// Log positions of the leader over time.
+    /// Log positions of the leader, each with a time. Gives the age of data, and the position that
+    /// data of a given maximum age must include.
     pub ages: RefCell<PositionHistory>,
-    /// Newest position that this host has read itself and not yet sent to other hosts.
+    /// Last position that the leader returned to this host and that this host has not yet sent to
+    /// other hosts, with the time at which the statement was sent.
     pub seen: Cell<Option<(Instant, Point)>>,
     /// Evidence that the leader has failed.
     pub suspicion: RefCell<Suspicion>,
@@ -35,17 +37,21 @@
     pub probing: Cell<bool>,
     /// Whether this host has scheduled or runs a failover of the group.
     pub in_failover: Cell<bool>,
-    /// Version of the newest failover intent for which no work of this host relies on the
-    /// former leader any more.
+    /// Greatest version of a failover intent, a row `Leadership::Moving` of the group, for which no
+    /// work of this host relies on the former leader any more. An intent is released if its
+    /// version is at most this one.
     pub released: Cell<u64>,
-    /// Version of the newest row of the group that another host has sent to this host directly;
-    /// the row of an intent requests the release of the former leader.
+    /// Greatest version of a row of the group that another host has sent to this host directly.
+    /// The row of an intent requests the release of the former leader; an intent whose version is
+    /// at most this one needs no release through the store.
     pub release_requested: Cell<u64>,
     /// Received positions of the replicas, and the commits that wait for them.
     pub receipts: Receipts,
     /// Leader that new work may use.
     leader: RefCell<Option<ServerId>>,
-    /// Number of the epoch, incremented when earlier work must no longer rely on its leader.
+    /// Number of the epoch: an uninterrupted period in which this host uses one leader. It is
+    /// incremented when earlier work must no longer rely on its leader; the loss of the leader
+    /// alone does not increment it.
     epoch: Cell<u64>,
     /// Number of statements and transactions that use the leader in this epoch.
     active_uses: Cell<usize>,
@@ -163,7 +169,8 @@
         Some(LeaderUse { group: self.clone(), epoch: self.epoch.get(), server })
     }
 
-    /// Waits until the group gets another leader, until the deadline at most.
+    /// Waits until the group gets a leader after it had none or another one, until the deadline at
+    /// most. After a loss of the leader it may be the same server again.
     pub async fn wait_leader(&self, deadline: monoio::time::Instant) {
         // The calling function checks the leader after a time-out too.
         let _ = monoio::time::timeout_at(deadline, self.leader_changed.notified()).await;
@@ -172,8 +179,8 @@
     /// Returns the requirement of a read that arrived at `now`, in a session that has written
     /// up to `floor`.
     ///
-    /// A position of an earlier term than the leader's may have been rolled back. The part of
-    /// that term that was kept is in every log that has reached the leader's own term.
+    /// A position of an earlier term than the leader's may have been rolled back. The records of
+    /// that term that were not rolled back are in every log that has reached the leader's own term.
     pub fn requirement(
         &self,
         consistency: Consistency,
@@ -206,7 +213,8 @@
         }
     }
 
-    /// Returns whether the epoch of this use has not ended.
+    /// Returns whether the epoch of this use is still the group's current one. Does not check
+    /// whether the group still has a leader.
     pub fn holds(&self) -> bool {
         self.group.epoch.get() == self.epoch
     }
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -32,7 +32,8 @@
 }
 
 /// Returns whether statements with these homes may be forwarded to the host `holder`: unless the
-/// homes are unrestricted, it must be a member of the view in a home region.
+/// homes are unrestricted, this host's view must list `holder` as a member, and the region of the
+/// member's failure domain must be a home.
 pub fn may_forward(host: &host::Host, holder: &ids::HostId, homes: &homes::Homes) -> bool {
     if homes.is_unrestricted() {
         return true;
@@ -54,7 +55,8 @@
 }
 
 /// Returns the number of the group's databases whose homes include the server's region; 0 for
-/// all servers if no database or account has homes, or without a configuration.
+/// all servers if no database or account has homes, or without a configuration, so that the number
+/// then prefers no server.
 pub fn served(host: &host::Host, pool: &pool::Pool) -> usize {
     let Some(plan) = host.plan().filter(|_| host.has_homes.get()) else { return 0 };
     let listed = pool.listed.borrow();
@@ -72,7 +74,8 @@
 }
 
 /// Returns why the restrictions in force permit no server to run the operation. `None` if a server
-/// may run it, if a permitted server may become leader, or if the group has no server or no leader.
+/// may run it, if a permitted server may become leader, or if the group has no server. Without a
+/// leader, only the reasons that hold for all servers of the group are returned.
 pub fn rejection_reason(
     host: &host::Host,
     operation: &operation::Operation,
@@ -104,7 +107,8 @@
 }
 
 /// Applies evacuations read from the store: all of them if `whole`, otherwise only changed rows.
-/// `version` is the table's version and `clock` the store's clock at the read.
+/// `version` is the version of the configuration table, which contains the evacuations, and `clock`
+/// the store's clock at the read.
 pub fn apply_rows(
     host: &host::Host,
     rows: &[evacuation::Row],
@@ -117,7 +121,7 @@
     apply_changes(host, &before, None);
 }
 
-/// Applies another host's set of evacuations if it is newer.
+/// Replaces this host's whole set of evacuations by another host's if that is newer.
 pub fn merge(host: &host::Host, from: &ids::HostId, other: &evacuation::Set) {
     let before = host.evacuations.borrow().clone();
     host.evacuations.borrow_mut().adopt(other);
