--- a/components/coordination/src/confirm.rs
+++ b/components/coordination/src/confirm.rs
@@ -1,7 +1,7 @@
 //! Confirmation that a commit acknowledged by the leader is held by a second server.
 //!
 //! Guards against a leader that is partitioned from its replicas and continues to acknowledge
-//! commits for seconds. Its successor has received none of these commits, and every booking
+//! commits for seconds. Its successor has received none of these commits, and every commit
 //! confirmed to a caller in that time is lost. Replication is asynchronous, so the
 //! acknowledgement itself proves nothing: a replica is probed for the last record that it has
 //! received, once for all pending commits.
@@ -14,19 +14,21 @@
 use crate::{Point, ServerId};
 
 /// Time within which a replica must confirm a commit. A replica receives the commit after about
-/// 2 ms and is probed within 3 ms; a replica with no free slot answers after a typical statement
-/// of 50 ms, and twice that still fits.
+/// 2 ms, and a replica that lacks it is probed again 3 ms after its answer; a replica with no free
+/// slot answers after a typical statement of 50 ms, and twice that still fits.
 pub const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long after [`CONFIRM_TIMEOUT`] replicas must still have received nothing before the
-/// leader is replaced; the same time as for the replicas of a silent leader.
+/// Time after [`CONFIRM_TIMEOUT`] for which the first unconfirmed commit must still not have been
+/// received by any replica before the leader is replaced; the same time as
+/// `suspicion::REPLICA_STALL_TIMEOUT` for the replicas of a silent leader.
 pub const STALL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// How long a replica's report that it lacks a commit is valid.
+/// Time for which a replica counts as reachable after an answer with its last record.
 const REPORT_TTL: Duration = Duration::from_millis(600);
 
-/// Time for which a new leader is not replaced although its replicas receive nothing. If the
-/// replicas cannot receive from any server, another leader would be no better.
+/// Time since this host began to use a leader for which the leader is not replaced although no
+/// replica receives its first unconfirmed commit. If the replicas cannot receive from any server,
+/// another leader would be no better.
 const MIN_TENURE: Duration = Duration::from_secs(10);
 
 /// Result of probing a replica for the last record that it has received.
@@ -36,9 +38,9 @@
     Received(Point),
     /// The replica is running but has no capacity for the probe.
     Busy,
-    /// The replica's process is not running.
+    /// The replica refused the connection: its process is not running.
     Dead,
-    /// The replica did not answer.
+    /// The replica did not answer in time, or the connection failed.
     Silent,
 }
 
@@ -60,7 +62,7 @@
 /// Replication progress of the replicas of one leader.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaProgress {
-    /// Greatest point that any replica has received; none before the first report.
+    /// Greatest point that at least one replica has received; none before the first report.
     newest: Option<Point>,
     /// Last probe of each replica and its time.
     probes: BTreeMap<ServerId, (ProbeResult, Instant)>,
@@ -70,7 +72,8 @@
 }
 
 impl ReplicaProgress {
-    /// Records that any of the replicas has received the log up to `point`.
+    /// Records that at least one replica has received the log up to `point`. Unlike
+    /// [`Self::record`], this does not make a replica count as reachable.
     pub fn note(&mut self, point: Point) {
         self.newest = self.newest.max(Some(point));
         if self.unconfirmed.is_some_and(|(commit, _)| self.covers(commit)) {
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Records the result of a probe of the replica `server`.
+    /// Records the result of a probe of the replica `server`, and its point as [`Self::note`] does.
     pub fn record(&mut self, server: &ServerId, probe: ProbeResult, now: Instant) {
         self.probes.insert(server.clone(), (probe, now));
         if let ProbeResult::Received(point) = probe {
--- a/components/coordination/src/succession.rs
+++ b/components/coordination/src/succession.rs
@@ -7,13 +7,14 @@
 //! would acknowledge writes that the next promotion discards.
 //!
 //! Reported states are therefore not sufficient, and the store keeps two terms: the term of
-//! the last known leader, and the term up to which all terms are *closed* because a promotion
-//! that may have taken effect was requested. The leader of a closed term is never adopted;
-//! another promotion is required.
+//! the last known leader, and the newest *closed* term. Before a host requests a promotion, it
+//! closes all terms up to the newest one that it knows, because the promotion may take effect
+//! and end them. The leader of a closed term is never adopted; another promotion is required.
 
 use crate::{Point, ServerId, Term};
 
-/// Reported state of a server, with this host's configuration for the server.
+/// State of a server. `id`, `leaving`, `evacuated`, `served` and `cold` are this host's own
+/// information about the server; the server reports `leads`, `term` and `received`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Standing {
     /// Id of the server.
@@ -24,7 +25,7 @@
     pub leaving: bool,
     /// Whether the server's failure domain is evacuated.
     pub evacuated: bool,
-    /// Number of databases of the group whose region bindings allow the server.
+    /// Number of databases of the group whose homes include the server's region.
     pub served: usize,
     /// Whether the server has just started and may get only a few requests a second.
     pub cold: bool,
@@ -39,7 +40,8 @@
 pub struct Terms {
     /// Term of the last known leader; 0 while no leader is known.
     pub known: Term,
-    /// Newest closed term: terms up to this one may have ended; 0 if no term is closed.
+    /// Newest closed term: all terms up to this one are closed, since a requested promotion may
+    /// have ended them; 0 if no term is closed.
     pub closed: Term,
 }
 
@@ -60,10 +62,11 @@
     Promote {
         /// Server to promote.
         successor: ServerId,
-        /// Newest term, reported or known, which the promotion closes.
+        /// Newest term, reported or known. All terms up to this one are closed before the
+        /// promotion is requested.
         after: Term,
-        /// Last record of the former leader; none if it did not report its state or its term is
-        /// closed.
+        /// Last record of the former leader; none if it did not report its state, if its term is
+        /// closed, or if a server reports a newer term or a newer one is known.
         last: Option<Point>,
     },
     /// No server can lead at present.
@@ -104,8 +107,8 @@
         }
     });
     let Some(successor) = successor else {
-        // Without a successor the leader stays, unless it is being removed: statements that
-        // only a leader can run may still run on it.
+        // Without a successor the leader stays, also a retiring or evacuated one, unless it is
+        // being removed: statements that only a leader can run may still run on it.
         return leader.filter(|leader| !leader.leaving).map_or(Next::Nobody, adopt);
     };
     // `None` for the leader of a closed term: the promotion must not wait for its records.
