--- a/components/coordination/src/lenders.rs
+++ b/components/coordination/src/lenders.rs
@@ -1,4 +1,4 @@
-//! Selection of the hosts from which tokens are borrowed, with few messages.
+//! Selection of the hosts from which rate-limit tokens are borrowed, with few messages.
 
 use std::{
     collections::HashMap,
@@ -7,8 +7,8 @@
 
 use crate::{HostId, shares::Share};
 
-/// Time for which the last reported number of a host's spare tokens is used; after that,
-/// the demand at that host may have ended.
+/// Time for which the last reported number of a host's spare tokens is used. After that, the
+/// demand at that host may have ended, and the host is again expected to have the full burst.
 const SPARE_TTL: Duration = Duration::from_millis(50);
 
 /// Time for which a host that did not answer is skipped.
@@ -41,10 +41,10 @@
         self.contacts.insert(host.clone(), Contact { spare: 0.0, updated: now, answered: false });
     }
 
-    /// Selects the fewest of `hosts` that together may have `want` tokens, in descending order
-    /// of expected tokens, and the number of tokens to request from each. A host whose spare
-    /// tokens are not known is expected to have the burst of `share`. Hosts without an
-    /// expected whole token are left out, so the selection may be too small or empty.
+    /// Selects the fewest of `hosts` whose expected tokens add up to `want` or more, in descending
+    /// order of expected tokens, and the number of tokens to request from each. A host whose
+    /// spare tokens are not known is expected to have the burst of `share`. Hosts with less than
+    /// a whole expected token are left out, so the selection may be too small or empty.
     pub fn choose(
         &self,
         hosts: impl IntoIterator<Item = HostId>,
--- a/components/coordination/src/rendezvous.rs
+++ b/components/coordination/src/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Rendezvous hashing, by which hosts agree on the owner of a key without communication.
+//! Rendezvous hashing, by which hosts agree on the order of hosts for a key without
+//! communication.
 
 use xxhash_rust::xxh3;
 
@@ -25,8 +26,8 @@
 /// Returns the candidates for `group` by descending priority.
 ///
 /// Hosts of the failure domain `near` come first. Otherwise the order depends only on the ids
-/// of the group and the hosts, so that hosts with the same view agree, and the removal of a host
-/// moves only the groups served by that host.
+/// of the group and the hosts, so that hosts with the same view and the same `near` agree, and the
+/// removal of a host moves only the groups served by that host.
 pub fn rank<'a>(
     group: &GroupId,
     candidates: impl IntoIterator<Item = Candidate<'a>>,
@@ -40,8 +41,8 @@
     ranked.into_iter().map(|(_, _, host)| host).collect()
 }
 
-/// Returns the hosts by descending priority for `key`. The order depends only on `key` and the
-/// host ids.
+/// Returns the hosts by descending priority for `key`. Unlike in [`rank`], no failure domain comes
+/// first: the order depends only on `key` and the host ids.
 pub fn order<'a>(key: &str, hosts: &'a [HostId]) -> Vec<&'a HostId> {
     let mut ordered: Vec<_> = hosts.iter().map(|host| (weight(key, host), host)).collect();
     ordered.sort_by(|a, b| b.cmp(a));
