--- a/components/coordination/tests/ages.rs
+++ b/components/coordination/tests/ages.rs
@@ -42,7 +42,8 @@
 
 /// Guards against old data for a caller that accepts data two seconds old: a primary that was
 /// partitioned and replaced still reports that it leads, and its replica follows only that
-/// primary. The report proves nothing, so the age grows.
+/// primary. The report proves nothing, so the age grows, here beyond the
+/// accepted one.
 #[test]
 fn report_of_a_replaced_primary_does_not_reset_the_age() {
     let start = Instant::now();
--- a/components/coordination/tests/evacuation.rs
+++ b/components/coordination/tests/evacuation.rs
@@ -29,7 +29,8 @@
     (set, store)
 }
 
-/// Guards against statements that reach a server after the bound of an evacuation.
+/// Guards against statements that reach a server later than `BOUND` after its failure domain was
+/// evacuated.
 #[test]
 fn statements_are_forbidden_before_the_bound() {
     let now = Instant::now();
@@ -57,8 +58,9 @@
     assert_eq!(placement, evacuation::Placement::Forbidden);
 }
 
-/// Guards against a cancelled evacuation that stays in force, and the reverse: in a read of the
-/// whole table a cancelled evacuation has no row.
+/// Guards against a cancelled evacuation that stays in force: in a read of the whole table it has
+/// no row. Also guards against a whole read that restarts the bound of an evacuation, and against
+/// a new evacuation whose bound counts from a cancelled one.
 #[test]
 fn whole_read_replaces_the_set() {
     let now = Instant::now();
--- a/components/coordination/tests/succession.rs
+++ b/components/coordination/tests/succession.rs
@@ -65,7 +65,7 @@
 }
 
 /// Guards against losing records in a planned failover: the successor must first receive the last
-/// record that the leaving leader reports, and the leaving leader is not adopted again.
+/// record that the leader given as `retiring` reports, and that leader is not adopted again.
 #[test]
 fn planned_failover_waits_for_the_leaders_last_record() {
     let states = [
