--- a/components/coordination/src/succession.rs
+++ b/components/coordination/src/succession.rs
@@ -8,8 +8,9 @@
 //!
 //! Reported states are therefore not sufficient, and the store keeps two terms: the term of
 //! the last known leader, and the newest *closed* term. Before a host requests a promotion, it
-//! closes all terms up to the newest one that it knows, because the promotion may take effect
-//! and end them. The leader of a closed term is never adopted; another promotion is required.
+//! closes all terms up to the newest reported or known one, because the promotion may take
+//! effect and end them; a rejected request reopens the terms that were closed for it. The leader
+//! of a closed term is never adopted; another promotion is required.
 
 use crate::{Point, ServerId, Term};
 
--- a/components/coordination/tests/hubs.rs
+++ b/components/coordination/tests/hubs.rs
@@ -59,8 +59,8 @@
 }
 
 /// Guards against hosts of a failure domain that use different hubs after their hub has failed.
-/// Only the failed hub itself, if it is one of the hosts, may differ: it remains its own hub. A host
-/// that reaches no candidate is its own hub.
+/// Only the failed hub itself, if it is one of the hosts, may differ: it remains its own hub. A
+/// host that reaches no candidate is its own hub.
 #[test]
 fn hosts_use_the_same_next_candidate_after_the_loss_of_a_hub() {
     let view = fleet(90);
--- a/components/proxy/src/group.rs
+++ b/components/proxy/src/group.rs
@@ -51,7 +51,7 @@
     leader: RefCell<Option<ServerId>>,
     /// Number of the epoch: an uninterrupted period in which this host uses one leader. It is
     /// incremented when earlier work must no longer rely on its leader; the loss of the leader
-    /// alone does not increment it.
+    /// alone does not increment it, but the next leader does, also if it is the same server.
     epoch: Cell<u64>,
     /// Number of statements and transactions that use the leader in this epoch.
     active_uses: Cell<usize>,
--- a/components/proxy/src/placement.rs
+++ b/components/proxy/src/placement.rs
@@ -121,7 +121,8 @@
     apply_changes(host, &before, None);
 }
 
-/// Replaces this host's whole set of evacuations by another host's if that is newer.
+/// Replaces this host's whole set of evacuations by another host's if that is newer. For each
+/// evacuation in it, the later of the times `after` of both hosts is kept.
 pub fn merge(host: &host::Host, from: &ids::HostId, other: &evacuation::Set) {
     let before = host.evacuations.borrow().clone();
     host.evacuations.borrow_mut().adopt(other);
