--- a/components/home/src/homes.rs
+++ b/components/home/src/homes.rs
@@ -30,10 +30,11 @@
 /// Interval between two reads of the platform's list of machines.
 const MACHINES_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time after its last exchange for which a home is kept that does not rank first.
+/// Time after its last exchange for which a home is kept if this host does not rank first for the
+/// group.
 const UNUSED_HOME_TTL: Duration = Duration::from_secs(2);
 
-/// Homes of the groups for which this host ranks first or has received requests.
+/// Homes of the groups for which this host ranks first in [`Mesh::homes`] or has received requests.
 pub struct Homes {
     /// Id of this host.
     host: HostId,
@@ -42,7 +43,8 @@
     metrics: Rc<Metrics>,
     /// Configuration and home of each group.
     groups: RefCell<HashMap<GroupId, (Group, Rc<GroupHome>)>>,
-    /// Ids of the machines that are leaving according to the platform's list.
+    /// Ids of the machines that the platform's list marks as leaving. A database server is leaving
+    /// if its id is among them.
     leaving_servers: RefCell<HashSet<Box<str>>>,
 }
 
@@ -64,8 +66,9 @@
         })
     }
 
-    /// Returns the home of a group, and starts one if there is none or the group's servers have
-    /// changed. Returns `None` if the group is not configured.
+    /// Returns the home of a group. Starts one if there is none, or if the group's configuration
+    /// differs from that of the existing home in more than which servers are leaving. Returns
+    /// `None` if the group is not configured.
     pub fn get_or_start(&self, config: &Config, id: &GroupId) -> Option<Rc<GroupHome>> {
         let contract = config.group(id)?;
         let mut groups = self.groups.borrow_mut();
@@ -74,6 +77,7 @@
         {
             return Some(home.clone());
         }
+        // The home connects to the routed addresses; `same_servers` compares those without routes.
         let mut routed = contract.clone();
         for server in &mut routed.servers {
             server.address = self.routes.to(server.address);
@@ -206,7 +210,8 @@
         self.groups.borrow().values().all(|(_, home)| home.is_idle(time))
     }
 
-    /// Closes homes that do not rank first and have been idle for [`UNUSED_HOME_TTL`].
+    /// Closes homes of groups for which this host does not rank first, once they have been idle for
+    /// [`UNUSED_HOME_TTL`].
     fn close_unused(&self) {
         self.groups.borrow_mut().retain(|_, (_, home)| {
             let retained = home.ranks_first.get() || !home.is_idle(UNUSED_HOME_TTL);
@@ -238,9 +243,9 @@
 struct Inputs {
     /// Current revision of the configuration.
     revision: Revision,
-    /// Hosts that are reachable and not leaving, sorted.
+    /// Other hosts whose links are up and that are not draining, sorted.
     available: Vec<HostId>,
-    /// Ids of the machines that are leaving according to the platform's list.
+    /// Ids of the machines that the platform's list marks as leaving.
     leaving_servers: HashSet<Box<str>>,
 }
 
--- a/components/peer/src/mesh.rs
+++ b/components/peer/src/mesh.rs
@@ -69,7 +69,8 @@
     }
 
     /// Starts links to new hosts of the roster, and closes links to hosts that are neither in it
-    /// nor in the preceding one.
+    /// nor in the preceding one. A link to a host whose entry in the roster has changed is replaced.
+    /// Temporary links are closed from the age of [`TEMPORARY_LINK_TTL`] on.
     pub fn set_roster(&self, roster: &[Host], before: &[Host]) {
         let is_member = |host: &Host| roster.iter().any(|other| other.id == host.id);
         let departed: Vec<&Host> = before.iter().filter(|host| !is_member(host)).collect();
@@ -103,8 +104,8 @@
         Link::start(host.id.clone(), address, hello, secret, clock, self.keepalive)
     }
 
-    /// Returns the link to a host that may be outside of the roster, starting one if there is none.
-    /// A link started here is temporary.
+    /// Returns the link to a host that may be outside of the roster. Starts a temporary link if
+    /// there is neither a link of the roster or the preceding one nor a temporary link.
     pub fn reach(&self, host: &Host) -> Rc<Link> {
         if let Some(link) = self.link(&host.id) {
             return link;
