--- a/components/operator/src/serve.rs
+++ b/components/operator/src/serve.rs
@@ -52,7 +52,7 @@
 pub struct Reply {
     /// HTTP status.
     pub status: StatusCode,
-    /// Content type of the body.
+    /// Value of the content type header.
     pub kind: &'static str,
     /// Reply body.
     pub body: Bytes,
@@ -82,13 +82,13 @@
 /// Listens on an address exclusively.
 ///
 /// By default the runtime lets several processes share a port, so that each gets some of the
-/// connections. A second or leftover host on a machine would then accept callers and serve them
-/// from another fleet. With exclusive use, the start of the second process fails.
+/// connections. A second or leftover host on a machine would then accept some of the
+/// connections to this port and serve them from another fleet. With exclusive use, the start of the second process fails.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind_with_config(address, &ListenerOpts::new().reuse_port(false))
 }
 
-/// Serves operators until the process ends.
+/// Serves operators without end. Returns an error if it cannot listen on the address.
 pub async fn serve(address: SocketAddr, handler: Rc<Handler>) -> anyhow::Result<()> {
     let listener =
         listen(address).with_context(|| format!("cannot listen for operators on {address}"))?;
--- a/src/cmd/concerns.rs
+++ b/src/cmd/concerns.rs
@@ -44,8 +44,8 @@
 
 /// Returns the problems of one database group.
 ///
-/// A server counts as up if any home reports its role, because another home may be
-/// partitioned from it.
+/// A server counts as up if at least one home reports its role, because a network partition may
+/// separate the other homes from it. The list of servers is taken from the first report.
 fn group_concerns(reports: &[&GroupReport]) -> Vec<String> {
     let mut found = Vec::new();
     let Some(first) = reports.first() else { return found };
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -31,7 +31,8 @@
 /// Timeout of a request to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Runs an entry host until a signal or the operator interface stops it.
+/// Runs an entry host until a signal or the operator interface stops it; the host then drains
+/// before it ends. Returns an error if the host cannot start or cannot serve operators.
 pub fn run(mut settings: Settings) -> anyhow::Result<()> {
     start_log(std::mem::take(&mut settings.log), settings.log_format);
     let mut runtime = monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
