--- a/components/entry/src/session.rs
+++ b/components/entry/src/session.rs
@@ -75,7 +75,8 @@
 /// the answer.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// Complete messages, the last of which is `Query` or `Sync`.
+    /// Complete messages, the last of which is `Query` or `Sync`; a request that the caller ended
+    /// with `Flush` ends with `Sync` too.
     pub frames: Bytes,
     /// Expected replies, in the order of the messages.
     pub replies: ExpectedReplies,
@@ -85,7 +86,8 @@
     pub begins: bool,
     /// Whether the request ends a transaction.
     pub ends: bool,
-    /// Whether the caller ended the request with `Flush`, so that its batch continues.
+    /// Whether the caller ended the request with `Flush`, so that its batch continues: the answer
+    /// has no `ReadyForQuery`, and after an error messages are skipped until the next `Sync`.
     pub flushed: bool,
 }
 
@@ -279,13 +281,14 @@
         })
     }
 
-    /// Returns whether the transaction has failed and is already rolled back.
+    /// Returns whether the transaction counts as failed and has no exchange: it is already rolled
+    /// back, or its `BEGIN` was refused.
     pub(crate) fn is_aborted(&self) -> bool {
         self.transaction_state == TransactionState::Failed && self.exchange.is_none()
     }
 
-    /// Rolls back the transaction of a refused request and releases its server connection.
-    /// `ends` is set if the request would have ended the transaction.
+    /// Drops the exchange of a refused request, so that its transaction is rolled back and its
+    /// server connection released. `ends` is set if the request would have ended the transaction.
     ///
     /// The caller may already have sent its next statements. In an idle session they would run
     /// outside the transaction they belong to, so the transaction counts as failed until the
@@ -441,6 +444,8 @@
         Ok(self.settings.deadline.or(policy).unwrap_or_default())
     }
 
+    /// Returns the intent of a request. While an exchange is open it is always `Write`, so that a
+    /// request whose answer is lost counts as possibly run.
     fn intent(&self, access: Access) -> Intent {
         let required_position = self.settings.token.floor(&self.caller.group);
         match access {
--- a/components/platform/tests/http.rs
+++ b/components/platform/tests/http.rs
@@ -18,7 +18,8 @@
 const PARTS: usize = 12;
 const INTERVAL: Duration = Duration::from_millis(100);
 
-/// Timeout for the start of an answer. Sending all parts takes three times as long.
+/// Timeout for the start of an answer; it does not limit the intervals within the answer. Sending
+/// all parts takes three times as long.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
 fn on_runtime<T>(test: impl Future<Output = T>) -> T {
@@ -73,8 +74,8 @@
     });
 }
 
-/// The connection goes silent within an answer. The call must fail soon, not only when the
-/// operating system closes the connection.
+/// The server sends the first part of an answer and then nothing more, and keeps the connection
+/// open. The call must fail soon, not only when the operating system closes the connection.
 #[test]
 fn an_answer_that_stops_is_aborted() {
     on_runtime(async {
--- a/lab/src/system.rs
+++ b/lab/src/system.rs
@@ -1,5 +1,5 @@
-//! Complete system on one machine: platform, backend servers, entry hosts and links, each as a
-//! process of its own.
+//! Complete system on one machine: the platform, each backend server and each entry host run as
+//! separate processes, and one more process runs all links if the plan has links.
 
 use std::{
     collections::BTreeMap,
@@ -25,7 +25,7 @@
 /// Operator key of every system.
 pub const OPERATOR_KEY: &str = "operator-key-of-the-lab";
 
-/// Prefix of the secrets shared by the hosts of a system.
+/// Prefix of the secret that the hosts of a system share; see [`System::secret`].
 pub const SECRET: &str = "secret-of-the-lab";
 
 /// Size and settings of a system.
@@ -49,8 +49,9 @@
     /// Whether the link process appends all bytes that it forwards to the file `bytes` in the
     /// system's directory.
     pub record: bool,
-    /// Configuration used instead of `accounts` and `policy`: server `i` of its group `g` becomes
-    /// the stand-in `g{g}s{i}`.
+    /// Configuration used instead of `accounts` and `policy`, with its own groups: server `i` of its
+    /// group `g` gets the address of the backend server `g{g}s{i}`. `groups` still sets how many
+    /// backend servers there are.
     pub site: Option<Config>,
     /// Log filter of the entry hosts.
     pub log: String,
@@ -97,7 +98,8 @@
     pub replication: SocketAddr,
 }
 
-/// Running system; its processes are killed when it is dropped.
+/// System of processes, which [`System::start`] starts and [`System::prepare`] does not; they are
+/// killed when it is dropped.
 pub struct System {
     /// Size and settings of this system.
     pub plan: Plan,
@@ -211,7 +213,7 @@
         format!("{SECRET}-{}", name.to_string_lossy())
     }
 
-    /// Returns the directory of the logs.
+    /// Returns the directory of the logs and of the backend servers' data.
     pub fn dir(&self) -> &Path {
         self.dir.path()
     }
@@ -372,7 +374,8 @@
         toml::to_string(&config).expect("a parsed configuration can be serialized")
     }
 
-    /// Submits a configuration through the first host, and repeats this until it is accepted.
+    /// Submits a configuration through the first host, and repeats this until it is accepted. Fails
+    /// if it is not accepted within [`WAIT_TIMEOUT`].
     pub async fn submit(&self, config: &str) -> anyhow::Result<String> {
         let address = self.addresses[0].operator;
         let deadline = Instant::now() + WAIT_TIMEOUT;
@@ -426,8 +429,9 @@
         Ok(())
     }
 
-    /// Waits until every host lists all others and has the configuration. A host joins by
-    /// compare-and-swap, so joining takes longer when several hosts start at once.
+    /// Waits until every host has the configuration and lists all hosts with the newest revision
+    /// that it knows. Fails after [`WAIT_TIMEOUT`]. A host joins by compare-and-swap, so joining
+    /// takes longer when several hosts start at once.
     pub async fn await_members(&self) -> anyhow::Result<()> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         for addresses in &self.addresses {
@@ -439,7 +443,8 @@
         Ok(())
     }
 
-    /// Returns whether the status page of a host lists all hosts, each with the newest revision.
+    /// Returns whether the status page of a host shows a configuration and lists all hosts, each
+    /// with the revision of the page.
     async fn is_joined(&self, operator: SocketAddr) -> bool {
         let Ok((200, text)) = request(operator, "GET", "/status", "").await else { return false };
         let Ok(page) = serde_json::from_str::<StatusPage>(&text) else { return false };
@@ -470,7 +475,8 @@
         config
     }
 
-    /// Connects to a host with the given account, and retries until the host accepts.
+    /// Connects to a host with the given account, and retries until the host accepts. Fails if it
+    /// does not accept within [`WAIT_TIMEOUT`].
     pub async fn connect(&self, host: usize, account: &str, group: &str) -> anyhow::Result<Client> {
         let config = self.caller(host, account, group);
         let deadline = Instant::now() + WAIT_TIMEOUT;
