--- a/components/peer/src/mesh.rs
+++ b/components/peer/src/mesh.rs
@@ -16,7 +16,8 @@
 };
 
 /// Age above which [`Mesh::set_roster`] closes a link to a host outside of the roster. It exceeds
-/// the duration of a failover, for which such links are opened, and of the notification of its end.
+/// the duration of a failover, for which such links are opened, and of the notification of
+/// the hosts that it has ended.
 const TEMPORARY_LINK_TTL: Duration = Duration::from_secs(15);
 
 /// Links to all other hosts of the roster, and temporary links to hosts outside of it.
@@ -26,6 +27,7 @@
     /// Secret shared by all hosts.
     pub secret: Secret,
     clock: Rc<dyn Clock>,
+    /// Addresses to which this host connects instead of the peer addresses in the roster.
     routes: Routes,
     keepalive: Keepalive,
     /// Links to the hosts of the roster and of the preceding roster.
@@ -115,7 +117,7 @@
         temporary_links.entry(host.id.clone()).or_insert_with(start).0.clone()
     }
 
-    /// Returns the links to hosts outside of the roster.
+    /// Returns the temporary links, which [`Mesh::reach`] has started.
     pub fn temporary_links(&self) -> Vec<Rc<Link>> {
         self.temporary_links.borrow().values().map(|(link, _)| link.clone()).collect()
     }
--- a/components/peer/tests/message.rs
+++ b/components/peer/tests/message.rs
@@ -40,7 +40,8 @@
 }
 
 /// Guards against rates and levels that are rounded up, and figures that are lost, by encoding and
-/// decoding.
+/// decoding. A host that lacks reports of other participants adopts the reported level of an
+/// account's bucket, so that rounding up would add tokens.
 #[test]
 fn decoded_figures_are_at_most_slightly_lower() {
     let Message::Question(_, Question::Heartbeat(sent)) = heartbeat(200) else { unreachable!() };
