--- a/components/operator/src/serve.rs
+++ b/components/operator/src/serve.rs
@@ -82,8 +82,9 @@
 /// Listens on an address exclusively.
 ///
 /// By default the runtime lets several processes share a port, so that each gets some of the
-/// connections. A second or leftover host on a machine would then accept some of the
-/// connections to this port and serve them from another fleet. With exclusive use, the start of the second process fails.
+/// connections. A second or leftover host on a machine would then accept some of the connections
+/// to this port and serve them from another fleet. With exclusive use, the start of the second
+/// process fails.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind_with_config(address, &ListenerOpts::new().reuse_port(false))
 }
--- a/src/cmd/concerns.rs
+++ b/src/cmd/concerns.rs
@@ -27,6 +27,8 @@
     line.report.as_ref().map_or(&[], |report| &report.groups)
 }
 
+/// Returns the problem of one host. A host whose report has `acts` unset has not proven recently
+/// enough, by the limit of its revision, that this revision is the newest.
 fn host_concern(line: &HostLine, revision: u64) -> Option<String> {
     let HostLine { host, report, .. } = line;
     match report {
@@ -45,7 +47,8 @@
 /// Returns the problems of one database group.
 ///
 /// A server counts as up if at least one home reports its role, because a network partition may
-/// separate the other homes from it. The list of servers is taken from the first report.
+/// separate the other homes from it. Every report lists all servers that its home has configured,
+/// so the first report gives their number and names.
 fn group_concerns(reports: &[&GroupReport]) -> Vec<String> {
     let mut found = Vec::new();
     let Some(first) = reports.first() else { return found };
