--- a/components/peer/src/mesh.rs
+++ b/components/peer/src/mesh.rs
@@ -71,8 +71,8 @@
     }
 
     /// Starts links to new hosts of the roster, and closes links to hosts that are neither in it
-    /// nor in the preceding one. A link to a host whose entry in the roster has changed is replaced.
-    /// Temporary links are closed from the age of [`TEMPORARY_LINK_TTL`] on.
+    /// nor in the preceding one. A link to a host whose entry in the roster has changed is
+    /// replaced. Temporary links are closed from the age of [`TEMPORARY_LINK_TTL`] on.
     pub fn set_roster(&self, roster: &[Host], before: &[Host]) {
         let is_member = |host: &Host| roster.iter().any(|other| other.id == host.id);
         let departed: Vec<&Host> = before.iter().filter(|host| !is_member(host)).collect();
--- a/lab/src/system.rs
+++ b/lab/src/system.rs
@@ -49,9 +49,9 @@
     /// Whether the link process appends all bytes that it forwards to the file `bytes` in the
     /// system's directory.
     pub record: bool,
-    /// Configuration used instead of `accounts` and `policy`, with its own groups: server `i` of its
-    /// group `g` gets the address of the backend server `g{g}s{i}`. `groups` still sets how many
-    /// backend servers there are.
+    /// Configuration used instead of `accounts` and `policy`, with its own groups: server `i` of
+    /// its group `g` gets the address of the backend server `g{g}s{i}`. `groups` still sets how
+    /// many backend servers there are.
     pub site: Option<Config>,
     /// Log filter of the entry hosts.
     pub log: String,
