--- a/components/peer/src/mesh.rs
+++ b/components/peer/src/mesh.rs
@@ -16,7 +16,8 @@
 };
 
 /// Age above which [`Mesh::set_roster`] closes a link to a host outside of the roster. It exceeds
-/// the duration of a failover, for which such links are opened, and of the notification of its end.
+/// the duration of a failover, for which such links are opened, and of the notification of
+/// the hosts that it has ended.
 const TEMPORARY_LINK_TTL: Duration = Duration::from_secs(15);
 
 /// Links to all other hosts of the roster, and temporary links to hosts outside of it.
@@ -26,6 +27,7 @@
     /// Secret shared by all hosts.
     pub secret: Secret,
     clock: Rc<dyn Clock>,
+    /// Addresses to which this host connects instead of the peer addresses in the roster.
     routes: Routes,
     keepalive: Keepalive,
     /// Links to the hosts of the roster and of the preceding roster.
@@ -69,7 +71,8 @@
     }
 
     /// Starts links to new hosts of the roster, and closes links to hosts that are neither in it
-    /// nor in the preceding one.
+    /// nor in the preceding one. A link to a host whose entry in the roster has changed is
+    /// replaced. Temporary links are closed from the age of [`TEMPORARY_LINK_TTL`] on.
     pub fn set_roster(&self, roster: &[Host], before: &[Host]) {
         let is_member = |host: &Host| roster.iter().any(|other| other.id == host.id);
         let departed: Vec<&Host> = before.iter().filter(|host| !is_member(host)).collect();
@@ -103,8 +106,8 @@
         Link::start(host.id.clone(), address, hello, secret, clock, self.keepalive)
     }
 
-    /// Returns the link to a host that may be outside of the roster, starting one if there is none.
-    /// A link started here is temporary.
+    /// Returns the link to a host that may be outside of the roster. Starts a temporary link if
+    /// there is neither a link of the roster or the preceding one nor a temporary link.
     pub fn reach(&self, host: &Host) -> Rc<Link> {
         if let Some(link) = self.link(&host.id) {
             return link;
@@ -114,7 +117,7 @@
         temporary_links.entry(host.id.clone()).or_insert_with(start).0.clone()
     }
 
-    /// Returns the links to hosts outside of the roster.
+    /// Returns the temporary links, which [`Mesh::reach`] has started.
     pub fn temporary_links(&self) -> Vec<Rc<Link>> {
         self.temporary_links.borrow().values().map(|(link, _)| link.clone()).collect()
     }
